--- a/internal/reducer/gate/bench_test.go
+++ b/internal/reducer/gate/bench_test.go
@@ -12,15 +12,15 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Sizes that the users expect to run at.
+// Sizes that the users expect.
 const (
 	benchModels        = 34
 	benchOrganisations = 210
 	benchTokens        = 160_000
 )
 
-// benchGate returns a gate whose memory is full with twenty decodes, if queued
-// isn't zero, and in whose queue so many wait.
+// benchGate returns a gate with the given number of queued reservations. If it
+// isn't zero, twenty decodes fill the gate's memory.
 func benchGate(b *testing.B, queued int) *State {
 	s := New(Config{QueueBound: queued + 10, Lease: time.Hour, StartWithin: time.Hour})
 	info := engine.Info{Role: oriolebend.Decode, KVTokens: benchTokens, BlockTokens: 16, Incarnation: 1}
@@ -34,7 +34,7 @@
 		Reduce(s, benchReserve(i, "wait"))
 	}
 	if s.queue.length < queued-30 {
-		b.Fatalf("%d queued", s.queue.length)
+		b.Fatalf("only %d reservations queued", s.queue.length)
 	}
 	return s
 }
@@ -56,7 +56,7 @@
 }
 
 // BenchmarkReserveRelease measures one Reserve and its Release, at a gate with
-// empty memory and at full ones with queues.
+// empty memory and at gates with full memory and queues.
 func BenchmarkReserveRelease(b *testing.B) {
 	for _, queued := range []int{0, 100, 1000} {
 		b.Run(fmt.Sprint("queue=", queued), func(b *testing.B) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// BenchmarkTick measures what passing time costs.
+// BenchmarkTick measures the cost of one Ticked event.
 func BenchmarkTick(b *testing.B) {
 	for _, queued := range []int{0, 100, 1000} {
 		b.Run(fmt.Sprint("queue=", queued), func(b *testing.B) {
@@ -104,13 +104,13 @@
 				Attempt: reserve.Attempt, Granted: true, StartIn: 300 * time.Millisecond,
 				FreeTokens: 42_000, LinkBytes: 1.25e9, LeaseFor: 3 * time.Second,
 			}
-			var asked, answered []byte
+			var encodedReserve, encodedOffer []byte
 			for b.Loop() {
-				asked, _ = cbor.Marshal(reserve)
-				answered, _ = cbor.Marshal(offer)
+				encodedReserve, _ = cbor.Marshal(reserve)
+				encodedOffer, _ = cbor.Marshal(offer)
 			}
-			b.ReportMetric(float64(len(asked)), "reserveBytes")
-			b.ReportMetric(float64(len(answered)), "offerBytes")
+			b.ReportMetric(float64(len(encodedReserve)), "reserveBytes")
+			b.ReportMetric(float64(len(encodedOffer)), "offerBytes")
 		})
 	}
 }
--- a/internal/reducer/gate/cache.go
+++ b/internal/reducer/gate/cache.go
@@ -7,36 +7,40 @@
 	"github.com/oriolebend/oriolebend/internal/prefix"
 )
 
-// keptEvents bounds the events that are kept while the index is read anew.
-const keptEvents = 16_384
+// maxBufferedEvents bounds the events that are buffered until the index is read
+// again.
+const maxBufferedEvents = 16_384
 
-// cacheIndex knows which prefix blocks the engine holds.
+// cacheIndex tracks which prefix blocks the engine holds.
 //
-// The engine's events come late and may have gaps. A missing eviction would
-// make the index promise blocks that are gone: seen as prefills that take
-// longer than predicted. So a gap makes the index doubtful: until the whole
-// index was read, only blocks that were stored behind the gap count.
+// The engine's events arrive late and may have gaps. After a missed eviction,
+// the index would promise blocks that are no longer cached, and prefills would
+// take longer than predicted. Therefore a gap makes the index unverified: until
+// the complete index was read, only blocks that were stored after the gap
+// count.
 type cacheIndex struct {
 	// blocks maps each block to the sequence number at which it was stored.
-	blocks   map[uint64]uint64
-	bound    int
-	sequence uint64
-	doubtful bool
-	// gap is the last sequence number at the latest gap.
+	blocks     map[uint64]uint64
+	bound      int
+	sequence   uint64
+	unverified bool
+	// gap is the last sequence number within the latest gap.
 	gap uint64
-	// kept holds the events since the index became doubtful.
-	kept []engine.CacheEvent
-	// asked is true while a ListCache is out; askedAt is when it went.
-	asked   bool
-	askedAt time.Time
+	// buffered holds the events since the index became unverified.
+	buffered []engine.CacheEvent
+	// listPending is true while a ListCache is unanswered. lastListAt is when
+	// the latest one was emitted.
+	listPending bool
+	lastListAt  time.Time
 }
 
 func newCacheIndex(c Config) cacheIndex {
 	return cacheIndex{blocks: map[uint64]uint64{}, bound: c.CacheBlocks}
 }
 
-// cachedTokens is how much of a prompt the engine holds for certain. The hashes
-// are those of the leading blocks that package prefix names.
+// cachedTokens returns how many leading tokens of a prompt the engine certainly
+// holds. The hashes are those of the leading blocks, as package prefix computes
+// them.
 func (c *cacheIndex) cachedTokens(hashes []uint64, promptTokens, blockTokens int) int {
 	leading := 0
 	for _, block := range hashes {
@@ -53,17 +57,17 @@
 
 func (c *cacheIndex) holds(block uint64) bool {
 	stored, found := c.blocks[block]
-	return found && (!c.doubtful || stored > c.gap)
+	return found && (!c.unverified || stored > c.gap)
 }
 
-// apply takes one event in. It reports whether events before it are missing.
+// apply applies one event and reports whether events before it are missing.
 func (c *cacheIndex) apply(e engine.CacheEvent) (gap bool) {
 	if e.Sequence <= c.sequence {
 		return false
 	}
 	gap = e.Sequence != c.sequence+1
 	if gap {
-		c.doubtful = true
+		c.unverified = true
 		c.gap = e.Sequence - 1
 	}
 	c.sequence = e.Sequence
@@ -76,11 +80,11 @@
 	return gap
 }
 
-// replace takes the whole index in, and the kept events behind it. It reports
-// whether the index is whole.
+// replace applies the complete index and the buffered events after it. It
+// reports whether the index is complete.
 func (c *cacheIndex) replace(index engine.CacheIndex) bool {
-	kept := c.kept
-	c.kept = nil
+	buffered := c.buffered
+	c.buffered = nil
 	c.blocks = make(map[uint64]uint64, len(index.Blocks))
 	for _, block := range index.Blocks {
 		if len(c.blocks) >= c.bound {
@@ -89,61 +93,62 @@
 		c.blocks[block] = index.Sequence
 	}
 	c.sequence = index.Sequence
-	c.doubtful = false
-	whole := true
-	for _, e := range kept {
+	c.unverified = false
+	complete := true
+	for _, e := range buffered {
 		if c.apply(e) {
-			whole = false
+			complete = false
 		}
-		if c.doubtful {
-			c.kept = append(c.kept, e)
+		if c.unverified {
+			c.buffered = append(c.buffered, e)
 		}
 	}
-	return whole
+	return complete
 }
 
-// cacheChanged takes events in, in the order in which they were read.
-func (s *State) cacheChanged(e CacheChanged) {
+// handleCacheChanged applies cache events in the order in which they were read.
+func (s *State) handleCacheChanged(e CacheChanged) {
 	for _, event := range e.Events {
 		if s.cache.apply(event) {
 			s.count("cacheGap", "")
 		}
-		if s.cache.doubtful && len(s.cache.kept) < keptEvents {
-			s.cache.kept = append(s.cache.kept, event)
+		if s.cache.unverified && len(s.cache.buffered) < maxBufferedEvents {
+			s.cache.buffered = append(s.cache.buffered, event)
 		}
 	}
-	s.askCache()
+	s.listCacheIfNeeded()
 }
 
-// askCache reads the whole index while it is doubtful, and again if the
-// reading was lost.
-func (s *State) askCache() {
-	if !s.cache.doubtful || !s.engine.known {
+// listCacheIfNeeded reads the complete index while it is unverified, and again
+// if the answer does not arrive.
+func (s *State) listCacheIfNeeded() {
+	if !s.cache.unverified || !s.engine.known {
 		return
 	}
-	if s.cache.asked && s.now.Sub(s.cache.askedAt) < s.config.RepairEvery {
+	if s.cache.listPending && s.now.Sub(s.cache.lastListAt) < s.config.RepairEvery {
 		return
 	}
-	s.cache.asked = true
-	s.cache.askedAt = s.now
+	s.cache.listPending = true
+	s.cache.lastListAt = s.now
 	s.emit(ListCache{})
 }
 
-// cacheListed repairs the index.
-func (s *State) cacheListed(e CacheListed) {
-	s.cache.asked = false
-	if !s.cache.doubtful {
+// handleCacheListed repairs the index.
+func (s *State) handleCacheListed(e CacheListed) {
+	s.cache.listPending = false
+	if !s.cache.unverified {
 		return
 	}
 	if s.cache.replace(e.Index) {
 		s.count("cacheRepaired", "")
 	}
-	s.askCache()
+	s.listCacheIfNeeded()
 }
 
-// resetCache forgets the index of an engine that restarted and reads it anew.
+// resetCache discards the index, which may be out of date after the engine
+// restarted or was unreachable, and reads it again.
 func (s *State) resetCache() {
 	s.cache = newCacheIndex(s.config)
-	s.cache.doubtful = true
-	s.askCache()
+	s.cache.unverified = true
+	s.listCacheIfNeeded()
 }
--- a/internal/reducer/gate/drain.go
+++ b/internal/reducer/gate/drain.go
@@ -5,30 +5,31 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// drain is what the operators declared and what was told of it.
+// drain holds the declared and the reported state of the server.
 type drain struct {
-	// declared is the declared state; empty until it is known.
+	// declared is the declared state. It is empty until it is known.
 	declared oriolebend.ServerState
 	stopping bool
-	// announced is the state that control was told last.
+	// announced is the state that was last reported to the control VMs.
 	announced oriolebend.ServerState
-	// told is true once Drained was emitted for this drain.
-	told bool
+	// drainedSent is true once Drained was emitted for this drain.
+	drainedSent bool
 }
 
-// state says whether new work is taken, and if not, why.
-func (s *State) state() oriolebend.ServerState {
+// serverState returns whether new work is accepted, and if not, why.
+func (s *State) serverState() oriolebend.ServerState {
 	switch {
 	case s.draining():
 		return oriolebend.ServerLeaving
-	case !s.ready() || s.drain.declared == oriolebend.ServerLoading || s.undeclared():
+	case !s.ready() || s.drain.declared == oriolebend.ServerLoading || s.awaitsDeclaredState():
 		return oriolebend.ServerLoading
 	default:
 		return oriolebend.ServerServing
 	}
 }
 
-// draining reports whether the server is to end its work and take no more.
+// draining reports whether the server is to complete its work and accept no
+// more.
 func (s *State) draining() bool {
 	d := s.drain
 	switch d.declared {
@@ -39,28 +40,29 @@
 	}
 }
 
-// undeclared reports whether the gate still waits for its declared state. A
-// gate that restarts beside a leaving server would otherwise take new work
-// until control tells it again.
-func (s *State) undeclared() bool {
+// awaitsDeclaredState reports whether the gate still waits for its declared
+// state. Otherwise a gate that restarts in front of a leaving server would
+// accept new work until the control VMs report the state again.
+func (s *State) awaitsDeclaredState() bool {
 	return s.drain.declared == "" && s.now.Sub(s.started) < s.config.DeclaredWithin
 }
 
-func (s *State) declared(e Declared) {
+func (s *State) handleDeclared(e Declared) {
 	s.drain.declared = e.State
 	s.refuseQueued()
 }
 
-func (s *State) stopping() {
+func (s *State) handleStopping() {
 	s.drain.stopping = true
-	// A server that had left before is told to be drained once more: the
-	// process that stops waits for it.
-	s.drain.told = false
+	// Drained is emitted again for a server that had left before, because the
+	// stopping process waits for it.
+	s.drain.drainedSent = false
 	s.refuseQueued()
 }
 
-// refuseQueued sends what waits elsewhere once no new work is taken. What was
-// granted is in progress for its entry and may still start.
+// refuseQueued refuses the waiting reservations once no new work is accepted,
+// so that their entries try other servers. Granted reservations are in progress
+// for their entries and may still start.
 func (s *State) refuseQueued() {
 	reason := oriolebend.ReasonLeaving
 	switch {
@@ -71,38 +73,38 @@
 		return
 	}
 	for _, r := range s.queue.all() {
-		s.refuseWaiting(r, message.Refusal{Reason: reason, RetryAfter: shortestRetry})
+		s.refuseUnstarted(r, message.Refusal{Reason: reason, RetryAfter: minRetryAfter})
 	}
 }
 
-// announce tells control of a new state, and that a drain is at its end.
-func (s *State) announce() {
-	state := s.state()
+// announceState reports a new state to the control VMs, and the end of a drain.
+func (s *State) announceState() {
+	state := s.serverState()
 	if state != s.drain.announced {
 		s.drain.announced = state
 		s.emit(Announce{State: state})
 	}
 	if !s.draining() && s.drain.declared != oriolebend.ServerLoading {
-		s.drain.told = false
+		s.drain.drainedSent = false
 		return
 	}
-	if !s.drain.told && s.idle() {
-		s.drain.told = true
+	if !s.drain.drainedSent && s.idle() {
+		s.drain.drainedSent = true
 		s.emit(Drained{})
 	}
 }
 
-// idle reports whether no work is left, nor any that was not listed yet.
+// idle reports whether no work is left, including work that was not listed yet.
 //
-// An engine that is lost can't list its work, and may never come back: a
-// server that leaves, or a process that stops, would wait for it until it is
-// killed. No entry waits for that work any more; what still runs then is found
-// by the next gate's first list. A role change waits for the list: it must not
-// meet work in an engine that was only frozen.
+// A lost engine can't list its work and may never answer again. A leaving
+// server or a stopping process would wait for that list until it is killed. No
+// entry waits for that work any more, and the next gate's first list shows what
+// still runs. A role change does wait for the list, because it must not meet
+// work in an engine that was only frozen.
 func (s *State) idle() bool {
-	unlisted := s.engine.known && !s.engine.listed
+	unlisted := s.engine.known && !s.engine.workListed
 	if s.engine.lost && s.draining() {
 		unlisted = false
 	}
-	return !unlisted && len(s.attempts) == 0 && len(s.status) == 0
+	return !unlisted && len(s.attempts) == 0 && len(s.statusQueries) == 0
 }
--- a/internal/reducer/gate/effect.go
+++ b/internal/reducer/gate/effect.go
@@ -6,8 +6,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Effect is something that the sidecar is to do; effects are carried out in
-// order and none of them blocks the reducer.
+// Effect is an action for the sidecar. Effects are carried out in order, and
+// none of them blocks the reducer.
 type Effect interface{ gateEffect() }
 
 // Reply sends a message over a session.
@@ -16,43 +16,44 @@
 	Message message.Message
 }
 
-// EndSession closes a session after what was sent before.
+// EndSession closes a session once the messages before it are sent.
 type EndSession struct{ Session SessionID }
 
-// RunPrefill starts a prefill; EnginePrefilled or WorkFailed follows.
+// RunPrefill starts a prefill. EnginePrefilled or WorkFailed follows.
 type RunPrefill struct{ Request engine.PrefillRequest }
 
-// RunDecode starts a decode; EngineParts or WorkFailed follow.
+// RunDecode starts a decode. EnginePart events or WorkFailed follow.
 type RunDecode struct{ Request engine.DecodeRequest }
 
-// RunCall starts a call of a plain service; ServiceAnswered or WorkFailed
+// RunCall starts a call of a plain service. ServiceAnswered or WorkFailed
 // follows.
 type RunCall struct{ Call message.Call }
 
-// AskStatus asks the service for the outcome of an earlier call;
+// QueryStatus queries the service for the outcome of an earlier call.
 // ServiceAnswered or WorkFailed follows.
 type AskStatus struct{ Query message.StatusQuery }
 
-// CancelWork ends the engine's work for an attempt; Cancelled follows.
+// CancelWork ends the engine's work for an attempt. Cancelled follows.
 type CancelWork struct{ Attempt message.Attempt }
 
-// ListWork reads the engine's list of work; WorkListed follows. That one list
-// fails does not mean that the engine is lost.
+// ListWork reads the engine's list of work. WorkListed follows. A single failed
+// list does not mean that the engine is lost.
 type ListWork struct{}
 
-// ListCache reads the whole cache index; CacheListed follows.
+// ListCache reads the complete cache index. CacheListed follows.
 type ListCache struct{}
 
-// Announce tells control of the server's new state.
+// Announce reports the server's new state to the control VMs.
 type Announce struct{ State oriolebend.ServerState }
 
-// Count adds one to the counter of refusals, cancellations or repairs.
+// Count adds one to a counter, such as that of refusals, cancellations or
+// repairs.
 type Count struct {
 	What   string
 	Reason oriolebend.Reason
 }
 
-// Drained tells that a stopping or leaving server has no work left.
+// Drained reports that a stopping or leaving server has no work left.
 type Drained struct{}
 
 func (Reply) gateEffect()      {}
--- a/internal/reducer/gate/event.go
+++ b/internal/reducer/gate/event.go
@@ -1,5 +1,5 @@
-// Package gate is the reducer of the sidecar: the one authority over what its
-// backend server may be given. It is pure: no clock, socket or randomness.
+// Package gate is the reducer of the sidecar. It alone decides which work its
+// backend server is given. It is pure: it uses no clock, socket or randomness.
 package gate
 
 import (
@@ -10,47 +10,49 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// SessionID names one session that an entry opened; it is never used again.
+// SessionID identifies a session that an entry opened. It is never reused.
 type SessionID string
 
-// Event is something that happened to the gate. At is when, by the clock of
-// the sidecar's own process.
+// Event is an input of the gate. Its field At is the time at which it occurred,
+// by the clock of the sidecar's own process.
 type Event interface{ occurred() time.Time }
 
-// Received is a message that came over a session.
+// Received is a message that arrived over a session.
 type Received struct {
 	At      time.Time
 	Session SessionID
 	Message message.Message
 }
 
-// Renewed tells that the peer of a session was heard of; it renews the lease
-// of the session's reservation.
+// Renewed reports a sign of life from the peer of a session. It renews the
+// lease of the session's reservation.
 type Renewed struct {
 	At      time.Time
 	Session SessionID
 }
 
-// Closed tells that a session ended, by either side or with its connection.
+// Closed reports that a session ended: either side closed it, or its connection
+// ended.
 type Closed struct {
 	At      time.Time
 	Session SessionID
 }
 
-// EnginePrefilled tells that a prefill ended well.
+// EnginePrefilled reports that a prefill completed.
 type EnginePrefilled struct {
 	At      time.Time
 	Attempt message.Attempt
 	Result  engine.PrefillResult
 }
 
-// EnginePart is output of a decode; the one with Finish set is the last.
+// EnginePart is a part of a decode's output. The part with Finish set is the
+// last one.
 type EnginePart struct {
 	At   time.Time
 	Part message.Part
 }
 
-// WorkFailed tells that a prefill, decode or call ended without its result.
+// WorkFailed reports that a prefill, decode or call ended without a result.
 type WorkFailed struct {
 	At      time.Time
 	Attempt message.Attempt
@@ -61,31 +63,34 @@
 	Detail string
 }
 
-// ServiceAnswered is the whole answer of a plain service.
+// ServiceAnswered is the complete answer of a plain service.
 type ServiceAnswered struct {
 	At     time.Time
 	Answer message.CallAnswer
 }
 
-// Cancelled tells that the engine confirmed the end of an attempt's work.
+// Cancelled reports that the engine confirmed the end of an attempt's work, or
+// that the cancellation failed.
 type Cancelled struct {
 	At      time.Time
 	Attempt message.Attempt
-	// Failed is true if the engine did not confirm; the gate asks again.
+	// Failed is true if the engine did not confirm. The gate then repeats the
+	// cancellation.
 	Failed bool
 }
 
-// LoadReported is the engine's lagging load report.
+// LoadReported is the engine's load report, which lags behind.
 type LoadReported struct {
 	At     time.Time
 	Report engine.LoadReport
 }
 
-// WorkListed is the engine's list of attempts that hold memory.
+// WorkListed is the engine's list of the attempts that hold memory.
 type WorkListed struct {
 	At   time.Time
 	Work []engine.Work
-	// Failed is true if the engine did not tell; the gate asks again.
+	// Failed is true if the list could not be read. The gate then requests it
+	// again.
 	Failed bool
 }
 
@@ -95,32 +100,33 @@
 	Events []engine.CacheEvent
 }
 
-// CacheListed is the whole cache index, read to repair a gap.
+// CacheListed is the complete cache index, read to repair a gap in the events.
 type CacheListed struct {
 	At    time.Time
 	Index engine.CacheIndex
 }
 
-// EngineKnown tells what the engine is and holds; it comes at start and
-// whenever the engine answers after an order or its own restart.
+// EngineKnown reports the engine's role, models and capacity. It comes at
+// start, after the engine's answer to an order, and when the engine answers
+// again after a restart.
 type EngineKnown struct {
 	At   time.Time
 	Info engine.Info
 }
 
-// EngineLost tells that the engine does not answer.
+// EngineLost reports that the engine does not answer.
 type EngineLost struct{ At time.Time }
 
-// Declared tells which state the operators declared for this server.
+// Declared reports the state that the operators declared for this server.
 type Declared struct {
 	At    time.Time
 	State oriolebend.ServerState
 }
 
-// Stopping tells that the sidecar was asked to stop gracefully.
+// Stopping reports that the sidecar was asked to stop gracefully.
 type Stopping struct{ At time.Time }
 
-// Ticked passes time; it comes at least every TickEvery.
+// Ticked reports that time passed. It comes at least every TickEvery.
 type Ticked struct{ At time.Time }
 
 func (e Received) occurred() time.Time        { return e.At }
--- a/internal/reducer/gate/fair.go
+++ b/internal/reducer/gate/fair.go
@@ -9,32 +9,31 @@
 
 // class holds the waiting reservations of one urgency.
 type class struct {
-	shares map[string]float64
-	lines  map[string]*line
-	// active is a heap of the lines that hold reservations.
-	active lineHeap
-	// virtual is the virtual time of the last line served; a line that was
-	// empty starts from it and gains nothing by having been away.
-	virtual float64
-	length  int
-	cost    float64
-}
-
-// line holds the waiting reservations of one organisation.
-type line struct {
+	shares    map[string]float64
+	orgQueues map[string]*orgQueue
+	// active is a heap of the queues that hold reservations.
+	active orgQueueHeap
+	// virtualTime is the virtual time of the last queue served. A queue that
+	// was empty starts from it, so that it gains nothing by having been empty.
+	virtualTime float64
+	length      int
+	cost        float64
+}
+
+// orgQueue holds the waiting reservations of one organisation.
+type orgQueue struct {
 	organisation string
-	virtual      float64
+	virtualTime  float64
 	cost         float64
 	waiting      []*reservation
-	index        int
+	heapIndex    int
 }
 
-// idleLines is how many lines without reservations are kept with their
-// virtual time.
-const idleLines = 1024
+// maxIdleQueues is how many empty queues are kept for their virtual time.
+const maxIdleQueues = 1024
 
 func newClass(c Config) class {
-	return class{shares: c.Shares, lines: map[string]*line{}}
+	return class{shares: c.Shares, orgQueues: map[string]*orgQueue{}}
 }
 
 func (c *class) first() *reservation {
@@ -44,72 +43,73 @@
 	return c.active[0].waiting[0]
 }
 
-// arrive readies an organisation's line for one more; after having been empty
-// it starts from the present virtual time.
-func (c *class) arrive(organisation string) {
-	l := c.lines[organisation]
-	if l == nil {
-		c.forgetIdle()
-		l = &line{organisation: organisation}
-		c.lines[organisation] = l
+// prepare readies an organisation's queue for one more reservation. A queue
+// that was empty starts from the current virtual time.
+func (c *class) prepare(organisation string) {
+	oq := c.orgQueues[organisation]
+	if oq == nil {
+		c.removeIdle()
+		oq = &orgQueue{organisation: organisation}
+		c.orgQueues[organisation] = oq
 	}
-	if len(l.waiting) == 0 {
-		l.virtual = max(l.virtual, c.virtual)
+	if len(oq.waiting) == 0 {
+		oq.virtualTime = max(oq.virtualTime, c.virtualTime)
 	}
 }
 
 func (c *class) add(r *reservation) {
-	l := c.lines[r.reserve.Organisation]
-	at, _ := slices.BinarySearchFunc(l.waiting, r, byAcceptance)
-	l.waiting = slices.Insert(l.waiting, at, r)
-	l.cost += r.cost
+	oq := c.orgQueues[r.reserve.Organisation]
+	at, _ := slices.BinarySearchFunc(oq.waiting, r, compareAcceptance)
+	oq.waiting = slices.Insert(oq.waiting, at, r)
+	oq.cost += r.cost
 	c.cost += r.cost
 	c.length++
-	if len(l.waiting) == 1 {
-		heap.Push(&c.active, l)
+	if len(oq.waiting) == 1 {
+		heap.Push(&c.active, oq)
 		return
 	}
-	heap.Fix(&c.active, l.index)
+	heap.Fix(&c.active, oq.heapIndex)
 }
 
 func (c *class) remove(r *reservation) {
-	l := c.lines[r.reserve.Organisation]
-	at, _ := slices.BinarySearchFunc(l.waiting, r, byAcceptance)
-	l.waiting = slices.Delete(l.waiting, at, at+1)
-	l.cost -= r.cost
+	oq := c.orgQueues[r.reserve.Organisation]
+	at, _ := slices.BinarySearchFunc(oq.waiting, r, compareAcceptance)
+	oq.waiting = slices.Delete(oq.waiting, at, at+1)
+	oq.cost -= r.cost
 	c.cost -= r.cost
 	c.length--
-	if len(l.waiting) > 0 {
-		heap.Fix(&c.active, l.index)
+	if len(oq.waiting) > 0 {
+		heap.Fix(&c.active, oq.heapIndex)
 		return
 	}
-	l.cost = 0
-	heap.Remove(&c.active, l.index)
+	oq.cost = 0
+	heap.Remove(&c.active, oq.heapIndex)
 	if c.length == 0 {
 		c.cost = 0
 	}
 }
 
-// charge moves the virtual time of the reservation's organisation on by its
-// cost over the organisation's share.
+// charge advances the virtual time of the reservation's organisation by the
+// cost divided by the organisation's share.
 func (c *class) charge(r *reservation) {
-	l := c.lines[r.reserve.Organisation]
-	share := c.shares[l.organisation]
+	oq := c.orgQueues[r.reserve.Organisation]
+	share := c.shares[oq.organisation]
 	if share <= 0 {
 		share = 1
 	}
-	c.virtual = max(c.virtual, l.virtual)
-	l.virtual += r.cost / share
-	if len(l.waiting) > 0 {
-		heap.Fix(&c.active, l.index)
+	c.virtualTime = max(c.virtualTime, oq.virtualTime)
+	oq.virtualTime += r.cost / share
+	if len(oq.waiting) > 0 {
+		heap.Fix(&c.active, oq.heapIndex)
 	}
 }
 
-// oldest is the earliest acceptance among the waiting.
+// oldest returns the earliest time of acceptance among the waiting
+// reservations.
 func (c *class) oldest() time.Time {
 	var oldest time.Time
-	for _, l := range c.active {
-		at := l.waiting[0].acceptedAt
+	for _, oq := range c.active {
+		at := oq.waiting[0].acceptedAt
 		if oldest.IsZero() || at.Before(oldest) {
 			oldest = at
 		}
@@ -117,101 +117,102 @@
 	return oldest
 }
 
-// dearest is the largest cost among the first of each line; it bounds the
-// credit of the aged.
-func (c *class) dearest() float64 {
-	dearest := 0.0
-	for _, l := range c.active {
-		dearest = max(dearest, l.waiting[0].cost)
+// maxHeadCost returns the largest cost among the first reservations of all
+// queues. It bounds the credit of aged reservations.
+func (c *class) maxHeadCost() float64 {
+	maxCost := 0.0
+	for _, oq := range c.active {
+		maxCost = max(maxCost, oq.waiting[0].cost)
 	}
-	return dearest
+	return maxCost
 }
 
-// longest returns the line in which most wait, or nil.
-func (c *class) longest() *line {
-	var longest *line
-	for _, l := range c.active {
-		if longest == nil || len(l.waiting) > len(longest.waiting) ||
-			(len(l.waiting) == len(longest.waiting) && l.organisation < longest.organisation) {
-			longest = l
+// longest returns the queue that holds most reservations, or nil.
+func (c *class) longest() *orgQueue {
+	var longest *orgQueue
+	for _, oq := range c.active {
+		if longest == nil || len(oq.waiting) > len(longest.waiting) ||
+			(len(oq.waiting) == len(longest.waiting) && oq.organisation < longest.organisation) {
+			longest = oq
 		}
 	}
 	return longest
 }
 
 // last returns the reservation that was accepted last.
-func (l *line) last() *reservation { return l.waiting[len(l.waiting)-1] }
+func (oq *orgQueue) last() *reservation { return oq.waiting[len(oq.waiting)-1] }
 
-// ahead counts those before r: with fair shares, as many of each other line
-// as are before it in its own.
-func (c *class) ahead(r *reservation) int {
-	l := c.lines[r.reserve.Organisation]
-	if l == nil {
+// countAhead estimates how many reservations are served before r. With fair
+// shares, each other queue has as many served before r as r's own queue has.
+func (c *class) countAhead(r *reservation) int {
+	oq := c.orgQueues[r.reserve.Organisation]
+	if oq == nil {
 		return 0
 	}
-	at, _ := slices.BinarySearchFunc(l.waiting, r, byAcceptance)
+	at, _ := slices.BinarySearchFunc(oq.waiting, r, compareAcceptance)
 	return min(c.length-1, (at+1)*len(c.active)-1)
 }
 
-// costAhead sums the work before r in the same way.
+// costAhead sums the cost of the work before r in the same way.
 func (c *class) costAhead(r *reservation) float64 {
 	own := 0.0
 	others := len(c.active)
-	if l := c.lines[r.reserve.Organisation]; l != nil && len(l.waiting) > 0 {
-		own = l.cost
+	if oq := c.orgQueues[r.reserve.Organisation]; oq != nil && len(oq.waiting) > 0 {
+		own = oq.cost
 		others--
 	}
 	return min(c.cost, own+float64(others)*(own+r.cost))
 }
 
-// forgetIdle drops the lines that are empty once there are many of them.
-func (c *class) forgetIdle() {
-	if len(c.lines)-len(c.active) < idleLines {
+// removeIdle removes the empty queues once there are many of them.
+func (c *class) removeIdle() {
+	if len(c.orgQueues)-len(c.active) < maxIdleQueues {
 		return
 	}
-	for name, l := range c.lines {
-		if len(l.waiting) == 0 {
-			delete(c.lines, name)
+	for name, oq := range c.orgQueues {
+		if len(oq.waiting) == 0 {
+			delete(c.orgQueues, name)
 		}
 	}
 }
 
-func byAcceptance(a, b *reservation) int {
+func compareAcceptance(a, b *reservation) int {
 	if order := a.acceptedAt.Compare(b.acceptedAt); order != 0 {
 		return order
 	}
-	return cmp.Compare(a.order, b.order)
+	return cmp.Compare(a.sequence, b.sequence)
 }
 
-// lineHeap orders lines by virtual time, then by acceptance of their first.
-type lineHeap []*line
+// orgQueueHeap orders queues by virtual time, then by the acceptance of their
+// first reservation.
+type orgQueueHeap []*orgQueue
 
-func (h lineHeap) Len() int { return len(h) }
+func (h orgQueueHeap) Len() int { return len(h) }
 
-func (h lineHeap) Less(i, j int) bool {
-	if h[i].virtual != h[j].virtual {
-		return h[i].virtual < h[j].virtual
+func (h orgQueueHeap) Less(i, j int) bool {
+	if h[i].virtualTime != h[j].virtualTime {
+		return h[i].virtualTime < h[j].virtualTime
 	}
-	return byAcceptance(h[i].waiting[0], h[j].waiting[0]) < 0
+	return compareAcceptance(h[i].waiting[0], h[j].waiting[0]) < 0
 }
 
-func (h lineHeap) Swap(i, j int) {
+func (h orgQueueHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index = i
-	h[j].index = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
-func (h *lineHeap) Push(x any) {
-	l := x.(*line)
-	l.index = len(*h)
-	*h = append(*h, l)
+func (h *orgQueueHeap) Push(x any) {
+	oq := x.(*orgQueue)
+	oq.heapIndex = len(*h)
+	*h = append(*h, oq)
 }
 
 // Pop implements heap.Interface.
-func (h *lineHeap) Pop() any {
+func (h *orgQueueHeap) Pop() any {
 	last := len(*h) - 1
-	l := (*h)[last]
+	oq := (*h)[last]
 	*h = (*h)[:last]
-	return l
+	return oq
 }
--- a/internal/reducer/gate/gate_test.go
+++ b/internal/reducer/gate/gate_test.go
@@ -15,8 +15,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// script runs the lines of one data file against one gate, or several. Each
-// line is an event; the output gives the effects of each by its number.
+// script runs the lines of one data file against one gate or several. Each line
+// is an event. The output lists the effects of each line by its number.
 type script struct {
 	state *State
 	// gates holds the gates of a script that has several, by name.
@@ -47,19 +47,20 @@
 	})
 }
 
-// arguments reads the arguments of a line, with defaults that fit most.
+// arguments reads the arguments of a line. Missing ones have defaults that fit
+// most lines.
 type arguments struct {
 	command string
 	args    []datadriven.CmdArg
 }
 
-func (a arguments) text(key, missing string) string {
+func (a arguments) text(key, fallback string) string {
 	for _, arg := range a.args {
 		if arg.Key == key && len(arg.Vals) > 0 {
 			return arg.Vals[0]
 		}
 	}
-	return missing
+	return fallback
 }
 
 func (a arguments) has(key string) bool {
@@ -71,15 +72,15 @@
 	return false
 }
 
-func (a arguments) number(key string, missing int) int {
-	value, err := strconv.Atoi(a.text(key, strconv.Itoa(missing)))
+func (a arguments) number(key string, fallback int) int {
+	value, err := strconv.Atoi(a.text(key, strconv.Itoa(fallback)))
 	if err != nil {
 		panic(err)
 	}
 	return value
 }
 
-func (a arguments) span(key string) time.Duration {
+func (a arguments) duration(key string) time.Duration {
 	value, err := time.ParseDuration(a.text(key, "0s"))
 	if err != nil {
 		panic(err)
@@ -87,7 +88,8 @@
 	return value
 }
 
-// attempt reads "name" or "name/number", by default that of the session.
+// attempt reads "name" or "name/number". The default is the attempt named like
+// the session.
 func (a arguments) attempt() message.Attempt {
 	return parseAttempt(a.text("attempt", a.text("session", "")))
 }
@@ -132,7 +134,7 @@
 			Concurrency:    a.number("concurrency", 0),
 			UrgentSlots:    a.number("urgentSlots", 0),
 			ClosedBound:    a.number("closedBound", 0),
-			DeclaredWithin: a.span("declaredWithin"),
+			DeclaredWithin: a.duration("declaredWithin"),
 		})
 		r.now = epoch
 		return nil
@@ -159,10 +161,10 @@
 	return nil
 }
 
-// wait passes time in ticks and renews the sessions named by "renew".
+// wait advances the time in ticks and renews the sessions named by "renew".
 func (r *script) wait(a arguments) []string {
 	var out []string
-	end := r.now.Add(a.span("for"))
+	end := r.now.Add(a.duration("for"))
 	for r.now.Before(end) {
 		r.now = r.now.Add(r.state.config.TickEvery)
 		var effects []Effect
@@ -184,7 +186,7 @@
 	case "close":
 		return Closed{At: r.now, Session: r.session(a)}
 	case "tick":
-		r.now = r.now.Add(a.span("after"))
+		r.now = r.now.Add(a.duration("after"))
 		return Ticked{At: r.now}
 	case "declared":
 		return Declared{At: r.now, State: oriolebend.ServerState(a.text("state", ""))}
@@ -210,7 +212,7 @@
 	case "prefill":
 		return message.Prefill{Attempt: a.attempt()}
 	case "decode":
-		return message.Decode{Attempt: a.attempt(), TransferWithin: a.span("within"), StartWithin: a.span("start")}
+		return message.Decode{Attempt: a.attempt(), TransferWithin: a.duration("within"), StartWithin: a.duration("start")}
 	case "call":
 		return message.Call{Attempt: a.attempt()}
 	case "query":
@@ -235,9 +237,9 @@
 		PromptTokens: a.number("prompt", 1000),
 		MaxTokens:    a.number("output", 0),
 		Prefix:       a.blocks("prefix"),
-		StartIn:      a.span("in"),
-		Deadline:     a.span("deadline"),
-		Waited:       a.span("waited"),
+		StartIn:      a.duration("in"),
+		Deadline:     a.duration("deadline"),
+		Waited:       a.duration("waited"),
 		Hold:         !a.has("now"),
 		Once:         a.has("once"),
 	}
@@ -255,7 +257,7 @@
 			Incarnation: uint64(a.number("incarnation", 1)),
 		}}
 	case "listed":
-		return WorkListed{At: r.now, Work: works(a), Failed: a.has("not")}
+		return WorkListed{At: r.now, Work: parseWork(a), Failed: a.has("not")}
 	case "prefilled":
 		return EnginePrefilled{At: r.now, Attempt: a.attempt(), Result: engine.PrefillResult{
 			SourceURL: "kv", Tokens: 1000, LivesFor: 800 * time.Millisecond,
@@ -280,7 +282,7 @@
 			FreeTokens: a.number("free", 0), TotalTokens: a.number("total", 10_000),
 		}}
 	case "cache":
-		return CacheChanged{At: r.now, Events: cacheEvents(a)}
+		return CacheChanged{At: r.now, Events: parseCacheEvents(a)}
 	case "index":
 		return CacheListed{At: r.now, Index: engine.CacheIndex{
 			Sequence: uint64(a.number("sequence", 0)), Blocks: a.blocks("blocks"),
@@ -289,8 +291,8 @@
 	return nil
 }
 
-// works reads "attempt:tokens+attempt:tokens".
-func works(a arguments) []engine.Work {
+// parseWork reads "attempt:tokens+attempt:tokens".
+func parseWork(a arguments) []engine.Work {
 	var all []engine.Work
 	for _, part := range strings.FieldsFunc(a.text("work", ""), plus) {
 		name, tokens, _ := strings.Cut(part, ":")
@@ -303,8 +305,8 @@
 	return all
 }
 
-// cacheEvents reads "sequence:change:block+sequence:change:block".
-func cacheEvents(a arguments) []engine.CacheEvent {
+// parseCacheEvents reads "sequence:change:block+sequence:change:block".
+func parseCacheEvents(a arguments) []engine.CacheEvent {
 	var all []engine.CacheEvent
 	for _, part := range strings.FieldsFunc(a.text("events", ""), plus) {
 		var e engine.CacheEvent
@@ -318,26 +320,27 @@
 
 func plus(r rune) bool { return r == '+' }
 
-// describe tells what is held, in the order of attempts.
+// describe lists the reservations in the order of attempts.
 func (r *script) describe() []string {
 	s := r.state
 	var lines []string
 	for a, held := range s.attempts {
-		lines = append(lines, fmt.Sprintf("%s %s", name(a), held.stage))
+		lines = append(lines, fmt.Sprintf("%s %s", attemptName(a), held.stage))
 	}
 	sort.Strings(lines)
-	lines = append(lines, fmt.Sprintf("free=%d queued=%d state=%s", s.freeTokens(), s.queue.length, s.state()))
+	lines = append(lines, fmt.Sprintf("free=%d queued=%d state=%s", s.freeTokens(), s.queue.length, s.serverState()))
 	return []string{strings.Join(lines, "; ")}
 }
 
-func name(a message.Attempt) string {
+func attemptName(a message.Attempt) string {
 	if a.Number == 1 {
 		return a.RequestID
 	}
 	return fmt.Sprintf("%s/%d", a.RequestID, a.Number)
 }
 
-// render writes effects in one line, those that only read lists if asked to.
+// render writes effects in one line. Those that only read lists are left out
+// unless lists is true.
 func render(effects []Effect, lists bool) string {
 	var texts []string
 	for _, e := range effects {
@@ -359,15 +362,15 @@
 	case EndSession:
 		return fmt.Sprintf("%s: end", e.Session)
 	case RunPrefill:
-		return "runPrefill " + name(e.Request.Attempt)
+		return "runPrefill " + attemptName(e.Request.Attempt)
 	case RunDecode:
-		return fmt.Sprintf("runDecode %s within=%s", name(e.Request.Attempt), e.Request.TransferWithin)
+		return fmt.Sprintf("runDecode %s within=%s", attemptName(e.Request.Attempt), e.Request.TransferWithin)
 	case RunCall:
-		return "runCall " + name(e.Call.Attempt)
+		return "runCall " + attemptName(e.Call.Attempt)
 	case AskStatus:
-		return "askStatus " + name(e.Query.Attempt)
+		return "askStatus " + attemptName(e.Query.Attempt)
 	case CancelWork:
-		return "cancelWork " + name(e.Attempt)
+		return "cancelWork " + attemptName(e.Attempt)
 	case ListWork:
 		return "listWork"
 	case ListCache:
@@ -391,7 +394,7 @@
 		}
 		return text + fmt.Sprintf(" queued=%d cached=%d free=%d", m.Queued, m.CachedTokens, m.FreeTokens)
 	case message.Refusal:
-		text := fmt.Sprintf("refusal %s %s ran=%s", name(m.Attempt), m.Reason, m.Ran)
+		text := fmt.Sprintf("refusal %s %s ran=%s", attemptName(m.Attempt), m.Reason, m.Ran)
 		if m.RetryAfter > 0 {
 			text += fmt.Sprintf(" after=%s", m.RetryAfter.Round(time.Millisecond))
 		}
--- a/internal/reducer/gate/grant.go
+++ b/internal/reducer/gate/grant.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	// backfillDepth is how many reservations behind the first that doesn't
-	// fit are tried as well.
+	// backfillDepth is the number of reservations that don't fit after which a
+	// search of the queue ends.
 	backfillDepth = 8
-	// passedFor is for how many times AgeAfter urgent prefills may pass an
-	// aged patient one that has no room.
-	passedFor = 4
+	// passableAges is the age, in multiples of AgeAfter, beyond which urgent
+	// prefills no longer pass a patient one that has no capacity.
+	passableAges = 4
 )
 
-// grantQueued grants what has room, in the queue's order.
+// grantQueued grants the reservations that fit, in the order of the queue.
 //
-// The first that doesn't fit is promised the earliest room that is predicted
-// for it, and what waits behind may only take room that this promise leaves.
-// Without the promise small reservations would pass a large one for ever; if
-// they might not pass at all, memory would lie idle until the large one fits.
+// The first decode that doesn't fit is promised the earliest capacity that is
+// predicted for it. Reservations behind it may only take capacity that this
+// promise leaves. Without the promise, small reservations would pass a large
+// one for ever. If they could not pass at all, memory would be idle until the
+// large one fits.
 func (s *State) grantQueued() {
 	if !s.queue.changed {
 		return
@@ -39,11 +40,11 @@
 			s.grant(r)
 			continue
 		}
-		if !s.mayPass(r) {
+		if !s.mayBePassed(r) {
 			break
 		}
 		if promise == nil && r.reserve.Phase == message.PhaseDecode {
-			promise = s.promise(r)
+			promise = s.addPromise(r)
 		}
 		s.queue.remove(r)
 		passed = append(passed, r)
@@ -56,13 +57,14 @@
 	}
 }
 
-// mayPass reports whether others may be tried behind a reservation that has no
-// room. Slots come free one by one and who takes them is the queue's order, so
-// prefills and calls aren't passed, with one exception: an aged patient prefill
-// whose turn has come would keep pings waiting for the end of another brief, so
-// they may pass it while a brief is computed or only memory lacks. This too
-// has its end, or pings could keep the memory short for ever.
-func (s *State) mayPass(r *reservation) bool {
+// mayBePassed reports whether reservations behind one that has no capacity may
+// be tried. Slots become free one at a time and the queue's order decides who
+// takes them, so prefills and calls can't be passed, with one exception. An
+// aged patient prefill whose turn has come would make pings wait for the end of
+// another brief. Pings may therefore pass it while a brief is computed or only
+// memory is short. The exception ends when the patient prefill is older than
+// passableAges times AgeAfter, or pings could keep the memory short for ever.
+func (s *State) mayBePassed(r *reservation) bool {
 	switch r.reserve.Phase {
 	case message.PhaseDecode:
 		return true
@@ -72,46 +74,46 @@
 	if r.reserve.Urgency == oriolebend.Urgent || s.queue.urgent.length == 0 {
 		return false
 	}
-	if s.now.Sub(r.acceptedAt) > passedFor*s.config.AgeAfter {
+	if s.now.Sub(r.acceptedAt) > passableAges*s.config.AgeAfter {
 		return false
 	}
-	return s.computesPatient() || s.committed().slots < s.config.PrefillSlots
+	return s.patientHoldsSlot() || s.committed().slots < s.config.PrefillSlots
 }
 
-// computesPatient reports whether a patient prefill takes a slot now.
-func (s *State) computesPatient() bool {
+// patientHoldsSlot reports whether a patient prefill occupies a slot now.
+func (s *State) patientHoldsSlot() bool {
 	for _, held := range s.memory.holders {
-		if held.computing && held.reserve.Urgency == oriolebend.Patient {
+		if held.holdsSlot && held.reserve.Urgency == oriolebend.Patient {
 			return true
 		}
 	}
 	return false
 }
 
-// promise holds the earliest room that is predicted for r, by a stand-in that
-// is taken away at the end of the round.
-func (s *State) promise(r *reservation) *reservation {
-	held := *r
-	held.stage = stageGranted
-	held.from = s.earliest(r)
-	s.memory.add(&held)
-	return &held
+// addPromise holds the earliest capacity that is predicted for r by a
+// placeholder, which is removed at the end of the round.
+func (s *State) addPromise(r *reservation) *reservation {
+	placeholder := *r
+	placeholder.stage = stageGranted
+	placeholder.heldFrom = s.earliestFit(r)
+	s.memory.add(&placeholder)
+	return &placeholder
 }
 
-// grant gives a waiting reservation its room.
+// grant gives a waiting reservation its capacity.
 func (s *State) grant(r *reservation) {
 	s.queue.remove(r)
-	s.queue.served(r, s.now)
+	s.queue.chargeGrant(r, s.now)
 	r.stage = stageGranted
-	r.from = s.now.Add(r.lead)
-	r.paused = s.paused
-	r.computing = r.reserve.Phase == message.PhasePrefill
+	r.heldFrom = s.now.Add(r.leadTime)
+	r.pausedAtGrant = s.paused
+	r.holdsSlot = r.reserve.Phase == message.PhasePrefill
 	s.memory.add(r)
-	s.noteUrgent()
-	if r.offered {
+	s.updateUrgentPeak()
+	if r.offerSent {
 		s.emit(Reply{Session: r.session, Message: message.Grant{
 			Attempt:  r.reserve.Attempt,
-			StartIn:  r.lead,
+			StartIn:  r.leadTime,
 			LeaseFor: s.config.Lease,
 		}})
 	}
--- a/internal/reducer/gate/lease.go
+++ b/internal/reducer/gate/lease.go
@@ -5,69 +5,71 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// endLeases ends the sessions that were not heard of for a lease. The leases
-// are in the order in which they end.
-func (s *State) endLeases() {
-	for first := s.leases.Front(); first != nil; first = s.leases.Front() {
-		known := first.Value.(*session)
-		if s.awake-known.heard < s.config.Lease {
+// expireLeases ends the sessions that were not renewed for the length of a
+// lease. The leases are in the order in which they expire.
+func (s *State) expireLeases() {
+	for front := s.leases.Front(); front != nil; front = s.leases.Front() {
+		sess := front.Value.(*session)
+		if s.leaseClock-sess.renewedAt < s.config.Lease {
 			return
 		}
-		s.endLease(known)
+		s.expireLease(sess)
 	}
 }
 
-func (s *State) endLease(known *session) {
-	held := known.held
+func (s *State) expireLease(sess *session) {
+	held := sess.reservation
 	if held == nil {
-		s.emit(EndSession{Session: known.id})
-		s.forgetSession(known.id)
+		s.emit(EndSession{Session: sess.id})
+		s.removeSession(sess.id)
 		return
 	}
 	ran := oriolebend.RanNo
 	if !held.startedAt.IsZero() {
 		ran = oriolebend.RanUnknown
 	}
-	s.refuseSession(known.id, message.Refusal{
+	s.refuseSession(sess.id, message.Refusal{
 		Attempt: held.reserve.Attempt,
 		Reason:  oriolebend.ReasonLeaseEnded,
 		Ran:     ran,
 	})
-	s.letGo(held)
+	s.abandon(held)
 }
 
-// endLateStarts ends granted reservations whose work does not come although
-// their sessions live, and decodes that found no room in time. The first
-// would leave room idle for as long as their entry forgets them.
-func (s *State) endLateStarts() {
-	for _, r := range s.inOrder() {
+// refuseLateStarts ends granted reservations whose work does not arrive
+// although their sessions are alive, and decodes that found no capacity in
+// time. A granted reservation that its entry has forgotten would otherwise keep
+// its capacity idle for as long as the session lives.
+func (s *State) refuseLateStarts() {
+	for _, r := range s.heldReservations() {
 		switch r.stage {
 		case stageGranted:
-			if s.now.Sub(r.from)-(s.paused-r.paused) > s.config.StartWithin {
-				s.refuseWaiting(r, message.Refusal{Reason: oriolebend.ReasonLeaseEnded})
+			if s.now.Sub(r.heldFrom)-(s.paused-r.pausedAtGrant) > s.config.StartWithin {
+				s.refuseUnstarted(r, message.Refusal{Reason: oriolebend.ReasonLeaseEnded})
 			}
 		case stageArrived:
 			if s.now.After(r.startBy) {
-				s.refuseWaiting(r, message.Refusal{
+				s.refuseUnstarted(r, message.Refusal{
 					Reason:     oriolebend.ReasonNoMemory,
-					RetryAfter: shortestRetry,
+					RetryAfter: minRetryAfter,
 				})
 			}
 		}
 	}
 }
 
-// letGo ends a reservation for its entry: what did not start is forgotten at
-// once, what runs is cancelled and holds its room until the server confirms.
+// abandon ends a reservation for its entry. A reservation that did not start is
+// removed at once. One that runs is cancelled and holds its capacity until the
+// server confirms.
 //
-// A call that may run at most once runs on: to break it off would save
-// nothing that it did already, and make its outcome uncertain for the service
-// too. It keeps its slot until it ends.
-func (s *State) letGo(r *reservation) {
+// A call that may run at most once keeps running: aborting it would undo
+// nothing that it did already, and would make its outcome uncertain for the
+// service too. It keeps its slot until it ends.
+func (s *State) abandon(r *reservation) {
 	switch r.stage {
 	case stageQueued, stageGranted, stageArrived:
 		s.closed.add(s, r.reserve.Attempt, false)
-		s.drop(r)
+		s.free(r)
 	case stageWorking, stagePrefilled:
 		if r.reserve.Phase == message.PhaseCall && r.reserve.Once {
 			return
@@ -76,48 +78,49 @@
 	}
 }
 
-// cancel has the server end a reservation's work.
+// cancel makes the server end a reservation's work.
 func (s *State) cancel(r *reservation) {
 	s.closed.add(s, r.reserve.Attempt, true)
 	r.stage = stageCancelling
 	r.cancelledAt = s.now
-	s.askCancel(r)
+	s.sendCancel(r)
 }
 
-func (s *State) askCancel(r *reservation) {
-	r.askedAt = s.now
+func (s *State) sendCancel(r *reservation) {
+	r.cancelSentAt = s.now
 	s.count("cancel", "")
 	s.emit(CancelWork{Attempt: r.reserve.Attempt})
 }
 
-// askCancelAgain repeats the cancellations that were not confirmed. One that
-// was lost would leave memory held by work whose caller is gone.
-func (s *State) askCancelAgain() {
-	for _, r := range s.inOrder() {
-		if r.stage == stageCancelling && s.now.Sub(r.askedAt) >= s.config.CancelRetry {
-			s.askCancel(r)
+// retryCancels repeats the cancellations that were not confirmed. A lost one
+// would leave memory held by work whose caller has left.
+func (s *State) retryCancels() {
+	for _, r := range s.heldReservations() {
+		if r.stage == stageCancelling && s.now.Sub(r.cancelSentAt) >= s.config.CancelRetry {
+			s.sendCancel(r)
 		}
 	}
 }
 
-// cancelled frees what the server confirmed as ended.
-func (s *State) cancelled(e Cancelled) {
+// handleCancelled frees the capacity of work that the server confirmed as
+// ended.
+func (s *State) handleCancelled(e Cancelled) {
 	r := s.attempts[e.Attempt]
 	if r == nil || r.stage != stageCancelling || e.Failed {
 		return
 	}
-	s.drop(r)
+	s.free(r)
 }
 
-// drop frees all that a reservation holds.
-func (s *State) drop(r *reservation) {
+// free removes a reservation and frees everything that it holds.
+func (s *State) free(r *reservation) {
 	switch r.stage {
-	case stageOver:
+	case stageEnded:
 		return
 	case stageQueued:
-		first := s.queue.next(s.now) == r
+		wasFirst := s.queue.next(s.now) == r
 		s.queue.remove(r)
-		s.queue.changed = s.queue.changed || first
+		s.queue.changed = s.queue.changed || wasFirst
 	case stageArrived:
 		s.removeArrived(r)
 		s.memory.remove(r)
@@ -126,13 +129,13 @@
 		s.memory.remove(r)
 		s.queue.changed = true
 	}
-	if r.computing && !r.startedAt.IsZero() {
-		s.predict.prefillBroken(s.now)
+	if r.holdsSlot && !r.startedAt.IsZero() {
+		s.predict.prefillAborted(s.now)
 	}
-	r.stage = stageOver
+	r.stage = stageEnded
 	delete(s.attempts, r.reserve.Attempt)
-	s.closed.ended(r.reserve.Attempt, s.now)
-	if known := s.sessions[r.session]; known != nil && known.held == r {
-		known.held = nil
+	s.closed.markEnded(r.reserve.Attempt, s.now)
+	if sess := s.sessions[r.session]; sess != nil && sess.reservation == r {
+		sess.reservation = nil
 	}
 }
--- a/internal/reducer/gate/memory.go
+++ b/internal/reducer/gate/memory.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// urgentSlots is the part of a decode engine's slots that is kept for
-	// urgent work, one in so many; urgentBeyond is by which part of its slots
-	// urgent work may go beyond them.
-	urgentSlots  = 8
-	urgentBeyond = 2
-	// linkPart is the part of the time that a transfer may take which it may be
-	// planned to take, one in so many: more, and transfers that are late or
-	// stalled make others miss the end of their results; less, and links idle.
-	linkPart = 2
-	// peakHalves is how long the peak of urgent memory takes to halve.
-	// peakMargin times the peak is kept for urgent work, but no more than one
-	// part in mostUrgentPart of the whole.
-	peakHalves     = time.Minute
-	peakMargin     = 2
-	mostUrgentPart = 4
-	// slotsSlack lets a promise count on half a slot.
-	slotsSlack = 0.5
-	// searchSteps bounds the search for the earliest room; with steps that
-	// grow by half it reaches about a minute ahead.
+	// Of n decode slots, n/urgentSlotDivisor are kept for urgent work, and
+	// urgent work may exceed them by n/urgentExtraDivisor.
+	urgentSlotDivisor  = 8
+	urgentExtraDivisor = 2
+	// Transfers may be planned to take one part in linkDivisor of the time that
+	// a transfer may take. With a smaller divisor, late or stalled transfers make
+	// others miss the expiry of their results; with a larger one, links are idle.
+	linkDivisor = 2
+	// peakHalfLife is the half-life of the peak of urgent memory. peakMargin
+	// times the peak is kept for urgent work, but at most one part in
+	// maxUrgentDivisor of the whole memory.
+	peakHalfLife     = time.Minute
+	peakMargin       = 2
+	maxUrgentDivisor = 4
+	// slotSlack is by how many slots the expected number of occupied slots may
+	// exceed a limit.
+	slotSlack = 0.5
+	// searchSteps bounds the search for the earliest capacity. With steps that
+	// grow by half, it reaches about a minute ahead.
 	searchSteps = 15
 )
 
-// memory holds the reservations that have room, from their grant until the
-// server gave it back. Sums are taken anew from the holders, of which there
-// are some tens: no counter can drift from the truth.
+// memory contains the reservations that hold capacity, from their grant until
+// the server freed it. Sums are computed from the holders each time, of which
+// there are some tens, so that no counter can drift from the actual state.
 type memory struct {
 	holders []*reservation
 }
@@ -53,8 +53,8 @@
 	}
 }
 
-// inOrder returns a copy of the holders, in the order of their grants.
-func (s *State) inOrder() []*reservation {
+// heldReservations returns a copy of the holders, in the order of their grants.
+func (s *State) heldReservations() []*reservation {
 	if len(s.memory.holders) == 0 {
 		return nil
 	}
@@ -66,7 +66,7 @@
 	return r.stage == stageWorking || r.stage == stagePrefilled || r.stage == stageCancelling
 }
 
-// usedTokens is the memory of all work at the server.
+// usedTokens returns the memory of all work at the server.
 func (s *State) usedTokens() int {
 	used := 0
 	for _, held := range s.memory.holders {
@@ -77,8 +77,8 @@
 	return used
 }
 
-// usedPatient is the memory of patient work at the server.
-func (s *State) usedPatient() int {
+// usedPatientTokens returns the memory of the patient work at the server.
+func (s *State) usedPatientTokens() int {
 	used := 0
 	for _, held := range s.memory.holders {
 		if held.atServer() && held.reserve.Urgency != oriolebend.Urgent {
@@ -88,114 +88,117 @@
 	return used
 }
 
-// dueTokens is the memory of granted reservations whose time has come and whose
-// work has not.
+// dueTokens returns the memory of the granted reservations that are due and
+// whose work has not arrived.
 func (s *State) dueTokens() int {
 	due := 0
 	for _, held := range s.memory.holders {
-		if held.stage == stageGranted && !held.from.After(s.now) {
+		if held.stage == stageGranted && !held.heldFrom.After(s.now) {
 			due += held.tokens
 		}
 	}
 	return due
 }
 
-// committed sums what is held now, with granted reservations that are due.
+// committed returns the load of everything that is held now, including granted
+// reservations that are due.
 func (s *State) committed() load {
 	var sum load
 	for _, held := range s.memory.holders {
-		if held.atServer() || !held.from.After(s.now) {
+		if held.atServer() || !held.heldFrom.After(s.now) {
 			sum.add(held)
 		}
 	}
 	return sum
 }
 
-// freeTokens is the memory that is neither used nor due, never below zero.
+// freeTokens returns the memory that is neither used nor due. It is never
+// negative.
 func (s *State) freeTokens() int {
 	return max(s.engine.info.KVTokens-s.committed().tokens, 0)
 }
 
-// load is what some reservations hold together; patient is the part of tokens
-// that is held by patient ones.
+// load is what a set of reservations holds together. patientTokens is the part
+// of tokens that patient reservations hold.
 type load struct {
-	tokens  int
-	patient int
-	slots   int
-	compute int
+	tokens         int
+	patientTokens  int
+	slots          int
+	uncachedTokens int
 }
 
 func (l *load) add(r *reservation) {
 	l.tokens += r.tokens
 	if r.reserve.Urgency != oriolebend.Urgent {
-		l.patient += r.tokens
+		l.patientTokens += r.tokens
 	}
 	if r.reserve.Phase != message.PhasePrefill {
 		l.slots++
 		return
 	}
-	if r.computing {
+	if r.holdsSlot {
 		l.slots++
-		l.compute += r.compute
+		l.uncachedTokens += r.uncachedTokens
 	}
 }
 
-// fits reports whether a reservation could be granted now: its room is free
-// after its lead.
+// fits reports whether a reservation could be granted now, which means that its
+// capacity is free after its lead time.
 func (s *State) fits(r *reservation) bool {
 	switch r.reserve.Phase {
 	case message.PhasePrefill:
 		return s.fitsPrefill(r)
 	case message.PhaseDecode:
-		from := s.now.Add(r.lead)
+		from := s.now.Add(r.leadTime)
 		return s.fitsAt(r, from) && s.linkWait(r, from) == 0
 	default:
 		return s.committed().slots < s.limit.slots()
 	}
 }
 
-// transfer is one that the server's link carries or is to carry.
+// transfer is a transfer that the server's link carries or is to carry.
 type transfer struct {
-	from time.Time
-	took time.Duration
+	from     time.Time
+	duration time.Duration
 	// rank orders transfers that are due at the same time.
 	rank uint64
 }
 
-// linkWait is how much too late a transfer that is due at a moment would end,
-// or make one that is due after it end: zero if each ends within the time that
-// a transfer may take. Without it transfers that were granted room for the same
-// moment wait for each other until prefill results expire: seen as prefills that
+// linkWait returns how much too late a transfer that is due at the given time
+// would end, or would make a transfer that is due then or later end, whichever
+// is more. It is zero if each of them ends within the time planned for a
+// transfer. Without this check, transfers that were granted capacity for the
+// same moment wait for each other until prefill results expire, and prefills
 // are wasted although decode memory is free.
 func (s *State) linkWait(r *reservation, from time.Time) time.Duration {
-	own := transfer{from: from, took: s.predict.transferTook(r), rank: r.order}
-	bound := max(s.config.TransferWithin/linkPart, own.took)
-	var late time.Duration
+	own := transfer{from: from, duration: s.predict.transferTime(r), rank: r.sequence}
+	bound := max(s.config.TransferWithin/linkDivisor, own.duration)
+	var excess time.Duration
 	free := s.now
 	for _, t := range s.transfers(r, own) {
-		free = later(free, t.from).Add(t.took)
+		free = later(free, t.from).Add(t.duration)
 		if !t.from.Before(from) {
-			late = max(late, free.Sub(t.from)-bound)
+			excess = max(excess, free.Sub(t.from)-bound)
 		}
 	}
-	return late
+	return excess
 }
 
-// transfers lists the own transfer of a reservation and those that it would
-// share the link with, in the order in which they are due.
+// transfers returns a reservation's own transfer and those that it would share
+// the link with, in the order in which they are due.
 func (s *State) transfers(r *reservation, own transfer) []transfer {
 	all := make([]transfer, 0, len(s.memory.holders)+1)
 	all = append(all, own)
 	for _, held := range s.memory.holders {
-		if held.reserve.Phase != message.PhaseDecode || held.firstPart || held.stage == stageCancelling {
+		if held.reserve.Phase != message.PhaseDecode || held.hasOutput || held.stage == stageCancelling {
 			continue
 		}
 		if r.reserve.Urgency == oriolebend.Urgent && held.reserve.Urgency != oriolebend.Urgent {
-			continue // its small transfer goes beside theirs
+			continue // its small transfer runs in parallel with theirs
 		}
-		t := transfer{from: later(held.from, s.now), took: s.predict.transferTook(held), rank: held.order}
+		t := transfer{from: later(held.heldFrom, s.now), duration: s.predict.transferTime(held), rank: held.sequence}
 		if held.stage == stageWorking {
-			t.took = max(t.took-s.now.Sub(held.startedAt), 0)
+			t.duration = max(t.duration-s.now.Sub(held.startedAt), 0)
 		}
 		all = append(all, t)
 	}
@@ -205,9 +208,10 @@
 	return all
 }
 
-// fitsPrefill lets few prefills run at once, so that the order of work is the
-// queue's and not the engine's. Urgent ones may run beyond: the engine honours
-// their priority, and a ping needn't wait for the end of a long brief.
+// fitsPrefill lets only a few prefills run at once, so that the queue decides
+// the order of work and not the engine. Urgent ones may exceed PrefillSlots:
+// the engine honours their priority, and a ping need not wait for the end of a
+// long brief.
 func (s *State) fitsPrefill(r *reservation) bool {
 	held := s.committed()
 	if held.tokens+r.tokens > s.engine.info.KVTokens {
@@ -216,73 +220,73 @@
 	if r.reserve.Urgency == oriolebend.Urgent {
 		return held.slots < s.config.PrefillSlots+s.config.UrgentSlots
 	}
-	if held.slots >= s.config.PrefillSlots || held.patient+r.tokens > s.patientTokens(r) {
+	if held.slots >= s.config.PrefillSlots || held.patientTokens+r.tokens > s.maxPatientTokens(r) {
 		return false
 	}
-	return held.slots == 0 || held.compute+r.compute <= s.config.PrefillBudget
+	return held.slots == 0 || held.uncachedTokens+r.uncachedTokens <= s.config.PrefillBudget
 }
 
-// fitsAt reports whether a decode's room is free from a moment on, beside all
-// that is held and promised.
+// fitsAt reports whether a decode's capacity is free from a moment on, in
+// addition to everything that is held and promised.
 func (s *State) fitsAt(r *reservation, from time.Time) bool {
-	asked := *r
-	asked.from = from
-	if !s.fitsMoment(&asked, from) {
+	candidate := *r
+	candidate.heldFrom = from
+	if !s.fitsMoment(&candidate, from) {
 		return false
 	}
 	for _, held := range s.memory.holders {
-		if held.from.After(from) && !s.fitsMoment(&asked, held.from) {
+		if held.heldFrom.After(from) && !s.fitsMoment(&candidate, held.heldFrom) {
 			return false
 		}
 	}
 	return true
 }
 
-// fitsMoment reports whether a decode's room is free at one moment that is not
-// before its start.
+// fitsMoment reports whether a decode's capacity is free at one moment that is
+// not before its start.
 func (s *State) fitsMoment(r *reservation, at time.Time) bool {
 	var urgent, patient expected
 	for _, held := range s.memory.holders {
 		s.expect(&urgent, &patient, held, at)
 	}
 	s.expect(&urgent, &patient, r, at)
-	if urgent.slots+patient.slots > s.slotsFor(r)+slotsSlack {
+	if urgent.slots+patient.slots > s.slotsFor(r)+slotSlack {
 		return false
 	}
-	whole, most := float64(s.engine.info.KVTokens), float64(s.patientTokens(r))
+	total, maxPatient := float64(s.engine.info.KVTokens), float64(s.maxPatientTokens(r))
 	margin := s.config.PromiseMargin
 	if r.reserve.Urgency == oriolebend.Urgent {
-		// Patient promises that came due before their room was free can't take
-		// more than their part.
-		return urgent.most(margin)+min(patient.most(margin), most) <= whole
+		// Patient promises that became due before their capacity was free can't
+		// take more than the patient part.
+		return urgent.upperBound(margin)+min(patient.upperBound(margin), maxPatient) <= total
 	}
-	if patient.most(margin) > most || patient.slots > s.patientSlots()+slotsSlack {
+	if patient.upperBound(margin) > maxPatient || patient.slots > s.maxPatientSlots()+slotSlack {
 		return false
 	}
 	urgent.add(patient)
-	return urgent.most(margin) <= whole
+	return urgent.upperBound(margin) <= total
 }
 
-// slotsFor is how many decodes may run beside a reservation and with it. An
-// urgent one may run beyond the limit: when the limit shrinks, patient
-// generations hold it all for seconds.
+// slotsFor returns how many decodes may run together with a reservation, itself
+// included. An urgent one may exceed the limit, because after the limit has
+// shrunk, patient generations occupy all of it for seconds.
 func (s *State) slotsFor(r *reservation) float64 {
 	slots := s.limit.slots()
 	if r.reserve.Urgency == oriolebend.Urgent {
-		slots += max(slots/urgentBeyond, 1)
+		slots += max(slots/urgentExtraDivisor, 1)
 	}
 	return float64(slots)
 }
 
-// patientSlots is how many patient decodes may run together. A batch is full
-// by its step time long before its memory is full of pings: without slots kept
-// for them pings wait for the end of long generations.
-func (s *State) patientSlots() float64 {
+// maxPatientSlots returns how many patient decodes may run together. The step
+// time limits a batch long before pings would fill its memory: without slots
+// that are kept for them, pings would wait for the end of long generations.
+func (s *State) maxPatientSlots() float64 {
 	slots := s.limit.slots()
 	if s.urgentPeak < 1 {
 		return float64(slots)
 	}
-	return float64(max(slots-slots/urgentSlots, 1))
+	return float64(max(slots-slots/urgentSlotDivisor, 1))
 }
 
 // expect adds what a reservation is expected to hold at a moment.
@@ -300,7 +304,7 @@
 	sum.variance += share * (1 - share) * float64(held.tokens) * float64(held.tokens)
 }
 
-// expected is what some reservations are expected to hold at a moment.
+// expected is what a set of reservations is expected to hold at a moment.
 type expected struct {
 	slots    float64
 	tokens   float64
@@ -313,14 +317,15 @@
 	e.variance += other.variance
 }
 
-// most is what they hold at most, but for what is less likely than a margin
-// of so many standard deviations.
-func (e *expected) most(margin float64) float64 {
+// upperBound returns an upper bound of the tokens held: the expected value plus
+// a margin of so many standard deviations.
+func (e *expected) upperBound(margin float64) float64 {
 	return e.tokens + margin*math.Sqrt(e.variance)
 }
 
-// noteUrgent follows how much memory urgent reservations hold at most.
-func (s *State) noteUrgent() {
+// updateUrgentPeak raises urgentPeak to the memory that urgent reservations
+// hold now.
+func (s *State) updateUrgentPeak() {
 	held := 0
 	for _, r := range s.memory.holders {
 		if r.reserve.Urgency == oriolebend.Urgent {
@@ -330,23 +335,25 @@
 	s.urgentPeak = max(s.urgentPeak, float64(held))
 }
 
-// patientTokens is the memory that patient work may take together. As much as
-// urgent work needed of late is kept for it: all memory would otherwise be
-// held by long generations, and each ping would wait for the end of one.
-func (s *State) patientTokens(r *reservation) int {
-	whole := s.engine.info.KVTokens
-	kept := min(int(peakMargin*s.urgentPeak), whole/mostUrgentPart)
-	if r.reserve.Urgency == oriolebend.Patient && r.tokens > whole-kept {
-		return whole
+// maxPatientTokens returns the memory that patient work may hold together. A
+// margin over the recent peak of urgent work is kept free for urgent work.
+// Otherwise long generations would hold all memory, and each ping would wait
+// for the end of one. A patient reservation that is larger than the rest may
+// use the whole memory.
+func (s *State) maxPatientTokens(r *reservation) int {
+	total := s.engine.info.KVTokens
+	kept := min(int(peakMargin*s.urgentPeak), total/maxUrgentDivisor)
+	if r.reserve.Urgency == oriolebend.Patient && r.tokens > total-kept {
+		return total
 	}
-	return whole - kept
+	return total - kept
 }
 
-// holdsAt predicts the probability that a reservation has its room at a moment
-// that is not in the past.
+// holdsAt predicts the probability that a reservation holds its capacity at a
+// moment that is not in the past.
 func (s *State) holdsAt(held *reservation, at time.Time) float64 {
 	switch {
-	case held.from.After(at):
+	case held.heldFrom.After(at):
 		return 0
 	case !at.After(s.now):
 		return 1
@@ -359,10 +366,10 @@
 	return s.predict.holds(held, s.now, at)
 }
 
-// earliest predicts when a decode's room is free, at the earliest after its
-// lead: it looks ahead in growing steps.
-func (s *State) earliest(r *reservation) time.Time {
-	from := s.now.Add(r.lead)
+// earliestFit predicts when a decode's capacity is free, which is after its
+// lead time at the earliest. It looks ahead in growing steps.
+func (s *State) earliestFit(r *reservation) time.Time {
+	from := s.now.Add(r.leadTime)
 	step := s.config.TickEvery / 2
 	for range searchSteps {
 		if s.fitsAt(r, from) {
@@ -381,12 +388,12 @@
 	return b
 }
 
-// linkLeft is the rate of the server's link over the transfers that share it,
-// with one more.
-func (s *State) linkLeft() float64 {
+// linkShare returns the rate of the server's link divided by one more than the
+// number of transfers that share it.
+func (s *State) linkShare() float64 {
 	transfers := 1
 	for _, held := range s.memory.holders {
-		importing := held.stage == stageWorking && held.reserve.Phase == message.PhaseDecode && !held.firstPart
+		importing := held.stage == stageWorking && held.reserve.Phase == message.PhaseDecode && !held.hasOutput
 		if importing || held.stage == stagePrefilled {
 			transfers++
 		}
--- a/internal/reducer/gate/predict_test.go
+++ b/internal/reducer/gate/predict_test.go
@@ -10,17 +10,17 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// within reports whether a value is within a tenth of what is expected.
+// within reports whether a duration is within a tenth of the expected one.
 func within(got, want time.Duration) bool {
 	return got > want-want/10 && got < want+want/10
 }
 
 func TestPredictorLearns(t *testing.T) {
 	is := is.New(t)
-	p := newPredictor(Config{}.filled())
-	prefill := &reservation{compute: 10_000, reserve: message.Reserve{Phase: message.PhasePrefill}}
+	p := newPredictor(Config{}.withDefaults())
+	prefill := &reservation{uncachedTokens: 10_000, reserve: message.Reserve{Phase: message.PhasePrefill}}
 	decode := &reservation{reserve: message.Reserve{Phase: message.PhaseDecode, PromptTokens: 10_000, MaxTokens: 500}}
-	is.Equal(p.took(prefill), 500*time.Millisecond) // 20,000 tokens a second
+	is.Equal(p.workTime(prefill), 500*time.Millisecond) // 20,000 tokens a second
 
 	now := epoch
 	for i := range 200 {
@@ -31,28 +31,28 @@
 		p.prefillEnded(now, 5000)
 
 		decode.startedAt = now
-		decode.output = 20 + i%5
-		p.transferred(decode, now.Add(200*time.Millisecond+seconds(p.step.value())))
-		p.stepped(10 * time.Millisecond)
+		decode.outputTokens = 20 + i%5
+		p.observeTransfer(decode, now.Add(200*time.Millisecond+seconds(p.step.value())))
+		p.observeStep(10 * time.Millisecond)
 		p.decodeEnded(decode)
-		p.called(30 * time.Millisecond)
+		p.observeCall(30 * time.Millisecond)
 	}
-	is.True(within(p.took(prefill), 2*time.Second)) // two share 5,000 tokens a second
-	is.True(within(p.first(decode), 210*time.Millisecond))
-	is.True(within(p.took(decode), 430*time.Millisecond)) // transfer and some 23 steps
-	is.True(within(p.callTook(), 30*time.Millisecond))
+	is.True(within(p.workTime(prefill), 2*time.Second)) // two share 5,000 tokens a second
+	is.True(within(p.firstResultTime(decode), 210*time.Millisecond))
+	is.True(within(p.workTime(decode), 430*time.Millisecond)) // transfer and some 23 steps
+	is.True(within(p.callTime(), 30*time.Millisecond))
 }
 
-// Symptom: a slow server's answers become slower the more it is given.
-// Sequence: the server keeps its pace, then doesn't, then does again.
-// Cause: a fixed bound of the work in progress.
-func TestLimitFollowsTheServer(t *testing.T) {
+// Symptom: a slow server's answers become slower as it is given more work.
+// Sequence: the server meets its target, then misses it, then meets it again.
+// Cause: a fixed limit of the work in progress.
+func TestLimitAdaptsToServer(t *testing.T) {
 	is := is.New(t)
-	calls, decodes := newLimit(1, 20), newLimit(leastDecodes, 20)
+	calls, decodes := newLimit(1, 20), newLimit(minDecodes, 20)
 	observe := func(windows int, took, step time.Duration) {
 		for range windows * window {
-			calls.callTook(took, calls.slots())
-			decodes.decodeStep(step, 41*time.Millisecond, decodes.slots())
+			calls.observeCall(took, calls.slots())
+			decodes.observeStep(step, 41*time.Millisecond, decodes.slots())
 		}
 	}
 	observe(3, 10*time.Millisecond, 25*time.Millisecond)
@@ -60,26 +60,26 @@
 	is.Equal(decodes.slots(), 20)
 	observe(30, 50*time.Millisecond, 60*time.Millisecond)
 	is.True(calls.slots() < 10)
-	is.Equal(decodes.slots(), leastDecodes)
+	is.Equal(decodes.slots(), minDecodes)
 	observe(100, 10*time.Millisecond, 25*time.Millisecond)
 	is.Equal(calls.slots(), 20)
 	is.Equal(decodes.slots(), 20)
 	for range 100 {
-		calls.failed()
+		calls.observeFailure()
 	}
 	is.Equal(calls.slots(), 1)
 }
 
-func TestOutputsAreToldApart(t *testing.T) {
+func TestOutputKindsAreSeparate(t *testing.T) {
 	is := is.New(t)
-	p := newPredictor(Config{}.filled())
-	ping := &reservation{output: 60, reserve: message.Reserve{MaxTokens: 500, Urgency: oriolebend.Urgent}}
-	brief := &reservation{output: 400, reserve: message.Reserve{MaxTokens: 500, Urgency: oriolebend.Patient}}
+	p := newPredictor(Config{}.withDefaults())
+	ping := &reservation{outputTokens: 60, reserve: message.Reserve{MaxTokens: 500, Urgency: oriolebend.Urgent}}
+	brief := &reservation{outputTokens: 400, reserve: message.Reserve{MaxTokens: 500, Urgency: oriolebend.Patient}}
 	for range 100 {
 		p.decodeEnded(ping)
 		p.decodeEnded(brief)
-		ping.output = 8
+		ping.outputTokens = 8
 	}
-	is.True(p.output(ping) < 20)
-	is.True(p.output(brief) > 300)
+	is.True(p.outputTokens(ping) < 20)
+	is.True(p.outputTokens(brief) > 300)
 }
--- a/internal/reducer/gate/property_test.go
+++ b/internal/reducer/gate/property_test.go
@@ -16,41 +16,45 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-const worldTokens = 10_000
+const serverTokens = 10_000
 
-// peer is an entry's side of one session.
-type peer struct {
+// entrySession is an entry's side of one session.
+type entrySession struct {
 	id      SessionID
 	reserve message.Reserve
-	// offered and granted tell what the gate said, over that it ended it.
-	offered, granted, over bool
+	// offered and granted record the gate's answers. ended is true once either
+	// side ended the session.
+	offered, granted, ended bool
 }
 
-// world is a gate among entries and a server that behave at random.
-type world struct {
+// simulation is a gate with entries and a server that behave at random.
+type simulation struct {
 	*rapid.T
-	is    *is.I
-	gate  *State
-	now   time.Time
-	role  oriolebend.PoolRole
-	peers []*peer
-	names int
-	// held is the true memory of the server, runs what was started.
+	is       *is.I
+	gate     *State
+	now      time.Time
+	role     oriolebend.PoolRole
+	sessions []*entrySession
+	lastID   int
+	// held is the memory that the server actually holds, runs counts the starts
+	// of each attempt.
 	held map[message.Attempt]int
 	runs map[message.Attempt]int
-	// sent holds attempts whose work an entry sent: it is not reserved anew.
+	// sent holds the attempts whose work an entry sent. They are not reserved
+	// again.
 	sent map[message.Attempt]bool
-	// never holds attempts that the gate said did not and won't run.
-	never map[message.Attempt]bool
-	// cancels and lists are asked for and not answered.
-	cancels     []message.Attempt
-	lists       [][]engine.Work
-	incarnation uint64
-	lost        bool
-}
-
-// TestMain has the random tests draw the same on every run; -rapid.seed and
-// -rapid.checks on the command line search further.
+	// neverRun holds the attempts of which the gate reported that they did not
+	// run and never will.
+	neverRun map[message.Attempt]bool
+	// pendingCancels and pendingLists are requested and not answered.
+	pendingCancels []message.Attempt
+	pendingLists   [][]engine.Work
+	incarnation    uint64
+	lost           bool
+}
+
+// TestMain makes the random tests draw the same values on every run. With
+// -rapid.seed and -rapid.checks on the command line they search further.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{
 		"rapid.seed": "1", "rapid.checks": "600", "rapid.steps": "80", "rapid.nofailfile": "true",
@@ -62,33 +66,33 @@
 	os.Exit(m.Run())
 }
 
-// Symptom: memory held by nobody, a call run twice, an entry that waits for
-// ever, a ping behind a brief.
-// Sequence: any. Entries, the server, operators and clocks act at random, with
-// restarts of the gate and the engine among them.
-// Cause: an interleaving that no script thought of.
+// Symptom: memory held by nobody, a call that runs twice, an entry that waits
+// for ever, a ping that waits behind a brief.
+// Sequence: any. Entries, the server, operators and clocks act at random,
+// including restarts of the gate and the engine.
+// Cause: an interleaving that no script covers.
 func TestRandomInterleavings(t *testing.T) {
 	for _, role := range []oriolebend.PoolRole{oriolebend.Prefill, oriolebend.Decode, oriolebend.Service} {
 		t.Run(string(role), func(t *testing.T) {
-			rapid.Check(t, func(rt *rapid.T) { runWorld(t, rt, role) })
+			rapid.Check(t, func(rt *rapid.T) { runSimulation(t, rt, role) })
 		})
 	}
 }
 
-func runWorld(t *testing.T, rt *rapid.T, role oriolebend.PoolRole) {
-	w := &world{
+func runSimulation(t *testing.T, rt *rapid.T, role oriolebend.PoolRole) {
+	w := &simulation{
 		T: rt, is: is.New(t), role: role, now: epoch, incarnation: 1,
 		held: map[message.Attempt]int{}, runs: map[message.Attempt]int{},
-		sent: map[message.Attempt]bool{}, never: map[message.Attempt]bool{},
+		sent: map[message.Attempt]bool{}, neverRun: map[message.Attempt]bool{},
 	}
 	w.startGate()
 	rt.Repeat(w.actions())
 	w.settle()
 }
 
-// actions are what may happen next; rapid draws among the names, so that what
-// is to happen more often has several.
-func (w *world) actions() map[string]func(*rapid.T) {
+// actions returns the possible next actions. rapid draws among the names, so an
+// action with a higher weight has several.
+func (w *simulation) actions() map[string]func(*rapid.T) {
 	weights := []struct {
 		name   string
 		weight int
@@ -97,14 +101,14 @@
 		{"reserve", 8, w.reserve},
 		{"work", 6, w.work},
 		{"succeed", 4, w.succeed},
-		{"pass", 2, func() { w.pass(rapid.IntRange(1, 12).Draw(w.T, "ticks")) }},
+		{"pass", 2, func() { w.advance(rapid.IntRange(1, 12).Draw(w.T, "ticks")) }},
 		{"renew", 2, w.renew},
 		{"list", 2, w.list},
 		{"confirm", 2, w.confirm},
 		{"release", 1, w.release},
-		{"close", 1, func() { w.close(w.anyPeer()) }},
+		{"close", 1, func() { w.close(w.anySession()) }},
 		{"fail", 1, w.fail},
-		{"rogue", 1, w.rogue},
+		{"rogue", 1, w.sendUnowned},
 		{"pause", 1, w.pause},
 		{"declare", 1, w.declare},
 		{"restart", 1, w.restart},
@@ -118,13 +122,13 @@
 	return all
 }
 
-func (w *world) startGate() {
+func (w *simulation) startGate() {
 	w.gate = New(Config{Role: serviceOnly(w.role), Concurrency: 2, QueueBound: 6, ClosedFor: 1000 * time.Hour})
-	w.cancels, w.lists = nil, nil
-	for a := range w.never {
+	w.pendingCancels, w.pendingLists = nil, nil
+	for a := range w.neverRun {
 		w.sent[a] = true
 	}
-	w.known()
+	w.reportEngine()
 	if rapid.IntRange(0, 3).Draw(w.T, "listed") > 0 {
 		w.list()
 	}
@@ -137,18 +141,18 @@
 	return ""
 }
 
-func (w *world) known() {
+func (w *simulation) reportEngine() {
 	w.lost = false
-	w.do(EngineKnown{At: w.now, Info: engine.Info{
-		Role: w.role, KVTokens: worldTokens, BlockTokens: 16, Incarnation: w.incarnation,
+	w.apply(EngineKnown{At: w.now, Info: engine.Info{
+		Role: w.role, KVTokens: serverTokens, BlockTokens: 16, Incarnation: w.incarnation,
 		Models: []oriolebend.LoadedModel{{Model: "planner"}},
 	}})
 }
 
-func (w *world) reserve() {
-	w.names++
+func (w *simulation) reserve() {
+	w.lastID++
 	m := message.Reserve{
-		Attempt:      message.Attempt{RequestID: fmt.Sprint("r", w.names), Number: 1},
+		Attempt:      message.Attempt{RequestID: fmt.Sprint("r", w.lastID), Number: 1},
 		Phase:        phaseOf(w.role),
 		Organisation: rapid.SampledFrom([]string{"lintang", "bancoA", "bancoB"}).Draw(w.T, "org"),
 		Urgency:      rapid.SampledFrom([]oriolebend.Urgency{oriolebend.Urgent, oriolebend.Patient}).Draw(w.T, "urgency"),
@@ -161,32 +165,32 @@
 		Hold:         rapid.IntRange(0, 3).Draw(w.T, "hold") > 0,
 		Once:         w.role == oriolebend.Service && rapid.Bool().Draw(w.T, "once"),
 	}
-	if old := w.anyPeer(); old != nil && !w.sent[old.reserve.Attempt] && rapid.IntRange(0, 5).Draw(w.T, "again") == 0 {
+	if old := w.anySession(); old != nil && !w.sent[old.reserve.Attempt] && rapid.IntRange(0, 5).Draw(w.T, "again") == 0 {
 		m.Attempt = old.reserve.Attempt
 	}
-	p := &peer{id: SessionID(fmt.Sprint("s", w.names)), reserve: m}
-	w.peers = append(w.peers, p)
+	p := &entrySession{id: SessionID(fmt.Sprint("s", w.lastID)), reserve: m}
+	w.sessions = append(w.sessions, p)
 	w.send(p, m)
 }
 
-func (w *world) anyPeer() *peer {
-	if len(w.peers) == 0 {
+func (w *simulation) anySession() *entrySession {
+	if len(w.sessions) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(w.peers).Draw(w.T, "peer")
+	return rapid.SampledFrom(w.sessions).Draw(w.T, "peer")
 }
 
-func (w *world) send(p *peer, m message.Message) {
-	if !p.over {
-		w.do(Received{At: w.now, Session: p.id, Message: m})
+func (w *simulation) send(p *entrySession, m message.Message) {
+	if !p.ended {
+		w.apply(Received{At: w.now, Session: p.id, Message: m})
 	}
 }
 
-// work sends the work of a session that holds a grant, at times twice.
-func (w *world) work() {
-	var granted []*peer
-	for _, p := range w.peers {
-		if p.granted && !p.over {
+// work sends the work of a session that holds a grant, sometimes twice.
+func (w *simulation) work() {
+	var granted []*entrySession
+	for _, p := range w.sessions {
+		if p.granted && !p.ended {
 			granted = append(granted, p)
 		}
 	}
@@ -198,7 +202,7 @@
 	w.send(p, w.workOf(p.reserve.Attempt))
 }
 
-func (w *world) workOf(a message.Attempt) message.Message {
+func (w *simulation) workOf(a message.Attempt) message.Message {
 	switch w.role {
 	case oriolebend.Prefill:
 		return message.Prefill{Attempt: a}
@@ -209,9 +213,9 @@
 	}
 }
 
-// rogue sends work that the session may not hold.
-func (w *world) rogue() {
-	p, other := w.anyPeer(), w.anyPeer()
+// sendUnowned sends work over a session that may hold no reservation for it.
+func (w *simulation) sendUnowned() {
+	p, other := w.anySession(), w.anySession()
 	if p == nil {
 		return
 	}
@@ -221,58 +225,59 @@
 	}
 }
 
-func (w *world) release() {
-	p := w.anyPeer()
+func (w *simulation) release() {
+	p := w.anySession()
 	if p == nil {
 		return
 	}
 	w.send(p, message.Release{Attempt: p.reserve.Attempt})
-	p.over = true
+	p.ended = true
 }
 
-func (w *world) close(p *peer) {
+func (w *simulation) close(p *entrySession) {
 	if p == nil {
 		return
 	}
-	p.over = true
-	w.do(Closed{At: w.now, Session: p.id})
+	p.ended = true
+	w.apply(Closed{At: w.now, Session: p.id})
 }
 
-func (w *world) renew() {
-	for _, p := range w.peers {
-		if !p.over && rapid.IntRange(0, 9).Draw(w.T, "heard") > 0 {
-			w.do(Renewed{At: w.now, Session: p.id})
+func (w *simulation) renew() {
+	for _, p := range w.sessions {
+		if !p.ended && rapid.IntRange(0, 9).Draw(w.T, "heard") > 0 {
+			w.apply(Renewed{At: w.now, Session: p.id})
 		}
 	}
 }
 
-func (w *world) pass(ticks int) {
+func (w *simulation) advance(ticks int) {
 	for range ticks {
-		if len(w.lists) >= mostLists-1 {
+		if len(w.pendingLists) >= maxPendingLists-1 {
 			w.list()
 		}
 		w.now = w.now.Add(w.gate.config.TickEvery)
-		w.do(Ticked{At: w.now})
+		w.apply(Ticked{At: w.now})
 	}
 }
 
-func (w *world) pause() {
-	if len(w.lists) >= mostLists-1 {
+func (w *simulation) pause() {
+	if len(w.pendingLists) >= maxPendingLists-1 {
 		w.list()
 	}
 	w.now = w.now.Add(time.Minute)
-	w.do(Ticked{At: w.now})
+	w.apply(Ticked{At: w.now})
 }
 
-// anyHeld returns work at the server, in a fixed order of choice.
-func (w *world) anyHeld() (message.Attempt, bool) {
+// anyWork returns an attempt whose work is at the server, drawn from a fixed
+// order.
+func (w *simulation) anyWork() (message.Attempt, bool) {
 	if len(w.held) == 0 {
 		return message.Attempt{}, false
 	}
-	return rapid.SampledFrom(w.inServer()).Draw(w.T, "held"), true
+	return rapid.SampledFrom(w.serverWork()).Draw(w.T, "held"), true
 }
 
-func (w *world) inServer() []message.Attempt {
+func (w *simulation) serverWork() []message.Attempt {
 	var all []message.Attempt
 	for a := range w.held {
 		all = append(all, a)
@@ -283,29 +288,29 @@
 	return all
 }
 
-func (w *world) succeed() {
-	a, found := w.anyHeld()
+func (w *simulation) succeed() {
+	a, found := w.anyWork()
 	if !found || w.lost {
 		return
 	}
 	switch w.role {
 	case oriolebend.Prefill:
-		w.do(EnginePrefilled{At: w.now, Attempt: a, Result: engine.PrefillResult{Tokens: 100, LivesFor: time.Second}})
+		w.apply(EnginePrefilled{At: w.now, Attempt: a, Result: engine.PrefillResult{Tokens: 100, LivesFor: time.Second}})
 	case oriolebend.Decode:
 		part := message.Part{Attempt: a, Tokens: 1}
 		if rapid.Bool().Draw(w.T, "last") {
 			part.Finish = message.FinishStop
 			delete(w.held, a)
 		}
-		w.do(EnginePart{At: w.now, Part: part})
+		w.apply(EnginePart{At: w.now, Part: part})
 	default:
 		delete(w.held, a)
-		w.do(ServiceAnswered{At: w.now, Answer: message.CallAnswer{Attempt: a}})
+		w.apply(ServiceAnswered{At: w.now, Answer: message.CallAnswer{Attempt: a}})
 	}
 }
 
-func (w *world) fail() {
-	a, found := w.anyHeld()
+func (w *simulation) fail() {
+	a, found := w.anyWork()
 	if !found || w.lost {
 		return
 	}
@@ -321,37 +326,37 @@
 	if w.role == oriolebend.Service {
 		delete(w.held, a)
 	}
-	w.do(e)
+	w.apply(e)
 }
 
-func (w *world) confirm() {
-	if len(w.cancels) == 0 {
+func (w *simulation) confirm() {
+	if len(w.pendingCancels) == 0 {
 		return
 	}
-	a := w.cancels[0]
-	w.cancels = w.cancels[1:]
+	a := w.pendingCancels[0]
+	w.pendingCancels = w.pendingCancels[1:]
 	switch rapid.IntRange(0, 3).Draw(w.T, "confirm") {
 	case 0:
-		w.do(Cancelled{At: w.now, Attempt: a, Failed: true})
+		w.apply(Cancelled{At: w.now, Attempt: a, Failed: true})
 	case 1:
 		// The cancellation or its answer is lost.
 	default:
 		delete(w.held, a)
-		w.do(Cancelled{At: w.now, Attempt: a})
+		w.apply(Cancelled{At: w.now, Attempt: a})
 	}
 }
 
-// list answers an earlier ListWork, by what was true when it was asked for.
-func (w *world) list() {
-	if len(w.lists) == 0 || w.lost {
+// list answers the oldest ListWork with the state at the time of the request.
+func (w *simulation) list() {
+	if len(w.pendingLists) == 0 || w.lost {
 		return
 	}
-	work := w.lists[0]
-	w.lists = w.lists[1:]
-	w.do(WorkListed{At: w.now, Work: work})
+	work := w.pendingLists[0]
+	w.pendingLists = w.pendingLists[1:]
+	w.apply(WorkListed{At: w.now, Work: work})
 }
 
-func (w *world) declare() {
+func (w *simulation) declare() {
 	state := oriolebend.ServerServing
 	switch rapid.IntRange(0, 7).Draw(w.T, "state") {
 	case 0:
@@ -359,35 +364,36 @@
 	case 1:
 		state = oriolebend.ServerLoading
 	}
-	w.do(Declared{At: w.now, State: state})
+	w.apply(Declared{At: w.now, State: state})
 }
 
-// restart restarts the gate or the engine, or has the engine be away.
-func (w *world) restart() {
+// restart restarts the gate or the engine, or makes the engine unreachable for
+// a moment.
+func (w *simulation) restart() {
 	if rapid.IntRange(0, 3).Draw(w.T, "restart") > 0 {
 		return
 	}
 	switch rapid.IntRange(0, 2).Draw(w.T, "which") {
 	case 0:
-		for _, p := range w.peers {
-			p.over = true
+		for _, p := range w.sessions {
+			p.ended = true
 		}
 		w.startGate()
 	case 1:
 		clear(w.held)
 		w.incarnation++
-		w.lists = nil
-		w.known()
+		w.pendingLists = nil
+		w.reportEngine()
 	default:
 		w.lost = true
-		w.lists = nil
-		w.do(EngineLost{At: w.now})
-		w.known()
+		w.pendingLists = nil
+		w.apply(EngineLost{At: w.now})
+		w.reportEngine()
 	}
 }
 
-// do takes an event in, carries its effects out and checks them.
-func (w *world) do(e Event) {
+// apply applies an event, carries out its effects and checks them.
+func (w *simulation) apply(e Event) {
 	waiting := w.urgentWaiting()
 	for _, effect := range Reduce(w.gate, e) {
 		switch effect := effect.(type) {
@@ -395,7 +401,7 @@
 			w.reply(effect, waiting)
 		case EndSession:
 			if p := w.find(effect.Session); p != nil {
-				p.over = true
+				p.ended = true
 			}
 		case RunPrefill:
 			w.run(effect.Request.Attempt)
@@ -404,19 +410,19 @@
 		case RunCall:
 			w.run(effect.Call.Attempt)
 		case CancelWork:
-			w.cancels = append(w.cancels, effect.Attempt)
+			w.pendingCancels = append(w.pendingCancels, effect.Attempt)
 		case ListWork:
 			var work []engine.Work
-			for _, a := range w.inServer() {
+			for _, a := range w.serverWork() {
 				work = append(work, engine.Work{Attempt: a, Tokens: w.held[a]})
 			}
-			w.lists = append(w.lists, work)
+			w.pendingLists = append(w.pendingLists, work)
 		}
 	}
 }
 
-func (w *world) find(id SessionID) *peer {
-	for _, p := range w.peers {
+func (w *simulation) find(id SessionID) *entrySession {
+	for _, p := range w.sessions {
 		if p.id == id {
 			return p
 		}
@@ -424,29 +430,29 @@
 	return nil
 }
 
-func (w *world) run(a message.Attempt) {
-	if w.never[a] {
-		w.Fatalf("%v runs after the gate said it never would", a)
+func (w *simulation) run(a message.Attempt) {
+	if w.neverRun[a] {
+		w.Fatalf("attempt %v runs after the gate reported that it never would", a)
 	}
 	w.runs[a]++
 	if w.runs[a] > 1 {
-		w.Fatalf("%v runs twice", a)
+		w.Fatalf("attempt %v runs twice", a)
 	}
 	w.held[a] = w.gate.attempts[a].tokens
 	sum := 0
 	for _, tokens := range w.held {
 		sum += tokens
 	}
-	if sum > worldTokens {
-		w.Fatalf("the server holds %d tokens", sum)
+	if sum > serverTokens {
+		w.Fatalf("the server holds %d tokens, more than its memory", sum)
 	}
 }
 
-// reply checks what the entry is told.
-func (w *world) reply(r Reply, waiting map[*reservation]bool) {
+// reply checks the message that an entry receives.
+func (w *simulation) reply(r Reply, waiting map[*reservation]bool) {
 	p := w.find(r.Session)
-	if p.over {
-		w.Fatalf("%s to %s, which is over", r.Message.Kind(), r.Session)
+	if p.ended {
+		w.Fatalf("%s sent over session %s, which has ended", r.Message.Kind(), r.Session)
 	}
 	granted := false
 	switch m := r.Message.(type) {
@@ -465,21 +471,21 @@
 	w.checkOrder(p, waiting)
 }
 
-func (w *world) refused(p *peer, m message.Refusal) {
-	p.over = true
+func (w *simulation) refused(p *entrySession, m message.Refusal) {
+	p.ended = true
 	if m.Ran != oriolebend.RanNo {
 		return
 	}
 	if w.runs[m.Attempt] > 0 {
-		w.Fatalf("%v ran, and the gate says no", m.Attempt)
+		w.Fatalf("attempt %v ran, but the gate reported that it did not", m.Attempt)
 	}
 	if p.granted {
-		w.never[m.Attempt] = true
+		w.neverRun[m.Attempt] = true
 	}
 }
 
 // urgentWaiting returns the urgent reservations that wait.
-func (w *world) urgentWaiting() map[*reservation]bool {
+func (w *simulation) urgentWaiting() map[*reservation]bool {
 	waiting := map[*reservation]bool{}
 	for _, r := range w.gate.queue.all() {
 		if r.reserve.Urgency == oriolebend.Urgent {
@@ -489,10 +495,10 @@
 	return waiting
 }
 
-// checkOrder checks that no patient reservation passes an urgent one that
-// waits, unless some patient one is old enough. Decode room may be taken from
-// behind, where it doesn't delay who is first.
-func (w *world) checkOrder(p *peer, waiting map[*reservation]bool) {
+// checkOrder checks that no patient reservation passes a waiting urgent one,
+// unless a patient one is old enough. Decodes are exempt: a later one may be
+// granted where it doesn't delay the first.
+func (w *simulation) checkOrder(p *entrySession, waiting map[*reservation]bool) {
 	if p.reserve.Urgency == oriolebend.Urgent || w.role == oriolebend.Decode {
 		return
 	}
@@ -506,16 +512,16 @@
 	}
 	for r := range waiting {
 		if r.stage == stageQueued && w.now.Sub(oldest) < w.gate.config.AgeAfter {
-			w.Fatalf("%v passes %v", p.reserve.Attempt, r.reserve.Attempt)
+			w.Fatalf("patient attempt %v passes urgent attempt %v", p.reserve.Attempt, r.reserve.Attempt)
 		}
 	}
 }
 
-// check holds what is true after every event.
-func (w *world) check() {
+// check checks the invariants that hold after every event.
+func (w *simulation) check() {
 	g := w.gate
-	if g.usedTokens() > worldTokens || g.freeTokens() < 0 {
-		w.Fatalf("used %d, free %d", g.usedTokens(), g.freeTokens())
+	if g.usedTokens() > serverTokens || g.freeTokens() < 0 {
+		w.Fatalf("%d tokens used, %d tokens free", g.usedTokens(), g.freeTokens())
 	}
 	queued := 0
 	for a, r := range g.attempts {
@@ -525,39 +531,39 @@
 		known := g.sessions[r.session]
 		unowned := r.stage == stageCancelling || (r.stage == stageWorking && r.reserve.Once)
 		if known == nil && !unowned {
-			w.Fatalf("%v is %s without a session", a, r.stage)
+			w.Fatalf("attempt %v is %s without a session", a, r.stage)
 		}
-		if known != nil && g.awake-known.heard >= g.config.Lease+longestStep*g.config.TickEvery {
-			w.Fatalf("%v outlives its lease", a)
+		if known != nil && g.leaseClock-known.renewedAt >= g.config.Lease+maxLeaseTicks*g.config.TickEvery {
+			w.Fatalf("attempt %v outlives its lease", a)
 		}
 	}
 	if queued != g.queue.length || queued != len(g.queue.all()) {
-		w.Fatalf("%d queued, queue says %d", queued, g.queue.length)
+		w.Fatalf("%d attempts queued, queue length is %d", queued, g.queue.length)
 	}
-	for _, p := range w.peers {
-		if !p.over && g.sessions[p.id] == nil {
-			w.Fatalf("%s was not told its end", p.id)
+	for _, p := range w.sessions {
+		if !p.ended && g.sessions[p.id] == nil {
+			w.Fatalf("session %s ended without an EndSession", p.id)
 		}
 	}
 }
 
-// settle lets everybody fall silent and the server answer: all must be free
-// within the lease, a list and a repeated cancellation.
-func (w *world) settle() {
+// settle stops all renewals and lets the server answer. Everything must be
+// freed within the lease, two list periods and one cancellation retry.
+func (w *simulation) settle() {
 	if w.role == oriolebend.Service {
-		for _, a := range w.inServer() {
+		for _, a := range w.serverWork() {
 			delete(w.held, a)
-			w.do(ServiceAnswered{At: w.now, Answer: message.CallAnswer{Attempt: a}})
+			w.apply(ServiceAnswered{At: w.now, Answer: message.CallAnswer{Attempt: a}})
 		}
 	}
 	within := w.gate.config.Lease + 2*w.gate.config.ListEvery + w.gate.config.CancelRetry
 	for range within/w.gate.config.TickEvery + 2 {
-		w.pass(1)
-		for len(w.cancels) > 0 {
-			a := w.cancels[0]
-			w.cancels = w.cancels[1:]
+		w.advance(1)
+		for len(w.pendingCancels) > 0 {
+			a := w.pendingCancels[0]
+			w.pendingCancels = w.pendingCancels[1:]
 			delete(w.held, a)
-			w.do(Cancelled{At: w.now, Attempt: a})
+			w.apply(Cancelled{At: w.now, Attempt: a})
 		}
 		w.list()
 		w.check()
--- a/internal/reducer/gate/queue.go
+++ b/internal/reducer/gate/queue.go
@@ -8,8 +8,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// queue holds the reservations that wait: urgent ones before patient ones,
-// within each by weighted fair queueing over the organisations, within each
+// queue holds the reservations that wait: urgent ones before patient ones;
+// within an urgency by weighted fair queueing over the organisations; within an
 // organisation by the time of acceptance.
 type queue struct {
 	urgent  class
@@ -19,17 +19,17 @@
 	changed bool
 	// credit is the work, in cost, that aged patient reservations may take
 	// before urgent ones.
-	credit float64
-	share  float64
-	ageing time.Duration
+	credit       float64
+	patientShare float64
+	ageAfter     time.Duration
 }
 
 func newQueue(c Config) queue {
 	return queue{
-		urgent:  newClass(c),
-		patient: newClass(c),
-		share:   c.PatientShare,
-		ageing:  c.AgeAfter,
+		urgent:       newClass(c),
+		patient:      newClass(c),
+		patientShare: c.PatientShare,
+		ageAfter:     c.AgeAfter,
 	}
 }
 
@@ -42,12 +42,12 @@
 
 func (q *queue) add(r *reservation) {
 	c := q.class(r.reserve.Urgency)
-	c.arrive(r.reserve.Organisation)
+	c.prepare(r.reserve.Organisation)
 	c.add(r)
 	q.length++
 }
 
-// putBack adds one that was passed over; its organisation keeps its turn.
+// putBack adds a reservation that was passed. Its organisation keeps its turn.
 func (q *queue) putBack(r *reservation) {
 	q.class(r.reserve.Urgency).add(r)
 	q.length++
@@ -58,12 +58,12 @@
 	q.length--
 }
 
-// next returns the reservation that is to be served first, or nil.
+// next returns the reservation to serve first, or nil.
 //
-// Patient reservations that are old enough have a right to a share: each
-// urgent grant that passes one earns credit, and once the credit pays for the
-// patient one it goes first. So a steady load of urgent work slows patient
-// work down to its share and never stops it, and what urgent work loses is
+// Patient reservations that are old enough are entitled to a share. Each urgent
+// grant that passes one earns credit, and once the credit covers the cost of
+// the patient one, it goes first. So a steady load of urgent work slows patient
+// work down to its share and never stops it, and the loss of urgent work is
 // bounded by the same share.
 func (q *queue) next(now time.Time) *reservation {
 	urgent := q.urgent.first()
@@ -71,23 +71,24 @@
 	if urgent == nil {
 		return patient
 	}
-	if patient == nil || !q.aged(now) || q.credit < patient.cost {
+	if patient == nil || !q.patientAged(now) || q.credit < patient.cost {
 		return urgent
 	}
 	return patient
 }
 
-// aged reports whether a patient reservation has waited long enough.
-func (q *queue) aged(now time.Time) bool {
-	return now.Sub(q.patient.oldest()) >= q.ageing
+// patientAged reports whether a patient reservation has waited long enough for
+// its share.
+func (q *queue) patientAged(now time.Time) bool {
+	return now.Sub(q.patient.oldest()) >= q.ageAfter
 }
 
-// served accounts for a reservation that leaves the queue with a grant.
-func (q *queue) served(r *reservation, now time.Time) {
+// chargeGrant accounts for a reservation that leaves the queue with a grant.
+func (q *queue) chargeGrant(r *reservation, now time.Time) {
 	if r.reserve.Urgency == oriolebend.Urgent {
-		if q.patient.length > 0 && q.aged(now) {
-			q.credit += r.cost * q.share / (1 - q.share)
-			q.credit = min(q.credit, q.patient.dearest())
+		if q.patient.length > 0 && q.patientAged(now) {
+			q.credit += r.cost * q.patientShare / (1 - q.patientShare)
+			q.credit = min(q.credit, q.patient.maxHeadCost())
 		}
 	} else {
 		q.credit = max(q.credit-r.cost, 0)
@@ -98,32 +99,35 @@
 	}
 }
 
-// victim returns the reservation that gives way to r in a full queue: the
-// latest of the organisation that has most waiting, if that is more than r's
-// own, or any patient one if r is urgent. It returns nil if r is to give way.
-func (q *queue) victim(r *reservation) *reservation {
+// evictionCandidate returns the reservation to evict from a full queue in
+// favour of r. It is the latest one of the organisation that has most waiting
+// in r's urgency, if that organisation has more waiting than r's own. If r is
+// urgent and patient ones wait, it is the latest patient one of the
+// organisation that has most of them. It returns nil if r itself is to be
+// refused.
+func (q *queue) evictionCandidate(r *reservation) *reservation {
 	own := q.class(r.reserve.Urgency)
 	if longest := q.patient.longest(); r.reserve.Urgency == oriolebend.Urgent && longest != nil {
 		return longest.last()
 	}
 	longest := own.longest()
-	if len(longest.waiting) <= len(own.lines[r.reserve.Organisation].waiting) {
+	if len(longest.waiting) <= len(own.orgQueues[r.reserve.Organisation].waiting) {
 		return nil
 	}
 	return longest.last()
 }
 
-// ahead counts the reservations that are likely to be served before r.
-func (q *queue) ahead(r *reservation) int {
-	count := q.class(r.reserve.Urgency).ahead(r)
+// countAhead counts the reservations that are likely to be served before r.
+func (q *queue) countAhead(r *reservation) int {
+	count := q.class(r.reserve.Urgency).countAhead(r)
 	if r.reserve.Urgency == oriolebend.Patient {
 		count += q.urgent.length
 	}
 	return count
 }
 
-// costAhead sums the work that is likely to be served before r, which needn't
-// be in the queue.
+// costAhead sums the cost of the work that is likely to be served before r. It
+// also works for an r that is not in the queue.
 func (q *queue) costAhead(r *reservation) float64 {
 	sum := q.class(r.reserve.Urgency).costAhead(r)
 	if r.reserve.Urgency == oriolebend.Patient {
@@ -136,45 +140,46 @@
 func (q *queue) all() []*reservation {
 	var all []*reservation
 	for _, c := range []*class{&q.urgent, &q.patient} {
-		for _, l := range c.active {
-			all = append(all, l.waiting...)
+		for _, oq := range c.active {
+			all = append(all, oq.waiting...)
 		}
 	}
-	slices.SortFunc(all, func(a, b *reservation) int { return cmp.Compare(a.order, b.order) })
+	slices.SortFunc(all, func(a, b *reservation) int { return cmp.Compare(a.sequence, b.sequence) })
 	return all
 }
 
-// lateReservation is one that waits and is predicted to start too late.
+// lateReservation is a waiting reservation that is predicted to start too late.
 type lateReservation struct {
 	reservation *reservation
 	wait        time.Duration
 }
 
 // late returns the waiting reservations whose first result can't come before
-// their deadline: for certain, or by a prediction that misses it by half.
+// their deadline: either certainly, or because the predicted wait exceeds the
+// time left by more than half.
 func (q *queue) late(s *State) []lateReservation {
 	var late []lateReservation
-	before := 0.0
+	earlierCost := 0.0
 	for _, c := range []*class{&q.urgent, &q.patient} {
-		for _, l := range c.active {
-			own := 0.0
-			for _, r := range l.waiting {
-				ahead := before + min(c.cost-r.cost, own*float64(len(c.active)))
-				own += r.cost
+		for _, oq := range c.active {
+			ownCost := 0.0
+			for _, r := range oq.waiting {
+				costAhead := earlierCost + min(c.cost-r.cost, ownCost*float64(len(c.active)))
+				ownCost += r.cost
 				if r.deadlineAt.IsZero() {
 					continue
 				}
-				wait := s.waitBehind(r, ahead)
-				left := r.deadlineAt.Sub(s.now) - r.lead - s.predict.first(r)
+				wait := s.waitBehind(r, costAhead)
+				left := r.deadlineAt.Sub(s.now) - r.leadTime - s.predict.firstResultTime(r)
 				if left < 0 || wait > left+left/2 {
 					late = append(late, lateReservation{reservation: r, wait: wait})
 				}
 			}
 		}
-		before = c.cost
+		earlierCost = c.cost
 	}
 	slices.SortFunc(late, func(a, b lateReservation) int {
-		return cmp.Compare(a.reservation.order, b.reservation.order)
+		return cmp.Compare(a.reservation.sequence, b.reservation.sequence)
 	})
 	return late
 }
--- a/internal/reducer/gate/rebuild.go
+++ b/internal/reducer/gate/rebuild.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// mostLists bounds the ListWork that are out.
-	mostLists = 4
-	// listsLost is after how many periods the oldest of so many counts as
-	// lost.
-	listsLost = 10
+	// maxPendingLists bounds the ListWork effects that are not answered yet.
+	maxPendingLists = 4
+	// lostAfterPeriods is the number of ListEvery periods after which the
+	// oldest of maxPendingLists counts as lost.
+	lostAfterPeriods = 10
 )
 
-// engineKnown takes in what the engine is. After the gate's own start, and
-// after the engine was away, the gate grants nothing before it has read what
-// work the engine holds.
-func (s *State) engineKnown(e EngineKnown) {
+// handleEngineKnown applies what the engine reports of itself. After the gate's
+// own start, and after the engine was unreachable or restarted, the gate grants
+// nothing until it has read the engine's list of work.
+func (s *State) handleEngineKnown(e EngineKnown) {
 	before := s.engine
 	restarted := before.known && before.info.Incarnation != e.Info.Incarnation
 	if restarted {
@@ -29,7 +29,7 @@
 	s.engine.lost = false
 	s.engine.info = e.Info
 	if before.info.Role != e.Info.Role {
-		s.limit = s.freshLimit()
+		s.limit = s.initialLimit()
 	}
 	if !before.known || before.lost || restarted {
 		s.rebuild()
@@ -41,43 +41,44 @@
 // rebuild reads the engine's work and cache.
 func (s *State) rebuild() {
 	if s.engine.info.Role == oriolebend.Service {
-		s.engine.listed = true
+		s.engine.workListed = true
 		return
 	}
-	s.engine.listed = false
-	s.engine.listsStale = len(s.engine.listsAsked)
+	s.engine.workListed = false
+	s.engine.staleLists = len(s.engine.pendingLists)
 	s.listWork()
 	s.resetCache()
 }
 
-// refuseMismatched refuses what waits for a model that the engine no longer
-// holds.
+// refuseMismatched refuses reservations that have not started and whose model
+// the engine no longer holds.
 func (s *State) refuseMismatched() {
 	waiting := s.queue.all()
-	for _, r := range s.inOrder() {
+	for _, r := range s.heldReservations() {
 		if r.stage == stageGranted || r.stage == stageArrived {
 			waiting = append(waiting, r)
 		}
 	}
 	for _, r := range waiting {
-		if reason := s.mismatch(r.reserve); reason != "" {
-			s.refuseWaiting(r, message.Refusal{Reason: reason})
+		if reason := s.mismatchReason(r.reserve); reason != "" {
+			s.refuseUnstarted(r, message.Refusal{Reason: reason})
 		}
 	}
 }
 
-// engineLost ends everything: nothing can be started, and whether what was
-// started still runs is found out from the work list once the engine answers.
-func (s *State) engineLost() {
-	s.engine.listsAsked = nil
-	s.engine.listsStale = 0
+// handleEngineLost ends all reservations. Nothing can be started, and whether
+// started work still runs is learned from the work list once the engine
+// answers.
+func (s *State) handleEngineLost() {
+	s.engine.pendingLists = nil
+	s.engine.staleLists = 0
 	if s.engine.lost {
 		return
 	}
 	s.engine.lost = true
-	s.engine.listed = false
+	s.engine.workListed = false
 	for _, r := range s.queue.all() {
-		s.refuseWaiting(r, message.Refusal{
+		s.refuseUnstarted(r, message.Refusal{
 			Reason:     oriolebend.ReasonServerLost,
 			RetryAfter: s.config.ListEvery,
 		})
@@ -85,16 +86,16 @@
 	s.failAll(oriolebend.ReasonServerLost)
 }
 
-// failAll ends every reservation that has room.
+// failAll ends every reservation that holds capacity.
 func (s *State) failAll(reason oriolebend.Reason) {
-	for _, r := range s.inOrder() {
+	for _, r := range s.heldReservations() {
 		if !r.atServer() {
-			s.refuseWaiting(r, message.Refusal{Reason: reason})
+			s.refuseUnstarted(r, message.Refusal{Reason: reason})
 			continue
 		}
 		s.closed.add(s, r.reserve.Attempt, true)
 		id := r.session
-		s.drop(r)
+		s.free(r)
 		if id == "" {
 			continue
 		}
@@ -106,20 +107,20 @@
 	}
 }
 
-// askWork reads the engine's work from time to time.
-func (s *State) askWork() {
+// listWorkIfDue reads the engine's work periodically.
+func (s *State) listWorkIfDue() {
 	if !s.engine.known || s.engine.lost || s.engine.info.Role == oriolebend.Service {
 		return
 	}
-	since := s.now.Sub(s.engine.listAskedAt)
-	if len(s.engine.listsAsked) >= mostLists {
-		if since < listsLost*s.config.ListEvery {
+	since := s.now.Sub(s.engine.lastListAt)
+	if len(s.engine.pendingLists) >= maxPendingLists {
+		if since < lostAfterPeriods*s.config.ListEvery {
 			return
 		}
-		s.listAnswered()
+		s.popPendingList()
 	}
 	every := s.config.ListEvery
-	if !s.engine.listed {
+	if !s.engine.workListed {
 		every = s.config.CancelRetry
 	}
 	if since >= every {
@@ -127,75 +128,76 @@
 	}
 }
 
-// listAnswered returns when the oldest ListWork went that is out, and whether
-// its answer counts. If an answer was lost, the next counts as the one that
-// was lost: a list is then taken for older than it is, never for newer, and
-// what ended meanwhile is left to the next list.
-func (s *State) listAnswered() (asked time.Time, counts bool) {
+// popPendingList removes the oldest unanswered ListWork and returns when it was
+// emitted, and whether its answer counts. If an answer was lost, the next
+// answer is attributed to the lost request. A list is then taken for older than
+// it is, never for newer, and what ended in the meantime is left to the next
+// list.
+func (s *State) popPendingList() (requestedAt time.Time, counts bool) {
 	e := &s.engine
-	if len(e.listsAsked) > 0 {
-		asked = e.listsAsked[0]
-		e.listsAsked = e.listsAsked[1:]
+	if len(e.pendingLists) > 0 {
+		requestedAt = e.pendingLists[0]
+		e.pendingLists = e.pendingLists[1:]
 	}
-	if e.listsStale > 0 {
-		e.listsStale--
-		return asked, false
+	if e.staleLists > 0 {
+		e.staleLists--
+		return requestedAt, false
 	}
-	return asked, e.known && !e.lost
+	return requestedAt, e.known && !e.lost
 }
 
 func (s *State) listWork() {
-	s.engine.listsAsked = append(s.engine.listsAsked, s.now)
-	s.engine.listAskedAt = s.now
+	s.engine.pendingLists = append(s.engine.pendingLists, s.now)
+	s.engine.lastListAt = s.now
 	s.emit(ListWork{})
 }
 
-// workListed compares the engine's work with the reservations. Work that no
-// reservation owns is cancelled at once: no session survives a restart of the
-// gate, and its entry may be gone. What the gate cancelled and the engine no
-// longer lists is free.
-func (s *State) workListed(e WorkListed) {
-	asked, counts := s.listAnswered()
+// handleWorkListed compares the engine's work with the reservations. Work that
+// no reservation owns is cancelled at once: no session survives a restart of
+// the gate, and its entry may no longer exist. The capacity of work that the
+// gate cancelled and that the engine no longer lists is free.
+func (s *State) handleWorkListed(e WorkListed) {
+	requestedAt, counts := s.popPendingList()
 	if !counts || e.Failed {
 		return
 	}
 	listed := map[message.Attempt]bool{}
 	for _, w := range e.Work {
 		listed[w.Attempt] = true
-		s.cancelUnowned(w, asked)
+		s.cancelUnowned(w, requestedAt)
 	}
-	for _, r := range s.inOrder() {
+	for _, r := range s.heldReservations() {
 		if r.stage != stageCancelling || listed[r.reserve.Attempt] {
 			continue
 		}
-		if r.cancelledAt.Before(asked) {
+		if r.cancelledAt.Before(requestedAt) {
 			s.count("cancelledByList", "")
-			s.drop(r)
+			s.free(r)
 		}
 	}
-	s.engine.listed = true
+	s.engine.workListed = true
 	s.queue.changed = true
 }
 
 // cancelUnowned cancels work that no reservation owns. The list may have been
-// read before an attempt ended, so one that ended since is left to the next;
-// but not in the first list of an engine that was away, whose work was given
-// up and not ended.
-func (s *State) cancelUnowned(w engine.Work, asked time.Time) {
+// read before an attempt ended, so an attempt that ended since the request is
+// left to the next list. This does not apply to the first list of an engine
+// that was unreachable, whose work was given up and may still run.
+func (s *State) cancelUnowned(w engine.Work, requestedAt time.Time) {
 	if s.attempts[w.Attempt] != nil {
 		return
 	}
-	ended, found := s.closed.find(w.Attempt)
-	if found && s.engine.listed && !ended.endedAt.Before(asked) {
+	record, found := s.closed.find(w.Attempt)
+	if found && s.engine.workListed && !record.endedAt.Before(requestedAt) {
 		return
 	}
-	s.orders++
+	s.lastSequence++
 	r := &reservation{
-		order:     s.orders,
+		sequence:  s.lastSequence,
 		reserve:   message.Reserve{Attempt: w.Attempt, Phase: w.Phase},
 		stage:     stageCancelling,
 		tokens:    w.Tokens,
-		from:      s.now,
+		heldFrom:  s.now,
 		startedAt: s.now,
 	}
 	s.attempts[w.Attempt] = r
@@ -204,14 +206,14 @@
 	s.cancel(r)
 }
 
-// loadReported uses the engine's lagging report only to look for work that
-// the gate does not know of; the gate's own sums come first.
-func (s *State) loadReported(e LoadReported) {
+// handleLoadReported uses the engine's lagging report only to detect work that
+// the gate does not know of. The gate's own sums take precedence.
+func (s *State) handleLoadReported(e LoadReported) {
 	used := e.Report.TotalTokens - e.Report.FreeTokens
-	if used <= s.usedTokens() || len(s.engine.listsAsked) > 0 {
+	if used <= s.usedTokens() || len(s.engine.pendingLists) > 0 {
 		return
 	}
-	if s.now.Sub(s.engine.listAskedAt) >= s.config.RepairEvery && s.ready() {
+	if s.now.Sub(s.engine.lastListAt) >= s.config.RepairEvery && s.ready() {
 		s.listWork()
 	}
 }
--- a/internal/reducer/gate/reduce.go
+++ b/internal/reducer/gate/reduce.go
@@ -5,75 +5,79 @@
 	"time"
 )
 
-// longestStep bounds by how many tick periods one event moves lease time on.
-const longestStep = 3
+// maxLeaseTicks is the number of tick periods by which one event advances the
+// lease clock at most.
+const maxLeaseTicks = 3
 
-// Reduce takes one event into the state and returns what is to be done, in
-// order. Events may come in any order; time never goes back.
+// Reduce applies one event to the state and returns the effects to carry out,
+// in order. Events may come in any order; the time of the state never goes
+// back.
 func Reduce(s *State, e Event) []Effect {
 	s.effects = nil
-	s.advance(e.occurred())
+	s.advanceClock(e.occurred())
 	s.dispatch(e)
 	s.startArrived()
 	s.grantQueued()
-	s.announce()
+	s.announceState()
 	return s.effects
 }
 
 func (s *State) dispatch(e Event) {
 	switch e := e.(type) {
 	case Received:
-		s.received(e)
+		s.handleMessage(e)
 	case Renewed:
 		s.renew(e.Session)
 	case Closed:
-		s.sessionClosed(e.Session)
+		s.handleSessionClosed(e.Session)
 	case EnginePrefilled:
-		s.prefilled(e)
+		s.handlePrefilled(e)
 	case EnginePart:
-		s.part(e)
+		s.handlePart(e)
 	case WorkFailed:
-		s.workFailed(e)
+		s.handleWorkFailed(e)
 	case ServiceAnswered:
-		s.serviceAnswered(e)
+		s.handleServiceAnswered(e)
 	case Cancelled:
-		s.cancelled(e)
+		s.handleCancelled(e)
 	case Ticked:
-		s.tick()
+		s.handleTick()
 	default:
 		s.dispatchServer(e)
 	}
 }
 
-// dispatchServer takes what is about the server as a whole.
+// dispatchServer handles the events that concern the server as a whole.
 func (s *State) dispatchServer(e Event) {
 	switch e := e.(type) {
 	case LoadReported:
-		s.loadReported(e)
+		s.handleLoadReported(e)
 	case WorkListed:
-		s.workListed(e)
+		s.handleWorkListed(e)
 	case CacheChanged:
-		s.cacheChanged(e)
+		s.handleCacheChanged(e)
 	case CacheListed:
-		s.cacheListed(e)
+		s.handleCacheListed(e)
 	case EngineKnown:
-		s.engineKnown(e)
+		s.handleEngineKnown(e)
 	case EngineLost:
-		s.engineLost()
+		s.handleEngineLost()
 	case Declared:
-		s.declared(e)
+		s.handleDeclared(e)
 	case Stopping:
-		s.stopping()
+		s.handleStopping()
 	}
 }
 
-// advance moves the clock on.
+// advanceClock sets the current time to the time of an event and advances the
+// lease clock.
 //
-// After a pause of the whole process the first event would find every lease
-// over, although the renewals lie unread in the sockets: all work would be
-// cancelled at once, seen as a burst of leaseEnded. So lease time moves by a
-// few ticks at most for one event; a pause lengthens a lease by its own time.
-func (s *State) advance(at time.Time) {
+// After a pause of the whole process, the first event would find every lease
+// expired, although the renewals are still unread in the sockets. All work
+// would be cancelled at once, in a burst of leaseEnded refusals. Therefore one
+// event advances the lease clock by a few ticks at most, and a pause extends
+// every lease by its own length.
+func (s *State) advanceClock(at time.Time) {
 	if s.started.IsZero() {
 		s.started = at
 		s.now = at
@@ -84,21 +88,21 @@
 	}
 	step := at.Sub(s.now)
 	s.now = at
-	awake := min(step, longestStep*s.config.TickEvery)
-	s.awake += awake
-	s.paused += step - awake
-	s.urgentPeak *= math.Exp2(-awake.Seconds() / peakHalves.Seconds())
+	leaseStep := min(step, maxLeaseTicks*s.config.TickEvery)
+	s.leaseClock += leaseStep
+	s.paused += step - leaseStep
+	s.urgentPeak *= math.Exp2(-leaseStep.Seconds() / peakHalfLife.Seconds())
 }
 
-// tick does what only time brings about.
-func (s *State) tick() {
-	s.endLeases()
-	s.endLateStarts()
-	s.endHopeless()
+// handleTick does everything that is triggered by the passage of time alone.
+func (s *State) handleTick() {
+	s.expireLeases()
+	s.refuseLateStarts()
+	s.refuseLate()
 	s.expireResults()
-	s.askCancelAgain()
+	s.retryCancels()
 	s.queue.changed = s.queue.length > 0
-	s.askWork()
-	s.askCache()
-	s.closed.forget(s)
+	s.listWorkIfDue()
+	s.listCacheIfNeeded()
+	s.closed.expire(s)
 }
--- a/internal/reducer/gate/reserve.go
+++ b/internal/reducer/gate/reserve.go
@@ -7,23 +7,24 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// shortestRetry is the least that a refusal has its entry wait.
-const shortestRetry = 50 * time.Millisecond
+// minRetryAfter is the lower bound of the retry delays that follow from a
+// prediction, and the retry delay of some refusals without one.
+const minRetryAfter = 50 * time.Millisecond
 
-// reserve answers a Reserve by an Offer or a Refusal.
-func (s *State) reserve(k *session, m message.Reserve) {
-	if k.held != nil {
-		s.reserveAgain(k, m)
+// handleReserve answers a Reserve with an Offer or a Refusal.
+func (s *State) handleReserve(k *session, m message.Reserve) {
+	if k.reservation != nil {
+		s.handleRepeatedReserve(k, m)
 		return
 	}
-	refusal, refused := s.unfit(m)
+	refusal, refused := s.checkReserve(m)
 	if refused {
 		s.refuseSession(k.id, refusal)
 		return
 	}
 	r := s.newReservation(k, m)
 	wait := s.predictedWait(r)
-	refusal, refused = s.hopeless(r, wait)
+	refusal, refused = s.checkDeadline(r, wait)
 	if refused {
 		s.refuseSession(k.id, refusal)
 		return
@@ -31,77 +32,81 @@
 	s.admit(k, r, wait)
 }
 
-// reserveAgain takes a second Reserve of one session: a doubled one is
-// ignored, another one ends the session.
-func (s *State) reserveAgain(k *session, m message.Reserve) {
-	if k.held.reserve.Attempt == m.Attempt {
+// handleRepeatedReserve handles a second Reserve of one session. A duplicate is
+// ignored; a Reserve of another attempt ends the session.
+func (s *State) handleRepeatedReserve(k *session, m message.Reserve) {
+	if k.reservation.reserve.Attempt == m.Attempt {
 		s.count("doubled", "")
 		return
 	}
-	held := k.held
+	held := k.reservation
 	s.refuseSession(k.id, message.Refusal{
 		Attempt: m.Attempt,
 		Reason:  oriolebend.ReasonMalformed,
 		Ran:     s.ranOf(m.Attempt),
 		Detail:  "the session holds another attempt",
 	})
-	s.letGo(held)
+	s.abandon(held)
 }
 
-// admit puts a reservation in the queue and offers what comes of it.
+// admit puts a reservation in the queue, grants it if it can, and replies with
+// an Offer or a Refusal.
 func (s *State) admit(k *session, r *reservation, wait time.Duration) {
 	full := s.queue.length >= s.config.QueueBound
-	k.held = r
+	k.reservation = r
 	s.attempts[r.reserve.Attempt] = r
 	r.stage = stageQueued
 	s.queue.add(r)
-	// Far behind, nothing can be granted that could not before.
-	if s.queue.ahead(r) < backfillDepth {
+	// Beyond this depth, a new reservation makes no grant possible that was not
+	// possible before.
+	if s.queue.countAhead(r) < backfillDepth {
 		s.queue.changed = true
 		s.grantQueued()
 	}
 	if r.stage != stageQueued {
-		s.emit(Reply{Session: k.id, Message: s.offer(r, 0)})
+		s.emit(Reply{Session: k.id, Message: s.newOffer(r, 0)})
 		return
 	}
 	if full && r.reserve.Hold {
-		full = s.displace(r)
+		full = s.evictFor(r)
 	}
 	if r.reserve.Hold && !full {
-		r.offered = true
-		s.emit(Reply{Session: k.id, Message: s.offer(r, wait)})
+		r.offerSent = true
+		s.emit(Reply{Session: k.id, Message: s.newOffer(r, wait)})
 		return
 	}
 	reason := oriolebend.ReasonQueueFull
 	if !r.reserve.Hold {
-		reason = s.scarce(r)
+		reason = s.shortageReason(r)
 	}
-	s.drop(r)
+	s.free(r)
 	s.refuseSession(k.id, message.Refusal{
 		Attempt:    r.reserve.Attempt,
 		Reason:     reason,
 		Ran:        oriolebend.RanNo,
-		RetryAfter: max(wait, shortestRetry),
+		RetryAfter: max(wait, minRetryAfter),
 	})
 }
 
-// displace makes room in a full queue for r at the cost of another, and
-// reports whether the queue is still full. Otherwise one organisation's flood
-// would have every other refused, and briefs would have pings refused.
-func (s *State) displace(r *reservation) (full bool) {
-	victim := s.queue.victim(r)
-	if victim == nil {
+// evictFor evicts another reservation from a full queue in favour of r, and
+// reports whether the queue is still full. Without it, a flood from one
+// organisation would get the requests of all others refused, and briefs would
+// get pings refused.
+func (s *State) evictFor(r *reservation) (full bool) {
+	evicted := s.queue.evictionCandidate(r)
+	if evicted == nil {
 		return true
 	}
-	s.refuseWaiting(victim, message.Refusal{
+	s.refuseUnstarted(evicted, message.Refusal{
 		Reason:     oriolebend.ReasonQueueFull,
-		RetryAfter: max(s.predictedWait(victim), shortestRetry),
+		RetryAfter: max(s.predictedWait(evicted), minRetryAfter),
 	})
 	return false
 }
 
-// scarce names what a reservation that can't be granted now waits for.
-func (s *State) scarce(r *reservation) oriolebend.Reason {
+// shortageReason returns the reason for which a reservation can't be granted
+// now.
+func (s *State) shortageReason(r *reservation) oriolebend.Reason {
 	switch r.reserve.Phase {
 	case message.PhaseDecode:
 		return oriolebend.ReasonNoMemory
@@ -112,35 +117,36 @@
 	}
 }
 
-// unfit refuses what this server can't or must not take, whatever its load.
-func (s *State) unfit(m message.Reserve) (message.Refusal, bool) {
+// checkReserve refuses a reservation that this server can't or must not accept,
+// whatever its load.
+func (s *State) checkReserve(m message.Reserve) (message.Refusal, bool) {
 	refusal := message.Refusal{Attempt: m.Attempt, Ran: oriolebend.RanNo}
-	known, closed := s.closed.find(m.Attempt)
-	_, asked := s.status[m.Attempt]
+	record, closed := s.closed.find(m.Attempt)
+	_, queried := s.statusQueries[m.Attempt]
 	switch {
 	case closed:
-		refusal.Reason = known.reason()
+		refusal.Reason = record.reason()
 		refusal.Ran = s.ranOf(m.Attempt)
-	case s.attempts[m.Attempt] != nil || asked:
+	case s.attempts[m.Attempt] != nil || queried:
 		refusal.Reason = oriolebend.ReasonAttemptUsed
 		refusal.Ran = oriolebend.RanUnknown
-	case s.state() == oriolebend.ServerLeaving:
+	case s.serverState() == oriolebend.ServerLeaving:
 		refusal.Reason = oriolebend.ReasonLeaving
 	case s.engine.lost:
 		refusal.Reason = oriolebend.ReasonServerLost
 		refusal.RetryAfter = s.config.ListEvery
-	case s.state() != oriolebend.ServerServing:
+	case s.serverState() != oriolebend.ServerServing:
 		refusal.Reason = oriolebend.ReasonLoading
 		refusal.RetryAfter = s.config.CancelRetry
 	default:
-		refusal.Reason = s.mismatch(m)
+		refusal.Reason = s.mismatchReason(m)
 	}
 	return refusal, refusal.Reason != ""
 }
 
-// mismatch names why this kind of server can't take the reservation; empty
-// if it can.
-func (s *State) mismatch(m message.Reserve) oriolebend.Reason {
+// mismatchReason returns the reason for which this kind of server can't serve
+// the reservation. It is empty if the server can.
+func (s *State) mismatchReason(m message.Reserve) oriolebend.Reason {
 	info := s.engine.info
 	if phaseOf(info.Role) != m.Phase {
 		return oriolebend.ReasonWrongRole
@@ -158,13 +164,13 @@
 	if m.PromptTokens < 0 || m.MaxTokens < 0 {
 		return oriolebend.ReasonMalformed
 	}
-	if memoryOf(m) > info.KVTokens {
+	if kvTokens(m) > info.KVTokens {
 		return oriolebend.ReasonNoMemory
 	}
 	return ""
 }
 
-// phaseOf is the phase that servers of a role run.
+// phaseOf returns the phase that servers of a role run.
 func phaseOf(role oriolebend.PoolRole) message.Phase {
 	switch role {
 	case oriolebend.Prefill:
@@ -176,10 +182,11 @@
 	}
 }
 
-// memoryOf is the KV memory that a reservation holds, in tokens. A decode
-// holds its longest output too: an engine that ran out of memory in the middle
-// of a generation would have to drop what was paid for.
-func memoryOf(m message.Reserve) int {
+// kvTokens returns the KV memory that a reservation holds, in tokens. A decode
+// also holds the memory of its longest possible output: an engine that ran out
+// of memory in the middle of a generation would have to drop work that was
+// already paid for.
+func kvTokens(m message.Reserve) int {
 	switch m.Phase {
 	case message.PhasePrefill:
 		return m.PromptTokens
@@ -191,32 +198,33 @@
 }
 
 func (s *State) newReservation(k *session, m message.Reserve) *reservation {
-	s.orders++
+	s.lastSequence++
 	r := &reservation{
-		order:      s.orders,
+		sequence:   s.lastSequence,
 		session:    k.id,
 		reserve:    m,
-		tokens:     memoryOf(m),
+		tokens:     kvTokens(m),
 		acceptedAt: s.now.Add(-max(m.Waited, 0)),
 	}
 	if m.Phase == message.PhaseDecode {
-		r.lead = max(m.StartIn, 0)
+		r.leadTime = max(m.StartIn, 0)
 	}
 	if m.Deadline > 0 {
 		r.deadlineAt = s.now.Add(m.Deadline)
 	}
-	r.cached = s.cache.cachedTokens(m.Prefix, m.PromptTokens, s.engine.info.BlockTokens)
-	r.compute = max(m.PromptTokens-r.cached, 1)
-	r.cost = cost(r)
-	r.took = s.predict.took(r)
+	r.cachedTokens = s.cache.cachedTokens(m.Prefix, m.PromptTokens, s.engine.info.BlockTokens)
+	r.uncachedTokens = max(m.PromptTokens-r.cachedTokens, 1)
+	r.cost = reservationCost(r)
+	r.workTime = s.predict.workTime(r)
 	return r
 }
 
-// cost is what an organisation is charged for a reservation, in tokens.
-func cost(r *reservation) float64 {
+// reservationCost returns what an organisation is charged for a reservation, in
+// tokens. A call costs one.
+func reservationCost(r *reservation) float64 {
 	switch r.reserve.Phase {
 	case message.PhasePrefill:
-		return float64(r.compute)
+		return float64(r.uncachedTokens)
 	case message.PhaseDecode:
 		return float64(r.tokens)
 	default:
@@ -224,39 +232,40 @@
 	}
 }
 
-// offer is the gate's true state for a reservation.
-func (s *State) offer(r *reservation, wait time.Duration) message.Offer {
+// newOffer returns an Offer with the gate's actual state for a reservation.
+func (s *State) newOffer(r *reservation, wait time.Duration) message.Offer {
 	m := message.Offer{
 		Attempt:      r.reserve.Attempt,
 		Granted:      r.stage != stageQueued,
-		StartIn:      max(wait, r.lead),
-		CachedTokens: r.cached,
+		StartIn:      max(wait, r.leadTime),
+		CachedTokens: r.cachedTokens,
 		FreeTokens:   s.freeTokens(),
-		LinkBytes:    s.linkLeft(),
+		LinkBytes:    s.linkShare(),
 		LeaseFor:     s.config.Lease,
 	}
 	if r.stage == stageQueued {
-		m.Queued = s.queue.ahead(r)
+		m.Queued = s.queue.countAhead(r)
 	}
 	if r.reserve.Phase == message.PhasePrefill {
-		m.Took = r.took
+		m.Took = r.workTime
 		if m.Granted {
-			m.Took = s.sharedTook(r)
+			m.Took = s.sharedPrefillTime(r)
 		}
 	}
 	return m
 }
 
-// hopeless refuses early what can't meet its deadline: the entry may then
-// answer or go elsewhere at once, and nothing is paid for in vain.
-func (s *State) hopeless(r *reservation, wait time.Duration) (message.Refusal, bool) {
+// checkDeadline refuses a reservation that can't meet its deadline. The entry
+// can then answer its caller or try another server at once, and no work is paid
+// for in vain.
+func (s *State) checkDeadline(r *reservation, wait time.Duration) (message.Refusal, bool) {
 	if r.deadlineAt.IsZero() {
 		return message.Refusal{}, false
 	}
 	refusal := message.Refusal{Attempt: r.reserve.Attempt, Ran: oriolebend.RanNo}
-	first := s.predict.first(r)
-	left := r.reserve.Deadline - first
-	if left < r.lead {
+	firstResult := s.predict.firstResultTime(r)
+	left := r.reserve.Deadline - firstResult
+	if left < r.leadTime {
 		refusal.Reason = oriolebend.ReasonDeadline
 		return refusal, true
 	}
@@ -264,30 +273,30 @@
 		return message.Refusal{}, false
 	}
 	refusal.Reason = oriolebend.ReasonOverloaded
-	refusal.RetryAfter = max(wait-left, shortestRetry)
+	refusal.RetryAfter = max(wait-left, minRetryAfter)
 	return refusal, true
 }
 
-// endHopeless refuses what waits and won't meet its deadline, as soon as that
-// is clear: held back until its deadline, a caller would have lost the time in
-// which it could still have gone elsewhere.
-func (s *State) endHopeless() {
+// refuseLate refuses waiting reservations that won't meet their deadline, as
+// soon as this is clear. A caller that was kept waiting until its deadline
+// would have lost the time in which another server could still have served it.
+func (s *State) refuseLate() {
 	for _, late := range s.queue.late(s) {
-		s.refuseWaiting(late.reservation, message.Refusal{
+		s.refuseUnstarted(late.reservation, message.Refusal{
 			Reason:     oriolebend.ReasonDeadline,
-			RetryAfter: max(late.wait, shortestRetry),
+			RetryAfter: max(late.wait, minRetryAfter),
 		})
 	}
 }
 
-// refuseWaiting refuses a reservation whose work did not start.
-func (s *State) refuseWaiting(r *reservation, m message.Refusal) {
+// refuseUnstarted refuses a reservation whose work did not start.
+func (s *State) refuseUnstarted(r *reservation, m message.Refusal) {
 	m.Attempt = r.reserve.Attempt
 	m.Ran = oriolebend.RanNo
 	if r.stage != stageQueued {
 		s.closed.add(s, m.Attempt, false)
 	}
 	id := r.session
-	s.drop(r)
+	s.free(r)
 	s.refuseSession(id, m)
 }
--- a/internal/reducer/gate/session.go
+++ b/internal/reducer/gate/session.go
@@ -5,21 +5,21 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// received takes a message of an entry.
-func (s *State) received(e Received) {
+// handleMessage handles a message of an entry.
+func (s *State) handleMessage(e Received) {
 	switch m := e.Message.(type) {
 	case message.Reserve:
-		s.reserve(s.open(e.Session), m)
+		s.handleReserve(s.open(e.Session), m)
 	case message.Prefill:
 		s.startPrefill(e.Session, m)
 	case message.Decode:
-		s.startDecode(e.Session, m)
+		s.acceptDecode(e.Session, m)
 	case message.Call:
 		s.startCall(e.Session, m)
 	case message.Release:
 		s.release(e.Session, m)
 	case message.StatusQuery:
-		s.askStatus(s.open(e.Session), m)
+		s.queryStatus(s.open(e.Session), m)
 	default:
 		s.refuseSession(e.Session, message.Refusal{
 			Reason: oriolebend.ReasonMalformed,
@@ -29,73 +29,74 @@
 	}
 }
 
-// open returns the session, new if it was not known, as just heard of.
+// open returns the session with this id. It creates the session if it does not
+// exist, and renews its lease otherwise.
 func (s *State) open(id SessionID) *session {
-	if known := s.sessions[id]; known != nil {
+	if sess := s.sessions[id]; sess != nil {
 		s.renew(id)
-		return known
+		return sess
 	}
-	opened := &session{id: id, heard: s.awake}
-	opened.element = s.leases.PushBack(opened)
+	opened := &session{id: id, renewedAt: s.leaseClock}
+	opened.leaseElement = s.leases.PushBack(opened)
 	s.sessions[id] = opened
 	return opened
 }
 
-// renew starts the session's lease anew.
+// renew restarts the session's lease.
 func (s *State) renew(id SessionID) {
-	known := s.sessions[id]
-	if known == nil {
+	sess := s.sessions[id]
+	if sess == nil {
 		return
 	}
-	known.heard = s.awake
-	s.leases.MoveToBack(known.element)
+	sess.renewedAt = s.leaseClock
+	s.leases.MoveToBack(sess.leaseElement)
 }
 
-// forgetSession drops a session; its reservation is let go by the caller.
-func (s *State) forgetSession(id SessionID) {
-	known := s.sessions[id]
-	if known == nil {
+// removeSession removes a session. The caller must abandon its reservation.
+func (s *State) removeSession(id SessionID) {
+	sess := s.sessions[id]
+	if sess == nil {
 		return
 	}
-	s.leases.Remove(known.element)
+	s.leases.Remove(sess.leaseElement)
 	delete(s.sessions, id)
-	if known.held != nil {
-		known.held.session = ""
+	if sess.reservation != nil {
+		sess.reservation.session = ""
 	}
 }
 
-// refuseSession tells the entry a refusal and ends the session.
+// refuseSession sends a refusal to the entry and ends the session.
 func (s *State) refuseSession(id SessionID, m message.Refusal) {
 	s.count("refusal", m.Reason)
 	s.emit(Reply{Session: id, Message: m})
 	s.emit(EndSession{Session: id})
-	s.forgetSession(id)
+	s.removeSession(id)
 }
 
-// reservationOf returns the reservation that the session holds for the
-// attempt, or nil.
+// reservationOf returns the reservation that the session holds for the attempt,
+// or nil. It renews the lease of a session that holds a reservation.
 func (s *State) reservationOf(id SessionID, a message.Attempt) *reservation {
-	known := s.sessions[id]
-	if known == nil || known.held == nil {
+	sess := s.sessions[id]
+	if sess == nil || sess.reservation == nil {
 		return nil
 	}
 	s.renew(id)
-	if known.held.reserve.Attempt != a {
+	if sess.reservation.reserve.Attempt != a {
 		return nil
 	}
-	return known.held
+	return sess.reservation
 }
 
-// refuseWork refuses work that came without the reservation it needs, and
-// ends what the session holds instead. The attempt is closed: a Reserve that
-// comes after its own work is out of order.
+// refuseWork refuses work that arrived without the reservation it needs, and
+// ends the reservation that the session holds instead. The attempt is closed,
+// because a Reserve that arrives after its own work is out of order.
 func (s *State) refuseWork(id SessionID, a message.Attempt) {
 	reason := oriolebend.ReasonNotReserved
 	if known, found := s.closed.find(a); found {
 		reason = known.reason()
 	}
-	if known := s.sessions[id]; known != nil && known.held != nil {
-		s.letGo(known.held)
+	if known := s.sessions[id]; known != nil && known.reservation != nil {
+		s.abandon(known.reservation)
 	}
 	if s.attempts[a] == nil {
 		s.closed.add(s, a, false)
@@ -103,38 +104,39 @@
 	s.refuseSession(id, message.Refusal{Attempt: a, Reason: reason, Ran: s.ranOf(a)})
 }
 
-// ranOf says whether an attempt ran at this gate, as far as it is known: "no"
-// only if its reservation is closed and nothing was let through by it.
+// ranOf returns whether an attempt ran at this gate, as far as the gate knows.
+// The result is "no" only if the attempt's reservation is closed and its work
+// was never sent to the server.
 func (s *State) ranOf(a message.Attempt) oriolebend.Ran {
-	known, found := s.closed.find(a)
+	record, found := s.closed.find(a)
 	if !found || s.attempts[a] != nil {
 		return oriolebend.RanUnknown
 	}
-	return known.ran()
+	return record.ran()
 }
 
-// sessionClosed lets go of what a session held.
-func (s *State) sessionClosed(id SessionID) {
-	known := s.sessions[id]
-	if known == nil {
+// handleSessionClosed abandons the reservation of a session that ended.
+func (s *State) handleSessionClosed(id SessionID) {
+	sess := s.sessions[id]
+	if sess == nil {
 		return
 	}
-	s.forgetSession(id)
-	if known.held != nil {
-		s.letGo(known.held)
+	s.removeSession(id)
+	if sess.reservation != nil {
+		s.abandon(sess.reservation)
 	}
 }
 
-// release gives a reservation back. One that never came here is remembered
-// as closed, so that a Reserve which crosses its Release is refused.
+// release ends a reservation for its entry. An attempt without a reservation is
+// recorded as closed, so that a Reserve that its Release overtook is refused.
 func (s *State) release(id SessionID, m message.Release) {
 	held := s.reservationOf(id, m.Attempt)
 	if held == nil {
 		s.releaseOther(id, m)
 		return
 	}
-	s.forgetSession(id)
-	s.letGo(held)
+	s.removeSession(id)
+	s.abandon(held)
 	s.emit(EndSession{Session: id})
 }
 
@@ -150,7 +152,7 @@
 	}
 	if live.session != "" && live.session != id {
 		s.emit(EndSession{Session: live.session})
-		s.forgetSession(live.session)
+		s.removeSession(live.session)
 	}
-	s.letGo(live)
+	s.abandon(live)
 }
--- a/internal/reducer/gate/state.go
+++ b/internal/reducer/gate/state.go
@@ -9,107 +9,118 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// stage is how far a reservation has come.
+// stage is the progress of a reservation.
 type stage string
 
 const (
-	// stageQueued waits for room.
+	// stageQueued waits for capacity.
 	stageQueued stage = "queued"
-	// stageGranted holds room; its work has not come yet.
+	// stageGranted holds capacity, and its work has not arrived yet.
 	stageGranted stage = "granted"
-	// stageArrived has its decode here before the room is really free.
+	// stageArrived has received its decode before the capacity is actually
+	// free.
 	stageArrived stage = "arrived"
 	// stageWorking has its work at the server.
 	stageWorking stage = "working"
 	// stagePrefilled has a result that the engine still holds.
 	stagePrefilled stage = "prefilled"
-	// stageCancelling is over for its entry; the server has not confirmed.
+	// stageCancelling has ended for its entry, and the server has not confirmed
+	// the end yet.
 	stageCancelling stage = "cancelling"
-	// stageOver holds nothing any more.
-	stageOver stage = "over"
+	// stageEnded holds nothing any more.
+	stageEnded stage = "over"
 )
 
-// reservation is one attempt from its Reserve until its room is free again.
+// reservation is one attempt from its Reserve until its capacity is free again.
 type reservation struct {
-	// order numbers reservations by their arrival.
-	order   uint64
-	session SessionID
-	reserve message.Reserve
-	stage   stage
-	// tokens is the KV memory to hold, compute the uncached prompt tokens.
-	tokens  int
-	compute int
-	// cached is how much of the prompt the engine held, in tokens.
-	cached int
-	// offered is true once the entry was told that it waits.
-	offered bool
-	// cost is what the organisation is charged for, in tokens.
+	// sequence numbers reservations by their arrival.
+	sequence uint64
+	session  SessionID
+	reserve  message.Reserve
+	stage    stage
+	// tokens is the KV memory to hold, uncachedTokens the prompt tokens to
+	// compute.
+	tokens         int
+	uncachedTokens int
+	// cachedTokens is the length of the prompt's prefix that the engine has
+	// cached.
+	cachedTokens int
+	// offerSent is true once an Offer informed the entry that the reservation
+	// waits.
+	offerSent bool
+	// cost is what the organisation is charged, in tokens.
 	cost float64
-	// took is the predicted time of the work itself.
-	took time.Duration
+	// workTime is the predicted duration of the work itself.
+	workTime time.Duration
 	// acceptedAt is when the request was accepted, by this gate's clock.
 	acceptedAt time.Time
-	// deadlineAt is when the first token is due; zero if it isn't bound.
+	// deadlineAt is when the first token is due. It is zero without a deadline.
 	deadlineAt time.Time
-	// lead is the time from the grant until the room is needed.
-	lead time.Duration
-	// from is when on the room is held.
-	from time.Time
-	// paused is how long the gate had paused at the time of the grant.
-	paused time.Duration
-	// decode waits for room, until startBy; promisedAt is when it was due.
+	// leadTime is the time from the grant until the capacity is needed.
+	leadTime time.Duration
+	// heldFrom is the time from which the capacity is held.
+	heldFrom time.Time
+	// pausedAtGrant is the value of State.paused at the time of the grant.
+	pausedAtGrant time.Duration
+	// decode waits for capacity until startBy. promisedAt is the time from
+	// which the capacity was promised.
 	decode  message.Decode
 	startBy time.Time
-	// endBy is when the transfer of that decode is due.
-	endBy      time.Time
+	// transferBy is when the transfer of that decode is due.
+	transferBy time.Time
 	promisedAt time.Time
-	// startedAt is when the work went to the server.
+	// startedAt is when the work was sent to the server.
 	startedAt time.Time
-	// computing is true while a prefill takes a slot.
-	computing bool
-	// expiresAt is when the engine drops a prefill result.
+	// holdsSlot is true while a prefill occupies a slot.
+	holdsSlot bool
+	// expiresAt is when the gate counts a prefill result as dropped by the
+	// engine.
 	expiresAt time.Time
-	// firstPart is true once output came; lastPart is when the latest came.
-	firstPart bool
-	lastPart  time.Time
-	output    int
-	// cancelledAt is when the cancellation began, askedAt when it was asked
-	// for last.
-	cancelledAt, askedAt time.Time
+	// hasOutput is true once output arrived. lastOutputAt is when the latest
+	// part arrived.
+	hasOutput    bool
+	lastOutputAt time.Time
+	outputTokens int
+	// cancelledAt is when the cancellation began, cancelSentAt when it was last
+	// sent.
+	cancelledAt, cancelSentAt time.Time
 }
 
-// session is one session and the reservation that it carries, if any.
+// session is a session and the reservation that it carries, if any.
 type session struct {
-	id   SessionID
-	held *reservation
-	// heard is the awake time at which the peer was heard of last.
-	heard   time.Duration
-	element *list.Element
+	id          SessionID
+	reservation *reservation
+	// renewedAt is the lease clock at the last sign of life from the peer.
+	renewedAt    time.Duration
+	leaseElement *list.Element
 }
 
-// State is all that a gate knows. It is changed by Reduce only.
+// State is everything that a gate knows. Only Reduce changes it.
 type State struct {
 	config Config
 	now    time.Time
 	// started is the time of the first event.
 	started time.Time
-	// awake is how long the gate has run, without pauses of its process.
-	awake time.Duration
-	// paused is how long those pauses were.
+	// leaseClock is how long the gate has run, without the pauses of its
+	// process.
+	leaseClock time.Duration
+	// paused is the total length of those pauses.
 	paused time.Duration
-	// urgentPeak is the most memory that urgent reservations held of late.
+	// urgentPeak is the decaying peak of the memory that urgent reservations
+	// held.
 	urgentPeak float64
 
 	sessions map[SessionID]*session
-	// leases holds the sessions, the one heard of longest ago first.
-	leases   *list.List
-	attempts map[message.Attempt]*reservation
-	orders   uint64
+	// leases holds the sessions in the order of their last renewal, the oldest
+	// first.
+	leases       *list.List
+	attempts     map[message.Attempt]*reservation
+	lastSequence uint64
 
-	queue   queue
-	arrived []*reservation
-	closed  closedMemory
-	status  map[message.Attempt][]SessionID
+	queue         queue
+	arrived       []*reservation
+	closed        closedAttempts
+	statusQueries map[message.Attempt][]SessionID
 
 	engine  engineState
 	cache   cacheIndex
@@ -127,51 +138,51 @@
 	// lost is true while the engine does not answer.
 	lost bool
 	// listed is true once the work list was read in this incarnation.
-	listed bool
-	info   engine.Info
-	// listsAsked holds when each ListWork went that wasn't answered; answers
-	// come in the same order. The next listsStale of them were asked for
-	// before the engine came back and are of no use.
-	listsAsked []time.Time
-	listsStale int
-	// listAskedAt is when the latest ListWork went.
-	listAskedAt time.Time
+	workListed bool
+	info       engine.Info
+	// pendingLists holds when each unanswered ListWork was emitted. Answers
+	// come in the same order. The first staleLists of them were requested
+	// before the engine was reachable again, so their answers are ignored.
+	pendingLists []time.Time
+	staleLists   int
+	// lastListAt is when the latest ListWork was emitted.
+	lastListAt time.Time
 }
 
 // New returns the state of a gate that knows nothing of its server yet.
 func New(c Config) *State {
-	c = c.filled()
+	c = c.withDefaults()
 	s := &State{
-		config:   c,
-		sessions: map[SessionID]*session{},
-		leases:   list.New(),
-		attempts: map[message.Attempt]*reservation{},
-		queue:    newQueue(c),
-		closed:   newClosedMemory(c),
-		status:   map[message.Attempt][]SessionID{},
-		cache:    newCacheIndex(c),
-		predict:  newPredictor(c),
+		config:        c,
+		sessions:      map[SessionID]*session{},
+		leases:        list.New(),
+		attempts:      map[message.Attempt]*reservation{},
+		queue:         newQueue(c),
+		closed:        newClosedAttempts(c),
+		statusQueries: map[message.Attempt][]SessionID{},
+		cache:         newCacheIndex(c),
+		predict:       newPredictor(c),
 	}
 	if c.Role == oriolebend.Service {
 		s.engine.known = true
-		s.engine.listed = true
+		s.engine.workListed = true
 		s.engine.info.Role = oriolebend.Service
 	}
-	s.limit = s.freshLimit()
+	s.limit = s.initialLimit()
 	return s
 }
 
-// freshLimit is the adaptive limit for a server of this role.
-func (s *State) freshLimit() limit {
+// initialLimit returns the initial adaptive limit for a server of this role.
+func (s *State) initialLimit() limit {
 	if s.engine.info.Role == oriolebend.Service {
 		return newLimit(1, s.config.Concurrency)
 	}
-	return newLimit(leastDecodes, s.config.DecodeSlots)
+	return newLimit(minDecodes, s.config.DecodeSlots)
 }
 
 // ready reports whether the gate knows enough of its server to grant.
 func (s *State) ready() bool {
-	return s.engine.known && s.engine.listed
+	return s.engine.known && s.engine.workListed
 }
 
 func (s *State) emit(e Effect) {
--- a/internal/reducer/gate/status.go
+++ b/internal/reducer/gate/status.go
@@ -5,43 +5,43 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// mostStatus bounds the status queries in progress.
-const mostStatus = 64
+// maxStatusQueries bounds the status queries in progress.
+const maxStatusQueries = 64
 
-// askStatus has the service tell the outcome of an earlier call. The attempt
-// is closed first: otherwise a call that is still on its way could run after
-// the service has told that it knows nothing of it.
-func (s *State) askStatus(k *session, m message.StatusQuery) {
+// queryStatus queries the service for the outcome of an earlier call. The
+// attempt is closed first. Otherwise a call that is still in transit could run
+// after the service has answered that it does not know the call.
+func (s *State) queryStatus(k *session, m message.StatusQuery) {
 	refusal := message.Refusal{Attempt: m.Attempt, Ran: oriolebend.RanUnknown}
 	switch {
-	case k.held != nil || s.engine.info.Role != oriolebend.Service:
+	case k.reservation != nil || s.engine.info.Role != oriolebend.Service:
 		refusal.Reason = oriolebend.ReasonMalformed
 	case s.attempts[m.Attempt] != nil:
 		refusal.Reason = oriolebend.ReasonAttemptUsed
-		refusal.RetryAfter = s.predict.callTook()
-	case len(s.status) >= mostStatus:
+		refusal.RetryAfter = s.predict.callTime()
+	case len(s.statusQueries) >= maxStatusQueries:
 		refusal.Reason = oriolebend.ReasonConcurrency
-		refusal.RetryAfter = s.predict.callTook()
+		refusal.RetryAfter = s.predict.callTime()
 	}
 	if refusal.Reason != "" {
-		held := k.held
+		held := k.reservation
 		s.refuseSession(k.id, refusal)
 		if held != nil {
-			s.letGo(held)
+			s.abandon(held)
 		}
 		return
 	}
 	s.closed.add(s, m.Attempt, false)
-	waiting := s.status[m.Attempt]
-	s.status[m.Attempt] = append(waiting, k.id)
+	waiting := s.statusQueries[m.Attempt]
+	s.statusQueries[m.Attempt] = append(waiting, k.id)
 	if len(waiting) == 0 {
 		s.emit(AskStatus{Query: m})
 	}
 }
 
-// serviceAnswered passes the answer of a call or of a status query on. Both
-// can't be out for one attempt at the same time.
-func (s *State) serviceAnswered(e ServiceAnswered) {
+// handleServiceAnswered forwards the answer of a call or of a status query. The
+// two can't be in progress for one attempt at the same time.
+func (s *State) handleServiceAnswered(e ServiceAnswered) {
 	r := s.attempts[e.Answer.Attempt]
 	if r == nil {
 		s.answerStatus(e.Answer.Attempt, e.Answer)
@@ -52,16 +52,17 @@
 		return
 	}
 	took := s.now.Sub(r.startedAt)
-	s.predict.called(took)
-	s.limit.callTook(took, s.committed().slots)
+	s.predict.observeCall(took)
+	s.limit.observeCall(took, s.committed().slots)
 	if r.session != "" {
 		s.emit(Reply{Session: r.session, Message: e.Answer})
 	}
 	s.finish(r)
 }
 
-// statusFailed tells those who asked that the outcome isn't known.
-func (s *State) statusFailed(e WorkFailed) {
+// handleStatusFailed informs the sessions that queried that the outcome isn't
+// known.
+func (s *State) handleStatusFailed(e WorkFailed) {
 	s.answerStatus(e.Attempt, message.Refusal{
 		Attempt: e.Attempt,
 		Reason:  e.Reason,
@@ -70,10 +71,10 @@
 	})
 }
 
-// answerStatus answers every session that asked for the attempt's outcome.
+// answerStatus answers every session that queried the attempt's outcome.
 func (s *State) answerStatus(a message.Attempt, m message.Message) {
-	waiting := s.status[a]
-	delete(s.status, a)
+	waiting := s.statusQueries[a]
+	delete(s.statusQueries, a)
 	if len(waiting) == 0 {
 		s.count("stray", "")
 	}
@@ -83,6 +84,6 @@
 		}
 		s.emit(Reply{Session: id, Message: m})
 		s.emit(EndSession{Session: id})
-		s.forgetSession(id)
+		s.removeSession(id)
 	}
 }
--- a/internal/reducer/gate/timing_bench_test.go
+++ b/internal/reducer/gate/timing_bench_test.go
@@ -24,44 +24,44 @@
 	afterPrefill   timing = "afterPrefill"
 )
 
-// Sizes of the modelled site: prefill and decode are as large as each other,
+// Sizes of the modelled site: the prefill and decode pools have equal capacity,
 // and decode memory holds about twenty requests.
 const (
 	modelPrefills   = 3
 	modelRate       = 20_000 // tokens a second of one prefill server
 	modelStep       = 25 * time.Millisecond
-	modelLives      = 800 * time.Millisecond
+	modelResultLife = 800 * time.Millisecond
 	modelNetwork    = 1500 * time.Microsecond
-	modelLasts      = 5 * time.Minute
+	modelDuration   = 5 * time.Minute
 	modelPings      = 2.0 // a second
 	modelSeeds      = 3
 	modelBriefSize  = 8000.0
 	modelBriefTaken = 100.0
 )
 
-// happening is something of the model that comes at its time.
-type happening struct {
+// scheduledEvent is an action of the model at a given time.
+type scheduledEvent struct {
 	at    time.Time
 	order int
 	do    func()
 }
 
-type calendar []happening
+type eventHeap []scheduledEvent
 
-func (c calendar) Len() int { return len(c) }
+func (c eventHeap) Len() int { return len(c) }
 
-func (c calendar) Less(i, j int) bool {
+func (c eventHeap) Less(i, j int) bool {
 	if !c[i].at.Equal(c[j].at) {
 		return c[i].at.Before(c[j].at)
 	}
 	return c[i].order < c[j].order
 }
 
-func (c calendar) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (c eventHeap) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
 
-func (c *calendar) Push(x any) { *c = append(*c, x.(happening)) }
+func (c *eventHeap) Push(x any) { *c = append(*c, x.(scheduledEvent)) }
 
-func (c *calendar) Pop() any {
+func (c *eventHeap) Pop() any {
 	last := len(*c) - 1
 	h := (*c)[last]
 	*c = (*c)[:last]
@@ -76,34 +76,35 @@
 	prompt  int
 	output  int
 	prefill *modelGate
-	// ready is true once the prefill result exists, room once decode room is
-	// granted, running once the decode was sent.
-	ready, room, running, waitsToStart bool
+	// prefilled is true once the prefill result exists, granted once decode
+	// memory is granted, decodeSent once the decode was sent. mayPrefill is
+	// true from the prefill's grant until the prefill is sent.
+	prefilled, granted, decodeSent, mayPrefill bool
 }
 
 // modelGate is a gate with its engine.
 type modelGate struct {
 	m     *model
 	state *State
-	// freeAt is when a prefill engine has computed what it has.
+	// freeAt is when a prefill engine completes the work that it has.
 	freeAt time.Time
 }
 
-// model is a site with one decode server, whose entry reserves decode memory
-// at one of the timings.
+// model is a site with one decode server, whose entry reserves decode memory at
+// one of the timings.
 type model struct {
-	way      timing
-	now      time.Time
-	calendar calendar
-	orders   int
-	// arrivals draws what comes, random how long it takes: so every timing has
-	// the same arrivals.
+	timing    timing
+	now       time.Time
+	events    eventHeap
+	lastOrder int
+	// arrivals draws the requests, random their durations, so that every timing
+	// has the same arrivals.
 	arrivals *rand.Rand
 	random   *rand.Rand
 	prefills []*modelGate
 	decode   *modelGate
 	requests map[string]*modelRequest
-	tries    int
+	starts   int
 
 	computed, wasted float64
 	idle, working    float64
@@ -112,8 +113,8 @@
 	done             int
 }
 
-func newModel(way timing, seed uint64) *model {
-	m := &model{way: way, now: epoch, arrivals: rand.New(rand.NewPCG(seed, 1)), random: rand.New(rand.NewPCG(seed, 2)), requests: map[string]*modelRequest{}}
+func newModel(when timing, seed uint64) *model {
+	m := &model{timing: when, now: epoch, arrivals: rand.New(rand.NewPCG(seed, 1)), random: rand.New(rand.NewPCG(seed, 2)), requests: map[string]*modelRequest{}}
 	for range modelPrefills {
 		m.prefills = append(m.prefills, m.newGate(oriolebend.Prefill))
 	}
@@ -123,20 +124,20 @@
 
 func (m *model) newGate(role oriolebend.PoolRole) *modelGate {
 	g := &modelGate{m: m, state: New(Config{Lease: time.Hour, StartWithin: time.Hour, QueueBound: 1 << 20})}
-	g.feed(EngineKnown{At: m.now, Info: engine.Info{
+	g.apply(EngineKnown{At: m.now, Info: engine.Info{
 		Role: role, KVTokens: benchTokens, BlockTokens: 16, Incarnation: 1,
 		Models: []oriolebend.LoadedModel{{Model: "planner"}},
 	}})
-	g.feed(WorkListed{At: m.now})
+	g.apply(WorkListed{At: m.now})
 	return g
 }
 
 func (m *model) after(d time.Duration, do func()) {
-	m.orders++
-	heap.Push(&m.calendar, happening{at: m.now.Add(d), order: m.orders, do: do})
+	m.lastOrder++
+	heap.Push(&m.events, scheduledEvent{at: m.now.Add(d), order: m.lastOrder, do: do})
 }
 
-// arriveAt has requests arrive at random, so many a second.
+// arriveAt schedules random arrivals at the given rate a second.
 func (m *model) arriveAt(rate float64, arrive func()) {
 	if rate == 0 {
 		return
@@ -147,28 +148,29 @@
 	})
 }
 
-// run has pings and briefs arrive for the model's time.
+// run runs the model for modelDuration with the given rates of pings and
+// briefs.
 func (m *model) run(pings, briefs float64) {
-	end := epoch.Add(modelLasts)
+	end := epoch.Add(modelDuration)
 	m.arriveAt(pings, m.ping)
 	m.arriveAt(briefs, m.brief)
 	m.after(0, m.tick)
 	for m.now.Before(end) {
-		next := heap.Pop(&m.calendar).(happening)
+		next := heap.Pop(&m.events).(scheduledEvent)
 		m.measure(next.at.Sub(m.now).Seconds())
 		m.now = next.at
 		next.do()
 	}
 }
 
-// measure adds up decode memory that works, and that is held for work which
-// has not come.
+// measure sums the decode memory that is used by work, and the memory that is
+// held for work that has not arrived.
 func (m *model) measure(elapsed float64) {
 	for _, held := range m.decode.state.memory.holders {
 		switch {
 		case held.atServer():
 			m.working += float64(held.tokens) * elapsed
-		case !held.from.After(m.now):
+		case !held.heldFrom.After(m.now):
 			m.idle += float64(held.tokens) * elapsed
 		}
 	}
@@ -177,17 +179,17 @@
 
 func (m *model) tick() {
 	for _, g := range append(m.prefills, m.decode) {
-		g.feed(Ticked{At: m.now})
+		g.apply(Ticked{At: m.now})
 	}
 	m.after(100*time.Millisecond, m.tick)
 }
 
 func (m *model) ping() {
-	m.try(&modelRequest{arrived: m.now, urgency: oriolebend.Urgent, prompt: 200, output: 10 + m.arrivals.IntN(20)})
+	m.start(&modelRequest{arrived: m.now, urgency: oriolebend.Urgent, prompt: 200, output: 10 + m.arrivals.IntN(20)})
 }
 
 func (m *model) brief() {
-	m.try(&modelRequest{
+	m.start(&modelRequest{
 		arrived: m.now,
 		urgency: oriolebend.Patient,
 		prompt:  min(int(modelBriefSize*math.Exp(0.5*m.arrivals.NormFloat64())), 60_000),
@@ -195,20 +197,20 @@
 	})
 }
 
-// try starts a request, or starts it anew after its prefill was wasted.
-func (m *model) try(r *modelRequest) {
-	m.tries++
-	r.attempt = message.Attempt{RequestID: fmt.Sprint("r", m.tries), Number: 1}
-	r.ready, r.room, r.running, r.waitsToStart = false, false, false, false
+// start starts a request, or restarts it after its prefill was wasted.
+func (m *model) start(r *modelRequest) {
+	m.starts++
+	r.attempt = message.Attempt{RequestID: fmt.Sprint("r", m.starts), Number: 1}
+	r.prefilled, r.granted, r.decodeSent, r.mayPrefill = false, false, false, false
 	m.requests[r.attempt.RequestID] = r
-	if m.way == atArrival {
+	if m.timing == atArrival {
 		m.reserveDecode(r, 0)
 		return
 	}
 	m.reservePrefill(r)
 }
 
-// reservePrefill takes the prefill server with the shortest predicted wait.
+// reservePrefill chooses the prefill server with the shortest predicted wait.
 func (m *model) reservePrefill(r *modelRequest) {
 	r.prefill = slices.MinFunc(m.prefills, func(a, b *modelGate) int {
 		return int(a.state.predictedWait(a.probe(r)) - b.state.predictedWait(b.probe(r)))
@@ -216,10 +218,11 @@
 	m.reserve(r.prefill, r, message.PhasePrefill, 0)
 }
 
-// probe stands for the request's prefill in predictions.
+// probe returns a reservation that stands for the request's prefill in
+// predictions.
 func (g *modelGate) probe(r *modelRequest) *reservation {
-	probe := &reservation{compute: r.prompt, reserve: message.Reserve{Phase: message.PhasePrefill, Urgency: r.urgency}}
-	probe.took = g.state.predict.took(probe)
+	probe := &reservation{uncachedTokens: r.prompt, reserve: message.Reserve{Phase: message.PhasePrefill, Urgency: r.urgency}}
+	probe.workTime = g.state.predict.workTime(probe)
 	return probe
 }
 
@@ -234,19 +237,19 @@
 	})
 }
 
-// receive brings a message to the gate after the network's time.
+// receive delivers a message to the gate after the network's delay.
 func (g *modelGate) receive(r *modelRequest, msg message.Message) {
 	id := SessionID(r.attempt.RequestID)
-	g.m.after(modelNetwork, func() { g.feed(Received{At: g.m.now, Session: id, Message: msg}) })
+	g.m.after(modelNetwork, func() { g.apply(Received{At: g.m.now, Session: id, Message: msg}) })
 }
 
-func (g *modelGate) feed(e Event) {
+func (g *modelGate) apply(e Event) {
 	for _, effect := range Reduce(g.state, e) {
-		g.carryOut(effect)
+		g.perform(effect)
 	}
 }
 
-func (g *modelGate) carryOut(e Effect) {
+func (g *modelGate) perform(e Effect) {
 	m := g.m
 	switch e := e.(type) {
 	case Reply:
@@ -254,7 +257,7 @@
 		if r == nil {
 			return
 		}
-		m.after(modelNetwork, func() { m.told(g, r, e.Message) })
+		m.after(modelNetwork, func() { m.handleReply(g, r, e.Message) })
 	case RunPrefill:
 		r := m.requests[e.Request.Attempt.RequestID]
 		g.runPrefill(r)
@@ -262,11 +265,11 @@
 		r := m.requests[e.Request.Attempt.RequestID]
 		g.runDecode(r)
 	case CancelWork:
-		m.after(time.Millisecond, func() { g.feed(Cancelled{At: m.now, Attempt: e.Attempt}) })
+		m.after(time.Millisecond, func() { g.apply(Cancelled{At: m.now, Attempt: e.Attempt}) })
 	}
 }
 
-// runPrefill computes one prefill after the other; urgent ones don't wait.
+// runPrefill computes one prefill after the other. Urgent ones don't wait.
 func (g *modelGate) runPrefill(r *modelRequest) {
 	m := g.m
 	took := seconds(float64(r.prompt) / modelRate * (0.85 + 0.3*m.random.Float64()))
@@ -277,13 +280,13 @@
 	g.freeAt = later(m.now, g.freeAt).Add(took)
 	m.computed += float64(r.prompt)
 	m.after(start.Add(took).Sub(m.now), func() {
-		g.feed(EnginePrefilled{At: m.now, Attempt: r.attempt, Result: engine.PrefillResult{
-			Tokens: r.prompt, LivesFor: modelLives, Took: took,
+		g.apply(EnginePrefilled{At: m.now, Attempt: r.attempt, Result: engine.PrefillResult{
+			Tokens: r.prompt, LivesFor: modelResultLife, Took: took,
 		}})
 	})
 }
 
-// runDecode transfers and generates.
+// runDecode transfers the result and generates the output.
 func (g *modelGate) runDecode(r *modelRequest) {
 	m := g.m
 	transfer := seconds(float64(r.prompt) * 10e-6 * (0.8 + 0.4*m.random.Float64()))
@@ -291,13 +294,13 @@
 	step = func(sent int) {
 		part := message.Part{Attempt: r.attempt, Offset: sent, Tokens: 1}
 		if sent == 0 {
-			m.first(r)
+			m.recordFirstToken(r)
 		}
 		if sent+1 == r.output {
 			part.Finish = message.FinishStop
 			m.done++
 		}
-		g.feed(EnginePart{At: m.now, Part: part})
+		g.apply(EnginePart{At: m.now, Part: part})
 		if part.Finish == "" {
 			m.after(modelStep, func() { step(sent + 1) })
 		}
@@ -305,7 +308,7 @@
 	m.after(transfer+modelStep, func() { step(0) })
 }
 
-func (m *model) first(r *modelRequest) {
+func (m *model) recordFirstToken(r *modelRequest) {
 	r.prefill.receive(r, message.Release{Attempt: r.attempt})
 	if r.urgency == oriolebend.Urgent {
 		m.pings = append(m.pings, m.now.Sub(r.arrived))
@@ -314,30 +317,30 @@
 	m.briefs = append(m.briefs, m.now.Sub(r.arrived))
 }
 
-// told takes what a gate said to the model's entry.
-func (m *model) told(g *modelGate, r *modelRequest, msg message.Message) {
+// handleReply handles a gate's message to the model's entry.
+func (m *model) handleReply(g *modelGate, r *modelRequest, msg message.Message) {
 	switch msg := msg.(type) {
 	case message.Offer:
 		if msg.Granted {
-			m.granted(g, r, msg.Took)
+			m.handleGrant(g, r, msg.Took)
 		}
 	case message.Grant:
-		m.granted(g, r, g.state.sharedTook(g.probe(r)))
+		m.handleGrant(g, r, g.state.sharedPrefillTime(g.probe(r)))
 	case message.Prefilled:
-		r.ready = true
-		if m.way == afterPrefill {
+		r.prefilled = true
+		if m.timing == afterPrefill {
 			m.reserveDecode(r, 0)
 		}
 		m.startDecode(r)
 	case message.Refusal:
-		m.refused(g, r)
+		m.handleRefusal(g, r)
 	}
 }
 
-func (m *model) granted(g *modelGate, r *modelRequest, took time.Duration) {
+func (m *model) handleGrant(g *modelGate, r *modelRequest, took time.Duration) {
 	if g == m.decode {
-		r.room = true
-		if m.way == atArrival {
+		r.granted = true
+		if m.timing == atArrival {
 			m.reservePrefill(r)
 			return
 		}
@@ -345,8 +348,8 @@
 		m.startDecode(r)
 		return
 	}
-	r.waitsToStart = true
-	switch m.way {
+	r.mayPrefill = true
+	switch m.timing {
 	case atPrefillStart:
 		m.reserveDecode(r, 0)
 	case atPredictedEnd:
@@ -357,25 +360,26 @@
 }
 
 func (m *model) startPrefill(r *modelRequest) {
-	if r.waitsToStart {
-		r.waitsToStart = false
+	if r.mayPrefill {
+		r.mayPrefill = false
 		r.prefill.receive(r, message.Prefill{Attempt: r.attempt})
 	}
 }
 
 func (m *model) startDecode(r *modelRequest) {
-	if r.ready && r.room && !r.running {
-		r.running = true
+	if r.prefilled && r.granted && !r.decodeSent {
+		r.decodeSent = true
 		m.decode.receive(r, message.Decode{Attempt: r.attempt, TransferWithin: 500 * time.Millisecond})
 	}
 }
 
-// refused wastes a prefill: the result expired, or no room came for it in time.
-func (m *model) refused(g *modelGate, r *modelRequest) {
+// handleRefusal counts a prefill as wasted, because its result expired or no
+// memory became free in time, and restarts the request.
+func (m *model) handleRefusal(g *modelGate, r *modelRequest) {
 	if m.requests[r.attempt.RequestID] != r {
 		return
 	}
-	if g != m.decode && r.running {
+	if g != m.decode && r.decodeSent {
 		return
 	}
 	delete(m.requests, r.attempt.RequestID)
@@ -386,14 +390,14 @@
 	}
 	other.receive(r, message.Release{Attempt: r.attempt})
 	again := *r
-	m.try(&again)
+	m.start(&again)
 }
 
 // runSeeds runs the model with each seed and returns the sums.
-func runSeeds(way timing, pings, briefs float64) *model {
+func runSeeds(when timing, pings, briefs float64) *model {
 	sums := &model{}
 	for seed := range uint64(modelSeeds) {
-		m := newModel(way, seed)
+		m := newModel(when, seed)
 		m.run(pings, briefs)
 		sums.idle += m.idle
 		sums.working += m.working
@@ -407,21 +411,21 @@
 	return sums
 }
 
-// BenchmarkReserveTiming compares when decode memory is reserved, at the same
-// arrivals: what is idle of decode memory, what is wasted of prefill, what
-// pings and briefs wait.
+// BenchmarkReserveTiming compares the timings of the decode reservation at the
+// same arrivals: idle decode memory, wasted prefills, and the waits of pings
+// and briefs.
 func BenchmarkReserveTiming(b *testing.B) {
 	for _, briefs := range []float64{4, 5, 6} {
-		for _, way := range []timing{atArrival, atPrefillStart, atPredictedEnd, afterPrefill} {
-			b.Run(fmt.Sprintf("briefs=%g/%s", briefs, way), func(b *testing.B) {
+		for _, when := range []timing{atArrival, atPrefillStart, atPredictedEnd, afterPrefill} {
+			b.Run(fmt.Sprintf("briefs=%g/%s", briefs, when), func(b *testing.B) {
 				var m *model
 				for b.Loop() {
-					m = runSeeds(way, modelPings, briefs)
+					m = runSeeds(when, modelPings, briefs)
 				}
 				b.ReportMetric(100*m.idle/m.total, "idle%")
 				b.ReportMetric(100*m.working/m.total, "working%")
 				b.ReportMetric(100*m.wasted/m.computed, "wasted%")
-				b.ReportMetric(float64(m.done)/modelSeeds/modelLasts.Seconds(), "done/s")
+				b.ReportMetric(float64(m.done)/modelSeeds/modelDuration.Seconds(), "done/s")
 				b.ReportMetric(float64(percentile(m.pings, 0.99).Milliseconds()), "ping99ms")
 				b.ReportMetric(float64(percentile(m.briefs, 0.5).Milliseconds()), "brief50ms")
 			})
@@ -429,8 +433,8 @@
 	}
 }
 
-// BenchmarkPingsBesideBriefs reports the time to first token of pings while
-// briefs go from none to twice of what the site can do.
+// BenchmarkPingsBesideBriefs reports the time to first token of pings while the
+// rate of briefs goes from zero to twice the site's capacity.
 func BenchmarkPingsBesideBriefs(b *testing.B) {
 	for _, briefs := range []float64{0, 3, 5, 10} {
 		b.Run(fmt.Sprintf("briefs=%g", briefs), func(b *testing.B) {
@@ -440,7 +444,7 @@
 			}
 			b.ReportMetric(float64(percentile(m.pings, 0.5).Microseconds())/1000, "ping50ms")
 			b.ReportMetric(float64(percentile(m.pings, 0.99).Microseconds())/1000, "ping99ms")
-			b.ReportMetric(float64(len(m.briefs))/modelSeeds/modelLasts.Seconds(), "briefs/s")
+			b.ReportMetric(float64(len(m.briefs))/modelSeeds/modelDuration.Seconds(), "briefs/s")
 		})
 	}
 }
--- a/internal/reducer/gate/work.go
+++ b/internal/reducer/gate/work.go
@@ -10,12 +10,14 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// resultGrace is how long after its life a prefill result is cancelled.
+// resultGrace is the time between the expiry of a prefill result and its
+// cancellation.
 const resultGrace = time.Second
 
-// toStart returns the reservation whose work a message brings, or nil if there
-// is nothing to start: the message was refused, or is a doubled one.
-func (s *State) toStart(id SessionID, a message.Attempt, phase message.Phase) *reservation {
+// reservationToStart returns the reservation whose work a message carries. It
+// returns nil if nothing is to be started because the message was refused or is
+// a duplicate.
+func (s *State) reservationToStart(id SessionID, a message.Attempt, phase message.Phase) *reservation {
 	r := s.reservationOf(id, a)
 	if r == nil || r.reserve.Phase != phase || r.stage == stageQueued {
 		s.refuseWork(id, a)
@@ -28,19 +30,19 @@
 	return r
 }
 
-// start notes that a reservation's work goes to the server.
-func (s *State) start(r *reservation) {
+// markStarted records that a reservation's work is sent to the server.
+func (s *State) markStarted(r *reservation) {
 	r.stage = stageWorking
 	r.startedAt = s.now
 }
 
 func (s *State) startPrefill(id SessionID, m message.Prefill) {
-	r := s.toStart(id, m.Attempt, message.PhasePrefill)
+	r := s.reservationToStart(id, m.Attempt, message.PhasePrefill)
 	if r == nil {
 		return
 	}
 	s.predict.prefillStarted(s.now)
-	s.start(r)
+	s.markStarted(r)
 	s.emit(RunPrefill{Request: engine.PrefillRequest{
 		Attempt:  m.Attempt,
 		Model:    r.reserve.Model,
@@ -51,47 +53,47 @@
 	}})
 }
 
-// startDecode takes a decode, which starts once its room is really free: the
-// release that it was promised may come later than predicted.
-func (s *State) startDecode(id SessionID, m message.Decode) {
-	r := s.toStart(id, m.Attempt, message.PhaseDecode)
+// acceptDecode accepts a decode, which starts once its capacity is actually
+// free: the release for which it was promised may come later than predicted.
+func (s *State) acceptDecode(id SessionID, m message.Decode) {
+	r := s.reservationToStart(id, m.Attempt, message.PhaseDecode)
 	if r == nil {
 		return
 	}
-	within := m.TransferWithin
-	if within <= 0 {
-		within = s.config.TransferWithin
+	transferWithin := m.TransferWithin
+	if transferWithin <= 0 {
+		transferWithin = s.config.TransferWithin
 	}
 	r.stage = stageArrived
 	r.decode = m
-	r.endBy = s.now.Add(within)
-	r.startBy = r.endBy
+	r.transferBy = s.now.Add(transferWithin)
+	r.startBy = r.transferBy
 	if m.StartWithin > 0 {
-		r.startBy = s.now.Add(min(m.StartWithin, within))
+		r.startBy = s.now.Add(min(m.StartWithin, transferWithin))
 	}
-	r.promisedAt = r.from
-	r.from = s.now
-	at, _ := slices.BinarySearchFunc(s.arrived, r, byArrival)
+	r.promisedAt = r.heldFrom
+	r.heldFrom = s.now
+	at, _ := slices.BinarySearchFunc(s.arrived, r, compareArrived)
 	s.arrived = slices.Insert(s.arrived, at, r)
 }
 
-// byArrival orders the decodes that wait for room.
-func byArrival(a, b *reservation) int {
+// compareArrived orders the decodes that wait for capacity.
+func compareArrived(a, b *reservation) int {
 	if a.reserve.Urgency != b.reserve.Urgency {
 		if a.reserve.Urgency == oriolebend.Urgent {
 			return -1
 		}
 		return 1
 	}
-	if order := a.from.Compare(b.from); order != 0 {
+	if order := a.heldFrom.Compare(b.heldFrom); order != 0 {
 		return order
 	}
-	return cmp.Compare(a.order, b.order)
+	return cmp.Compare(a.sequence, b.sequence)
 }
 
-// startArrived starts the decodes whose room is free. The first that has no
-// room keeps the others waiting, or small ones would pass it until its
-// prefill result is gone.
+// startArrived starts the decodes whose capacity is free. The first one without
+// capacity makes the others wait; otherwise small ones would pass it until its
+// prefill result has expired.
 func (s *State) startArrived() {
 	for len(s.arrived) > 0 {
 		r := s.arrived[0]
@@ -103,17 +105,19 @@
 	}
 }
 
-// mostImports is how many transfers of one urgency the server's link carries
-// at once: few at a time end sooner than many side by side, and with one alone
-// a stalled transfer would hold up all others. The small one of a ping does not
-// wait for that of a long brief.
-const mostImports = 2
+// maxTransfers is how many transfers of one urgency the server's link carries
+// at once. A few at a time end sooner than many in parallel, and with a limit
+// of one, a stalled transfer would hold up all others. Each urgency has its own
+// limit, so that the small transfer of a ping does not wait for that of a long
+// brief.
+const maxTransfers = 2
 
-// importing counts the decodes of an urgency whose transfer is under way.
-func (s *State) importing(u oriolebend.Urgency) int {
+// countTransfers counts the decodes of an urgency whose transfer is in
+// progress.
+func (s *State) countTransfers(u oriolebend.Urgency) int {
 	n := 0
 	for _, held := range s.memory.holders {
-		importing := held.stage == stageWorking && held.reserve.Phase == message.PhaseDecode && !held.firstPart
+		importing := held.stage == stageWorking && held.reserve.Phase == message.PhaseDecode && !held.hasOutput
 		if importing && held.reserve.Urgency == u {
 			n++
 		}
@@ -121,10 +125,11 @@
 	return n
 }
 
-// mayStart reports whether a decode's room is free. One that comes before the
-// time it was promised must leave room for those whose time it is.
+// mayStart reports whether a decode's capacity is free. A decode that arrives
+// before the time it was promised must leave capacity for the granted
+// reservations that are already due.
 func (s *State) mayStart(r *reservation) bool {
-	if s.importing(r.reserve.Urgency) >= mostImports {
+	if s.countTransfers(r.reserve.Urgency) >= maxTransfers {
 		return false
 	}
 	used := s.usedTokens() + r.tokens
@@ -134,13 +139,13 @@
 	if used > s.engine.info.KVTokens {
 		return false
 	}
-	return r.reserve.Urgency == oriolebend.Urgent || s.usedPatient()+r.tokens <= s.patientTokens(r)
+	return r.reserve.Urgency == oriolebend.Urgent || s.usedPatientTokens()+r.tokens <= s.maxPatientTokens(r)
 }
 
 func (s *State) runDecode(r *reservation) {
 	m := r.decode
 	r.decode = message.Decode{}
-	s.start(r)
+	s.markStarted(r)
 	s.emit(RunDecode{Request: engine.DecodeRequest{
 		Attempt:        m.Attempt,
 		Model:          r.reserve.Model,
@@ -152,7 +157,7 @@
 		Offset:         m.Offset,
 		MaxTokens:      m.MaxTokens,
 		Priority:       r.reserve.Urgency,
-		TransferWithin: max(r.endBy.Sub(s.now), time.Millisecond),
+		TransferWithin: max(r.transferBy.Sub(s.now), time.Millisecond),
 	}})
 }
 
@@ -166,20 +171,20 @@
 }
 
 func (s *State) startCall(id SessionID, m message.Call) {
-	r := s.toStart(id, m.Attempt, message.PhaseCall)
+	r := s.reservationToStart(id, m.Attempt, message.PhaseCall)
 	if r == nil {
 		return
 	}
-	s.start(r)
+	s.markStarted(r)
 	s.emit(RunCall{Call: m})
 }
 
-// prefilled tells the entry where the result is. The engine holds it until it
-// is released or expires.
-func (s *State) prefilled(e EnginePrefilled) {
+// handlePrefilled informs the entry where the result is. The engine holds it
+// until it is released or expires.
+func (s *State) handlePrefilled(e EnginePrefilled) {
 	r := s.attempts[e.Attempt]
 	if r == nil {
-		// The cancellation overtook the end of the prefill: its result would
+		// The cancellation overtook the end of the prefill. Its result would
 		// hold memory until it expires.
 		s.count("stray", "")
 		s.emit(CancelWork{Attempt: e.Attempt})
@@ -190,7 +195,7 @@
 	}
 	s.predict.prefillEnded(s.now, e.Result.Tokens-e.Result.CachedTokens)
 	r.stage = stagePrefilled
-	r.computing = false
+	r.holdsSlot = false
 	r.expiresAt = s.now.Add(e.Result.LivesFor + resultGrace)
 	s.queue.changed = true
 	s.emit(Reply{Session: r.session, Message: message.Prefilled{
@@ -203,11 +208,12 @@
 	}})
 }
 
-// expireResults ends the reservations of prefill results that the engine no
-// longer holds by its own word; a cancellation makes sure. It waits for a
-// grace, as it would break off a transfer that began just in time.
+// expireResults ends the reservations of prefill results that have expired by
+// the lifetime that the engine reported, and cancels them to make sure. It
+// waits for resultGrace, because a cancellation would abort a transfer that
+// began just in time.
 func (s *State) expireResults() {
-	for _, r := range s.inOrder() {
+	for _, r := range s.heldReservations() {
 		if r.stage != stagePrefilled || !s.now.After(r.expiresAt) {
 			continue
 		}
@@ -220,8 +226,8 @@
 	}
 }
 
-// part passes output on. The last part ends the session.
-func (s *State) part(e EnginePart) {
+// handlePart forwards output to the entry. The last part ends the session.
+func (s *State) handlePart(e EnginePart) {
 	r := s.attempts[e.Part.Attempt]
 	if r == nil || r.stage != stageWorking || r.reserve.Phase != message.PhaseDecode {
 		s.count("stray", "")
@@ -236,43 +242,44 @@
 	s.finish(r)
 }
 
-// stepMargin is the percentage of the target of the time between tokens that
-// the limit steers to: around the target itself half of all requests miss it.
-const stepMargin = 94
+// stepTargetPercent is the percentage of the target time between tokens that
+// the limit is steered to. If it were steered to the target itself, half of all
+// requests would miss it.
+const stepTargetPercent = 94
 
-// observePart learns the transfer time from the first part and the time
-// between tokens from the others.
+// observePart updates the predicted transfer time from the first part and the
+// predicted time between tokens from the others.
 func (s *State) observePart(r *reservation, p message.Part) {
-	r.output += p.Tokens
-	if !r.firstPart {
-		r.firstPart = true
-		s.predict.transferred(r, s.now)
+	r.outputTokens += p.Tokens
+	if !r.hasOutput {
+		r.hasOutput = true
+		s.predict.observeTransfer(r, s.now)
 	} else if p.Tokens > 0 {
-		step := s.now.Sub(r.lastPart) / time.Duration(p.Tokens)
-		s.predict.stepped(step)
-		s.limit.decodeStep(step, s.config.BetweenWithin*stepMargin/100, s.committed().slots)
+		step := s.now.Sub(r.lastOutputAt) / time.Duration(p.Tokens)
+		s.predict.observeStep(step)
+		s.limit.observeStep(step, s.config.BetweenWithin*stepTargetPercent/100, s.committed().slots)
 	}
-	r.lastPart = s.now
+	r.lastOutputAt = s.now
 }
 
-// finish ends a reservation whose work ended well and whose room the server
-// gave back with its last word.
+// finish ends a reservation whose work completed. The server freed its capacity
+// with the last part or the answer.
 func (s *State) finish(r *reservation) {
 	s.closed.add(s, r.reserve.Attempt, true)
 	id := r.session
-	s.drop(r)
+	s.free(r)
 	if id == "" {
 		return
 	}
 	s.emit(EndSession{Session: id})
-	s.forgetSession(id)
+	s.removeSession(id)
 }
 
-// workFailed tells the entry that its work ended without a result.
-func (s *State) workFailed(e WorkFailed) {
+// handleWorkFailed informs the entry that its work ended without a result.
+func (s *State) handleWorkFailed(e WorkFailed) {
 	r := s.attempts[e.Attempt]
 	if r == nil {
-		s.statusFailed(e)
+		s.handleStatusFailed(e)
 		return
 	}
 	if r.stage != stageWorking && r.stage != stagePrefilled {
@@ -290,23 +297,23 @@
 			Detail:  e.Detail,
 		})
 	}
-	s.settleFailed(r, ran)
+	s.freeFailed(r, ran)
 }
 
-// settleFailed frees the room of failed work, if it is certain that the server
-// holds none; otherwise the work is cancelled to make sure.
-func (s *State) settleFailed(r *reservation, ran oriolebend.Ran) {
+// freeFailed frees the capacity of failed work if the server certainly holds
+// none for it. Otherwise it cancels the work to make sure.
+func (s *State) freeFailed(r *reservation, ran oriolebend.Ran) {
 	if r.reserve.Phase == message.PhaseCall {
-		s.limit.failed()
+		s.limit.observeFailure()
 	}
 	if ran == oriolebend.RanNo {
 		s.closed.add(s, r.reserve.Attempt, false)
-		s.drop(r)
+		s.free(r)
 		return
 	}
 	if r.reserve.Phase == message.PhaseCall {
 		s.closed.add(s, r.reserve.Attempt, true)
-		s.drop(r)
+		s.free(r)
 		return
 	}
 	s.cancel(r)
