--- a/internal/reducer/gate/effect.go
+++ b/internal/reducer/gate/effect.go
@@ -31,7 +31,7 @@
 
 // QueryStatus queries the service for the outcome of an earlier call.
 // ServiceAnswered or WorkFailed follows.
-type AskStatus struct{ Query message.StatusQuery }
+type QueryStatus struct{ Query message.StatusQuery }
 
 // CancelWork ends the engine's work for an attempt. Cancelled follows.
 type CancelWork struct{ Attempt message.Attempt }
@@ -61,7 +61,7 @@
 func (RunPrefill) gateEffect() {}
 func (RunDecode) gateEffect()  {}
 func (RunCall) gateEffect()    {}
-func (AskStatus) gateEffect()  {}
+func (QueryStatus) gateEffect()  {}
 func (CancelWork) gateEffect() {}
 func (ListWork) gateEffect()   {}
 func (ListCache) gateEffect()  {}
--- a/internal/reducer/gate/gate_test.go
+++ b/internal/reducer/gate/gate_test.go
@@ -367,7 +367,7 @@
 		return fmt.Sprintf("runDecode %s within=%s", attemptName(e.Request.Attempt), e.Request.TransferWithin)
 	case RunCall:
 		return "runCall " + attemptName(e.Call.Attempt)
-	case AskStatus:
+	case QueryStatus:
 		return "askStatus " + attemptName(e.Query.Attempt)
 	case CancelWork:
 		return "cancelWork " + attemptName(e.Attempt)
--- a/internal/reducer/gate/status.go
+++ b/internal/reducer/gate/status.go
@@ -35,7 +35,7 @@
 	waiting := s.statusQueries[m.Attempt]
 	s.statusQueries[m.Attempt] = append(waiting, k.id)
 	if len(waiting) == 0 {
-		s.emit(AskStatus{Query: m})
+		s.emit(QueryStatus{Query: m})
 	}
 }
 
--- a/internal/reducer/once/fleet_test.go
+++ b/internal/reducer/once/fleet_test.go
@@ -229,7 +229,7 @@
 			f.reply(g, x.Session, nil)
 		case gate.RunCall:
 			f.calls = append(f.calls, call{from: g, call: x.Call})
-		case gate.AskStatus:
+		case gate.QueryStatus:
 			f.calls = append(f.calls, call{from: g, status: &x.Query})
 		}
 	}
--- a/internal/role/enginework.go
+++ b/internal/role/enginework.go
@@ -51,7 +51,7 @@
 		w.start(workKey{f.Request.Attempt, message.PhaseDecode}, func(ctx context.Context) { w.decode(ctx, f.Request) })
 	case gate.RunCall:
 		w.start(workKey{f.Call.Attempt, message.PhaseCall}, func(ctx context.Context) { w.call(ctx, f.Call) })
-	case gate.AskStatus:
+	case gate.QueryStatus:
 		go w.status(f.Query)
 	case gate.CancelWork:
 		go w.cancel(f.Attempt)
