--- a/internal/reducer/gate/closed_attempts.go
+++ b/internal/reducer/gate/closed_attempts.go
@@ -9,8 +9,8 @@
 
 // closedAttempt is an attempt that must never be let through again.
 type closedAttempt struct {
-	attempt message.Attempt
-	at      time.Time
+	attempt  message.Attempt
+	closedAt time.Time
 	// endedAt is when its capacity was freed.
 	endedAt time.Time
 	// reserved is true if this incarnation of the gate had a reservation for
@@ -81,7 +81,7 @@
 		c.records[a] = record
 		return
 	}
-	record := closedAttempt{attempt: a, at: s.now, endedAt: s.now, reserved: reserved, used: used}
+	record := closedAttempt{attempt: a, closedAt: s.now, endedAt: s.now, reserved: reserved, used: used}
 	c.records[a] = record
 	c.ordered = append(c.ordered, record)
 	if len(c.ordered)-c.first > c.maxRecords {
@@ -100,7 +100,7 @@
 
 // expire removes the attempts that were closed longer than keepFor ago.
 func (c *closedAttempts) expire(s *State) {
-	for c.first < len(c.ordered) && s.now.Sub(c.ordered[c.first].at) > c.keepFor {
+	for c.first < len(c.ordered) && s.now.Sub(c.ordered[c.first].closedAt) > c.keepFor {
 		c.removeOldest()
 	}
 }
--- a/internal/reducer/gate/effect.go
+++ b/internal/reducer/gate/effect.go
@@ -56,15 +56,15 @@
 // Drained reports that a stopping or leaving server has no work left.
 type Drained struct{}
 
-func (Reply) gateEffect()      {}
-func (EndSession) gateEffect() {}
-func (RunPrefill) gateEffect() {}
-func (RunDecode) gateEffect()  {}
-func (RunCall) gateEffect()    {}
-func (QueryStatus) gateEffect()  {}
-func (CancelWork) gateEffect() {}
-func (ListWork) gateEffect()   {}
-func (ListCache) gateEffect()  {}
-func (Announce) gateEffect()   {}
-func (Count) gateEffect()      {}
-func (Drained) gateEffect()    {}
+func (Reply) gateEffect()       {}
+func (EndSession) gateEffect()  {}
+func (RunPrefill) gateEffect()  {}
+func (RunDecode) gateEffect()   {}
+func (RunCall) gateEffect()     {}
+func (QueryStatus) gateEffect() {}
+func (CancelWork) gateEffect()  {}
+func (ListWork) gateEffect()    {}
+func (ListCache) gateEffect()   {}
+func (Announce) gateEffect()    {}
+func (Count) gateEffect()       {}
+func (Drained) gateEffect()     {}
--- a/internal/reducer/gate/fair.go
+++ b/internal/reducer/gate/fair.go
@@ -44,7 +44,7 @@
 }
 
 // prepare readies an organisation's queue for one more reservation. A queue
-// that was empty starts from the current virtual time.
+// that was empty starts no earlier than at the current virtual time.
 func (c *class) prepare(organisation string) {
 	oq := c.orgQueues[organisation]
 	if oq == nil {
--- a/internal/reducer/gate/lengths.go
+++ b/internal/reducer/gate/lengths.go
@@ -15,7 +15,8 @@
 	guessWeight = 2
 )
 
-// lengthDistribution estimates the distribution of the lengths of one kind of output.
+// lengthDistribution estimates the distribution of the lengths of one kind of
+// output.
 type lengthDistribution struct {
 	counts [lengthBuckets]float64
 	// cumulative holds the sum of the counts from each bucket upwards.
@@ -23,8 +24,8 @@
 	mean       float64
 }
 
-// newLengthDistribution starts from a guess, with equal weight on the guess, half of it
-// and twice of it.
+// newLengthDistribution starts from a guess, with equal weight on the guess,
+// half of it and twice of it.
 func newLengthDistribution(guess float64) *lengthDistribution {
 	l := &lengthDistribution{}
 	for _, n := range []float64{guess / 2, guess, guess * 2} {
--- a/internal/reducer/gate/memory.go
+++ b/internal/reducer/gate/memory.go
@@ -245,11 +245,11 @@
 // fitsMoment reports whether a decode's capacity is free at one moment that is
 // not before its start.
 func (s *State) fitsMoment(r *reservation, at time.Time) bool {
-	var urgent, patient expected
+	var urgent, patient expectedLoad
 	for _, held := range s.memory.holders {
-		s.expect(&urgent, &patient, held, at)
+		s.addExpected(&urgent, &patient, held, at)
 	}
-	s.expect(&urgent, &patient, r, at)
+	s.addExpected(&urgent, &patient, r, at)
 	if urgent.slots+patient.slots > s.slotsFor(r)+slotSlack {
 		return false
 	}
@@ -289,8 +289,8 @@
 	return float64(max(slots-slots/urgentSlotDivisor, 1))
 }
 
-// expect adds what a reservation is expected to hold at a moment.
-func (s *State) expect(urgent, patient *expected, held *reservation, at time.Time) {
+// addExpected adds what a reservation is expected to hold at a moment.
+func (s *State) addExpected(urgent, patient *expectedLoad, held *reservation, at time.Time) {
 	share := s.holdsAt(held, at)
 	if share == 0 {
 		return
@@ -304,14 +304,14 @@
 	sum.variance += share * (1 - share) * float64(held.tokens) * float64(held.tokens)
 }
 
-// expected is what a set of reservations is expected to hold at a moment.
-type expected struct {
+// expectedLoad is what a set of reservations is expected to hold at a moment.
+type expectedLoad struct {
 	slots    float64
 	tokens   float64
 	variance float64
 }
 
-func (e *expected) add(other expected) {
+func (e *expectedLoad) add(other expectedLoad) {
 	e.slots += other.slots
 	e.tokens += other.tokens
 	e.variance += other.variance
@@ -319,7 +319,7 @@
 
 // upperBound returns an upper bound of the tokens held: the expected value plus
 // a margin of so many standard deviations.
-func (e *expected) upperBound(margin float64) float64 {
+func (e *expectedLoad) upperBound(margin float64) float64 {
 	return e.tokens + margin*math.Sqrt(e.variance)
 }
 
@@ -342,11 +342,11 @@
 // use the whole memory.
 func (s *State) maxPatientTokens(r *reservation) int {
 	total := s.engine.info.KVTokens
-	kept := min(int(peakMargin*s.urgentPeak), total/maxUrgentDivisor)
-	if r.reserve.Urgency == oriolebend.Patient && r.tokens > total-kept {
+	urgentTokens := min(int(peakMargin*s.urgentPeak), total/maxUrgentDivisor)
+	if r.reserve.Urgency == oriolebend.Patient && r.tokens > total-urgentTokens {
 		return total
 	}
-	return total - kept
+	return total - urgentTokens
 }
 
 // holdsAt predicts the probability that a reservation holds its capacity at a
@@ -393,8 +393,8 @@
 func (s *State) linkShare() float64 {
 	transfers := 1
 	for _, held := range s.memory.holders {
-		importing := held.stage == stageWorking && held.reserve.Phase == message.PhaseDecode && !held.hasOutput
-		if importing || held.stage == stagePrefilled {
+		transferring := held.stage == stageWorking && held.reserve.Phase == message.PhaseDecode && !held.hasOutput
+		if transferring || held.stage == stagePrefilled {
 			transfers++
 		}
 	}
--- a/internal/reducer/gate/predict.go
+++ b/internal/reducer/gate/predict.go
@@ -11,7 +11,8 @@
 	// ratioDecay is the factor by which each new observation scales the earlier
 	// ones.
 	ratioDecay = 0.95
-	// transferPerToken is the initial prediction of a transfer's time.
+	// transferPerToken is the initial prediction of the transfer time per
+	// token.
 	transferPerToken = 10 * time.Microsecond
 	// maxKinds bounds the kinds of output whose lengths are predicted
 	// separately.
@@ -101,20 +102,20 @@
 // moment after now.
 func (p *predictor) holds(r *reservation, now, at time.Time) float64 {
 	step := p.step.value()
-	reached, since := 0.0, later(r.heldFrom, now)
+	reachedTokens, since := 0.0, later(r.heldFrom, now)
 	if r.atServer() {
 		since = r.startedAt
 	}
 	if r.hasOutput {
-		reached, since = float64(r.outputTokens), r.lastOutputAt
+		reachedTokens, since = float64(r.outputTokens), r.lastOutputAt
 	} else {
 		since = since.Add(p.transferTime(r))
 	}
-	then := reached + at.Sub(since).Seconds()/step
-	if then >= float64(max(r.reserve.MaxTokens, 1)) {
+	predictedTokens := reachedTokens + at.Sub(since).Seconds()/step
+	if predictedTokens >= float64(max(r.reserve.MaxTokens, 1)) {
 		return 0
 	}
-	return p.lengthsOf(r).continues(reached, then)
+	return p.lengthsOf(r).continues(reachedTokens, predictedTokens)
 }
 
 func (p *predictor) transferTime(r *reservation) time.Duration {
@@ -156,8 +157,8 @@
 
 func (p *predictor) observeCall(took time.Duration) { p.call.observe(took.Seconds(), 1) }
 
-// decodeEnded observes the length of the output.
-func (p *predictor) decodeEnded(r *reservation) {
+// observeOutput observes the length of a decode's output.
+func (p *predictor) observeOutput(r *reservation) {
 	kind := kindOf(r)
 	learned := p.outputs[kind]
 	if learned == nil {
--- a/internal/reducer/gate/predict_test.go
+++ b/internal/reducer/gate/predict_test.go
@@ -34,7 +34,7 @@
 		decode.outputTokens = 20 + i%5
 		p.observeTransfer(decode, now.Add(200*time.Millisecond+seconds(p.step.value())))
 		p.observeStep(10 * time.Millisecond)
-		p.decodeEnded(decode)
+		p.observeOutput(decode)
 		p.observeCall(30 * time.Millisecond)
 	}
 	is.True(within(p.workTime(prefill), 2*time.Second)) // two share 5,000 tokens a second
@@ -76,8 +76,8 @@
 	ping := &reservation{outputTokens: 60, reserve: message.Reserve{MaxTokens: 500, Urgency: oriolebend.Urgent}}
 	brief := &reservation{outputTokens: 400, reserve: message.Reserve{MaxTokens: 500, Urgency: oriolebend.Patient}}
 	for range 100 {
-		p.decodeEnded(ping)
-		p.decodeEnded(brief)
+		p.observeOutput(ping)
+		p.observeOutput(brief)
 		ping.outputTokens = 8
 	}
 	is.True(p.outputTokens(ping) < 20)
--- a/internal/reducer/gate/property_test.go
+++ b/internal/reducer/gate/property_test.go
@@ -80,40 +80,40 @@
 }
 
 func runSimulation(t *testing.T, rt *rapid.T, role oriolebend.PoolRole) {
-	w := &simulation{
+	sm := &simulation{
 		T: rt, is: is.New(t), role: role, now: epoch, incarnation: 1,
 		held: map[message.Attempt]int{}, runs: map[message.Attempt]int{},
 		sent: map[message.Attempt]bool{}, neverRun: map[message.Attempt]bool{},
 	}
-	w.startGate()
-	rt.Repeat(w.actions())
-	w.settle()
+	sm.startGate()
+	rt.Repeat(sm.actions())
+	sm.settle()
 }
 
 // actions returns the possible next actions. rapid draws among the names, so an
 // action with a higher weight has several.
-func (w *simulation) actions() map[string]func(*rapid.T) {
+func (sm *simulation) actions() map[string]func(*rapid.T) {
 	weights := []struct {
 		name   string
 		weight int
 		do     func()
 	}{
-		{"reserve", 8, w.reserve},
-		{"work", 6, w.work},
-		{"succeed", 4, w.succeed},
-		{"pass", 2, func() { w.advance(rapid.IntRange(1, 12).Draw(w.T, "ticks")) }},
-		{"renew", 2, w.renew},
-		{"list", 2, w.list},
-		{"confirm", 2, w.confirm},
-		{"release", 1, w.release},
-		{"close", 1, func() { w.close(w.anySession()) }},
-		{"fail", 1, w.fail},
-		{"rogue", 1, w.sendUnowned},
-		{"pause", 1, w.pause},
-		{"declare", 1, w.declare},
-		{"restart", 1, w.restart},
-	}
-	all := map[string]func(*rapid.T){"": func(*rapid.T) { w.check() }}
+		{"reserve", 8, sm.reserve},
+		{"work", 6, sm.work},
+		{"succeed", 4, sm.succeed},
+		{"pass", 2, func() { sm.advance(rapid.IntRange(1, 12).Draw(sm.T, "ticks")) }},
+		{"renew", 2, sm.renew},
+		{"list", 2, sm.list},
+		{"confirm", 2, sm.confirm},
+		{"release", 1, sm.release},
+		{"close", 1, func() { sm.close(sm.anySession()) }},
+		{"fail", 1, sm.fail},
+		{"rogue", 1, sm.sendUnowned},
+		{"pause", 1, sm.pause},
+		{"declare", 1, sm.declare},
+		{"restart", 1, sm.restart},
+	}
+	all := map[string]func(*rapid.T){"": func(*rapid.T) { sm.check() }}
 	for _, action := range weights {
 		for i := range action.weight {
 			all[fmt.Sprint(action.name, i)] = func(*rapid.T) { action.do() }
@@ -122,15 +122,15 @@
 	return all
 }
 
-func (w *simulation) startGate() {
-	w.gate = New(Config{Role: serviceOnly(w.role), Concurrency: 2, QueueBound: 6, ClosedFor: 1000 * time.Hour})
-	w.pendingCancels, w.pendingLists = nil, nil
-	for a := range w.neverRun {
-		w.sent[a] = true
+func (sm *simulation) startGate() {
+	sm.gate = New(Config{Role: serviceOnly(sm.role), Concurrency: 2, QueueBound: 6, ClosedFor: 1000 * time.Hour})
+	sm.pendingCancels, sm.pendingLists = nil, nil
+	for a := range sm.neverRun {
+		sm.sent[a] = true
 	}
-	w.reportEngine()
-	if rapid.IntRange(0, 3).Draw(w.T, "listed") > 0 {
-		w.list()
+	sm.reportEngine()
+	if rapid.IntRange(0, 3).Draw(sm.T, "listed") > 0 {
+		sm.list()
 	}
 }
 
@@ -141,69 +141,69 @@
 	return ""
 }
 
-func (w *simulation) reportEngine() {
-	w.lost = false
-	w.apply(EngineKnown{At: w.now, Info: engine.Info{
-		Role: w.role, KVTokens: serverTokens, BlockTokens: 16, Incarnation: w.incarnation,
+func (sm *simulation) reportEngine() {
+	sm.lost = false
+	sm.apply(EngineKnown{At: sm.now, Info: engine.Info{
+		Role: sm.role, KVTokens: serverTokens, BlockTokens: 16, Incarnation: sm.incarnation,
 		Models: []oriolebend.LoadedModel{{Model: "planner"}},
 	}})
 }
 
-func (w *simulation) reserve() {
-	w.lastID++
+func (sm *simulation) reserve() {
+	sm.lastID++
 	m := message.Reserve{
-		Attempt:      message.Attempt{RequestID: fmt.Sprint("r", w.lastID), Number: 1},
-		Phase:        phaseOf(w.role),
-		Organisation: rapid.SampledFrom([]string{"lintang", "bancoA", "bancoB"}).Draw(w.T, "org"),
-		Urgency:      rapid.SampledFrom([]oriolebend.Urgency{oriolebend.Urgent, oriolebend.Patient}).Draw(w.T, "urgency"),
+		Attempt:      message.Attempt{RequestID: fmt.Sprint("r", sm.lastID), Number: 1},
+		Phase:        phaseOf(sm.role),
+		Organisation: rapid.SampledFrom([]string{"lintang", "bancoA", "bancoB"}).Draw(sm.T, "org"),
+		Urgency:      rapid.SampledFrom([]oriolebend.Urgency{oriolebend.Urgent, oriolebend.Patient}).Draw(sm.T, "urgency"),
 		Model:        "planner",
-		PromptTokens: rapid.SampledFrom([]int{100, 3000, 8000, 12_000}).Draw(w.T, "prompt"),
-		MaxTokens:    rapid.SampledFrom([]int{10, 400}).Draw(w.T, "output"),
-		StartIn:      rapid.SampledFrom([]time.Duration{0, 300 * time.Millisecond, 3 * time.Second}).Draw(w.T, "in"),
-		Deadline:     rapid.SampledFrom([]time.Duration{0, time.Second}).Draw(w.T, "deadline"),
-		Waited:       rapid.SampledFrom([]time.Duration{0, 10 * time.Second}).Draw(w.T, "waited"),
-		Hold:         rapid.IntRange(0, 3).Draw(w.T, "hold") > 0,
-		Once:         w.role == oriolebend.Service && rapid.Bool().Draw(w.T, "once"),
-	}
-	if old := w.anySession(); old != nil && !w.sent[old.reserve.Attempt] && rapid.IntRange(0, 5).Draw(w.T, "again") == 0 {
+		PromptTokens: rapid.SampledFrom([]int{100, 3000, 8000, 12_000}).Draw(sm.T, "prompt"),
+		MaxTokens:    rapid.SampledFrom([]int{10, 400}).Draw(sm.T, "output"),
+		StartIn:      rapid.SampledFrom([]time.Duration{0, 300 * time.Millisecond, 3 * time.Second}).Draw(sm.T, "in"),
+		Deadline:     rapid.SampledFrom([]time.Duration{0, time.Second}).Draw(sm.T, "deadline"),
+		Waited:       rapid.SampledFrom([]time.Duration{0, 10 * time.Second}).Draw(sm.T, "waited"),
+		Hold:         rapid.IntRange(0, 3).Draw(sm.T, "hold") > 0,
+		Once:         sm.role == oriolebend.Service && rapid.Bool().Draw(sm.T, "once"),
+	}
+	if old := sm.anySession(); old != nil && !sm.sent[old.reserve.Attempt] && rapid.IntRange(0, 5).Draw(sm.T, "again") == 0 {
 		m.Attempt = old.reserve.Attempt
 	}
-	p := &entrySession{id: SessionID(fmt.Sprint("s", w.lastID)), reserve: m}
-	w.sessions = append(w.sessions, p)
-	w.send(p, m)
+	es := &entrySession{id: SessionID(fmt.Sprint("s", sm.lastID)), reserve: m}
+	sm.sessions = append(sm.sessions, es)
+	sm.send(es, m)
 }
 
-func (w *simulation) anySession() *entrySession {
-	if len(w.sessions) == 0 {
+func (sm *simulation) anySession() *entrySession {
+	if len(sm.sessions) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(w.sessions).Draw(w.T, "peer")
+	return rapid.SampledFrom(sm.sessions).Draw(sm.T, "session")
 }
 
-func (w *simulation) send(p *entrySession, m message.Message) {
-	if !p.ended {
-		w.apply(Received{At: w.now, Session: p.id, Message: m})
+func (sm *simulation) send(es *entrySession, m message.Message) {
+	if !es.ended {
+		sm.apply(Received{At: sm.now, Session: es.id, Message: m})
 	}
 }
 
 // work sends the work of a session that holds a grant, sometimes twice.
-func (w *simulation) work() {
+func (sm *simulation) work() {
 	var granted []*entrySession
-	for _, p := range w.sessions {
-		if p.granted && !p.ended {
-			granted = append(granted, p)
+	for _, es := range sm.sessions {
+		if es.granted && !es.ended {
+			granted = append(granted, es)
 		}
 	}
 	if len(granted) == 0 {
 		return
 	}
-	p := rapid.SampledFrom(granted).Draw(w.T, "granted")
-	w.sent[p.reserve.Attempt] = true
-	w.send(p, w.workOf(p.reserve.Attempt))
+	es := rapid.SampledFrom(granted).Draw(sm.T, "granted")
+	sm.sent[es.reserve.Attempt] = true
+	sm.send(es, sm.workOf(es.reserve.Attempt))
 }
 
-func (w *simulation) workOf(a message.Attempt) message.Message {
-	switch w.role {
+func (sm *simulation) workOf(a message.Attempt) message.Message {
+	switch sm.role {
 	case oriolebend.Prefill:
 		return message.Prefill{Attempt: a}
 	case oriolebend.Decode:
@@ -214,72 +214,72 @@
 }
 
 // sendUnowned sends work over a session that may hold no reservation for it.
-func (w *simulation) sendUnowned() {
-	p, other := w.anySession(), w.anySession()
-	if p == nil {
+func (sm *simulation) sendUnowned() {
+	es, other := sm.anySession(), sm.anySession()
+	if es == nil {
 		return
 	}
-	if w.gate.sessions[p.id] != nil && !p.reserve.Once && !other.reserve.Once {
-		w.sent[other.reserve.Attempt] = true
-		w.send(p, w.workOf(other.reserve.Attempt))
+	if sm.gate.sessions[es.id] != nil && !es.reserve.Once && !other.reserve.Once {
+		sm.sent[other.reserve.Attempt] = true
+		sm.send(es, sm.workOf(other.reserve.Attempt))
 	}
 }
 
-func (w *simulation) release() {
-	p := w.anySession()
-	if p == nil {
+func (sm *simulation) release() {
+	es := sm.anySession()
+	if es == nil {
 		return
 	}
-	w.send(p, message.Release{Attempt: p.reserve.Attempt})
-	p.ended = true
+	sm.send(es, message.Release{Attempt: es.reserve.Attempt})
+	es.ended = true
 }
 
-func (w *simulation) close(p *entrySession) {
-	if p == nil {
+func (sm *simulation) close(es *entrySession) {
+	if es == nil {
 		return
 	}
-	p.ended = true
-	w.apply(Closed{At: w.now, Session: p.id})
+	es.ended = true
+	sm.apply(Closed{At: sm.now, Session: es.id})
 }
 
-func (w *simulation) renew() {
-	for _, p := range w.sessions {
-		if !p.ended && rapid.IntRange(0, 9).Draw(w.T, "heard") > 0 {
-			w.apply(Renewed{At: w.now, Session: p.id})
+func (sm *simulation) renew() {
+	for _, es := range sm.sessions {
+		if !es.ended && rapid.IntRange(0, 9).Draw(sm.T, "renewed") > 0 {
+			sm.apply(Renewed{At: sm.now, Session: es.id})
 		}
 	}
 }
 
-func (w *simulation) advance(ticks int) {
+func (sm *simulation) advance(ticks int) {
 	for range ticks {
-		if len(w.pendingLists) >= maxPendingLists-1 {
-			w.list()
+		if len(sm.pendingLists) >= maxPendingLists-1 {
+			sm.list()
 		}
-		w.now = w.now.Add(w.gate.config.TickEvery)
-		w.apply(Ticked{At: w.now})
+		sm.now = sm.now.Add(sm.gate.config.TickEvery)
+		sm.apply(Ticked{At: sm.now})
 	}
 }
 
-func (w *simulation) pause() {
-	if len(w.pendingLists) >= maxPendingLists-1 {
-		w.list()
+func (sm *simulation) pause() {
+	if len(sm.pendingLists) >= maxPendingLists-1 {
+		sm.list()
 	}
-	w.now = w.now.Add(time.Minute)
-	w.apply(Ticked{At: w.now})
+	sm.now = sm.now.Add(time.Minute)
+	sm.apply(Ticked{At: sm.now})
 }
 
 // anyWork returns an attempt whose work is at the server, drawn from a fixed
 // order.
-func (w *simulation) anyWork() (message.Attempt, bool) {
-	if len(w.held) == 0 {
+func (sm *simulation) anyWork() (message.Attempt, bool) {
+	if len(sm.held) == 0 {
 		return message.Attempt{}, false
 	}
-	return rapid.SampledFrom(w.serverWork()).Draw(w.T, "held"), true
+	return rapid.SampledFrom(sm.serverWork()).Draw(sm.T, "held"), true
 }
 
-func (w *simulation) serverWork() []message.Attempt {
+func (sm *simulation) serverWork() []message.Attempt {
 	var all []message.Attempt
-	for a := range w.held {
+	for a := range sm.held {
 		all = append(all, a)
 	}
 	slices.SortFunc(all, func(a, b message.Attempt) int {
@@ -288,206 +288,206 @@
 	return all
 }
 
-func (w *simulation) succeed() {
-	a, found := w.anyWork()
-	if !found || w.lost {
+func (sm *simulation) succeed() {
+	a, found := sm.anyWork()
+	if !found || sm.lost {
 		return
 	}
-	switch w.role {
+	switch sm.role {
 	case oriolebend.Prefill:
-		w.apply(EnginePrefilled{At: w.now, Attempt: a, Result: engine.PrefillResult{Tokens: 100, LivesFor: time.Second}})
+		sm.apply(EnginePrefilled{At: sm.now, Attempt: a, Result: engine.PrefillResult{Tokens: 100, LivesFor: time.Second}})
 	case oriolebend.Decode:
 		part := message.Part{Attempt: a, Tokens: 1}
-		if rapid.Bool().Draw(w.T, "last") {
+		if rapid.Bool().Draw(sm.T, "last") {
 			part.Finish = message.FinishStop
-			delete(w.held, a)
+			delete(sm.held, a)
 		}
-		w.apply(EnginePart{At: w.now, Part: part})
+		sm.apply(EnginePart{At: sm.now, Part: part})
 	default:
-		delete(w.held, a)
-		w.apply(ServiceAnswered{At: w.now, Answer: message.CallAnswer{Attempt: a}})
+		delete(sm.held, a)
+		sm.apply(ServiceAnswered{At: sm.now, Answer: message.CallAnswer{Attempt: a}})
 	}
 }
 
-func (w *simulation) fail() {
-	a, found := w.anyWork()
-	if !found || w.lost {
+func (sm *simulation) fail() {
+	a, found := sm.anyWork()
+	if !found || sm.lost {
 		return
 	}
-	e := WorkFailed{At: w.now, Attempt: a, Phase: phaseOf(w.role), Reason: oriolebend.ReasonEngineFailed}
-	switch rapid.IntRange(0, 2).Draw(w.T, "ran") {
+	e := WorkFailed{At: sm.now, Attempt: a, Phase: phaseOf(sm.role), Reason: oriolebend.ReasonEngineFailed}
+	switch rapid.IntRange(0, 2).Draw(sm.T, "ran") {
 	case 0:
 		e.Ran = oriolebend.RanNo
-		w.runs[a] = 0
-		delete(w.held, a)
+		sm.runs[a] = 0
+		delete(sm.held, a)
 	case 1:
 		e.Reason = oriolebend.ReasonTransferStalled
 	}
-	if w.role == oriolebend.Service {
-		delete(w.held, a)
+	if sm.role == oriolebend.Service {
+		delete(sm.held, a)
 	}
-	w.apply(e)
+	sm.apply(e)
 }
 
-func (w *simulation) confirm() {
-	if len(w.pendingCancels) == 0 {
+func (sm *simulation) confirm() {
+	if len(sm.pendingCancels) == 0 {
 		return
 	}
-	a := w.pendingCancels[0]
-	w.pendingCancels = w.pendingCancels[1:]
-	switch rapid.IntRange(0, 3).Draw(w.T, "confirm") {
+	a := sm.pendingCancels[0]
+	sm.pendingCancels = sm.pendingCancels[1:]
+	switch rapid.IntRange(0, 3).Draw(sm.T, "confirm") {
 	case 0:
-		w.apply(Cancelled{At: w.now, Attempt: a, Failed: true})
+		sm.apply(Cancelled{At: sm.now, Attempt: a, Failed: true})
 	case 1:
 		// The cancellation or its answer is lost.
 	default:
-		delete(w.held, a)
-		w.apply(Cancelled{At: w.now, Attempt: a})
+		delete(sm.held, a)
+		sm.apply(Cancelled{At: sm.now, Attempt: a})
 	}
 }
 
 // list answers the oldest ListWork with the state at the time of the request.
-func (w *simulation) list() {
-	if len(w.pendingLists) == 0 || w.lost {
+func (sm *simulation) list() {
+	if len(sm.pendingLists) == 0 || sm.lost {
 		return
 	}
-	work := w.pendingLists[0]
-	w.pendingLists = w.pendingLists[1:]
-	w.apply(WorkListed{At: w.now, Work: work})
+	work := sm.pendingLists[0]
+	sm.pendingLists = sm.pendingLists[1:]
+	sm.apply(WorkListed{At: sm.now, Work: work})
 }
 
-func (w *simulation) declare() {
+func (sm *simulation) declare() {
 	state := oriolebend.ServerServing
-	switch rapid.IntRange(0, 7).Draw(w.T, "state") {
+	switch rapid.IntRange(0, 7).Draw(sm.T, "state") {
 	case 0:
 		state = oriolebend.ServerLeaving
 	case 1:
 		state = oriolebend.ServerLoading
 	}
-	w.apply(Declared{At: w.now, State: state})
+	sm.apply(Declared{At: sm.now, State: state})
 }
 
 // restart restarts the gate or the engine, or makes the engine unreachable for
 // a moment.
-func (w *simulation) restart() {
-	if rapid.IntRange(0, 3).Draw(w.T, "restart") > 0 {
+func (sm *simulation) restart() {
+	if rapid.IntRange(0, 3).Draw(sm.T, "restart") > 0 {
 		return
 	}
-	switch rapid.IntRange(0, 2).Draw(w.T, "which") {
+	switch rapid.IntRange(0, 2).Draw(sm.T, "which") {
 	case 0:
-		for _, p := range w.sessions {
-			p.ended = true
+		for _, es := range sm.sessions {
+			es.ended = true
 		}
-		w.startGate()
+		sm.startGate()
 	case 1:
-		clear(w.held)
-		w.incarnation++
-		w.pendingLists = nil
-		w.reportEngine()
+		clear(sm.held)
+		sm.incarnation++
+		sm.pendingLists = nil
+		sm.reportEngine()
 	default:
-		w.lost = true
-		w.pendingLists = nil
-		w.apply(EngineLost{At: w.now})
-		w.reportEngine()
+		sm.lost = true
+		sm.pendingLists = nil
+		sm.apply(EngineLost{At: sm.now})
+		sm.reportEngine()
 	}
 }
 
 // apply applies an event, carries out its effects and checks them.
-func (w *simulation) apply(e Event) {
-	waiting := w.urgentWaiting()
-	for _, effect := range Reduce(w.gate, e) {
+func (sm *simulation) apply(e Event) {
+	waiting := sm.urgentWaiting()
+	for _, effect := range Reduce(sm.gate, e) {
 		switch effect := effect.(type) {
 		case Reply:
-			w.reply(effect, waiting)
+			sm.reply(effect, waiting)
 		case EndSession:
-			if p := w.find(effect.Session); p != nil {
-				p.ended = true
+			if es := sm.find(effect.Session); es != nil {
+				es.ended = true
 			}
 		case RunPrefill:
-			w.run(effect.Request.Attempt)
+			sm.run(effect.Request.Attempt)
 		case RunDecode:
-			w.run(effect.Request.Attempt)
+			sm.run(effect.Request.Attempt)
 		case RunCall:
-			w.run(effect.Call.Attempt)
+			sm.run(effect.Call.Attempt)
 		case CancelWork:
-			w.pendingCancels = append(w.pendingCancels, effect.Attempt)
+			sm.pendingCancels = append(sm.pendingCancels, effect.Attempt)
 		case ListWork:
 			var work []engine.Work
-			for _, a := range w.serverWork() {
-				work = append(work, engine.Work{Attempt: a, Tokens: w.held[a]})
+			for _, a := range sm.serverWork() {
+				work = append(work, engine.Work{Attempt: a, Tokens: sm.held[a]})
 			}
-			w.pendingLists = append(w.pendingLists, work)
+			sm.pendingLists = append(sm.pendingLists, work)
 		}
 	}
 }
 
-func (w *simulation) find(id SessionID) *entrySession {
-	for _, p := range w.sessions {
-		if p.id == id {
-			return p
+func (sm *simulation) find(id SessionID) *entrySession {
+	for _, es := range sm.sessions {
+		if es.id == id {
+			return es
 		}
 	}
 	return nil
 }
 
-func (w *simulation) run(a message.Attempt) {
-	if w.neverRun[a] {
-		w.Fatalf("attempt %v runs after the gate reported that it never would", a)
+func (sm *simulation) run(a message.Attempt) {
+	if sm.neverRun[a] {
+		sm.Fatalf("attempt %v runs after the gate reported that it never would", a)
 	}
-	w.runs[a]++
-	if w.runs[a] > 1 {
-		w.Fatalf("attempt %v runs twice", a)
+	sm.runs[a]++
+	if sm.runs[a] > 1 {
+		sm.Fatalf("attempt %v runs twice", a)
 	}
-	w.held[a] = w.gate.attempts[a].tokens
+	sm.held[a] = sm.gate.attempts[a].tokens
 	sum := 0
-	for _, tokens := range w.held {
+	for _, tokens := range sm.held {
 		sum += tokens
 	}
 	if sum > serverTokens {
-		w.Fatalf("the server holds %d tokens, more than its memory", sum)
+		sm.Fatalf("the server holds %d tokens, more than its memory", sum)
 	}
 }
 
 // reply checks the message that an entry receives.
-func (w *simulation) reply(r Reply, waiting map[*reservation]bool) {
-	p := w.find(r.Session)
-	if p.ended {
-		w.Fatalf("%s sent over session %s, which has ended", r.Message.Kind(), r.Session)
+func (sm *simulation) reply(r Reply, waiting map[*reservation]bool) {
+	es := sm.find(r.Session)
+	if es.ended {
+		sm.Fatalf("%s sent over session %s, which has ended", r.Message.Kind(), r.Session)
 	}
 	granted := false
 	switch m := r.Message.(type) {
 	case message.Offer:
 		granted = m.Granted
-		p.offered = true
+		es.offered = true
 	case message.Grant:
 		granted = true
 	case message.Refusal:
-		w.refused(p, m)
+		sm.refused(es, m)
 	}
 	if !granted {
 		return
 	}
-	p.granted = true
-	w.checkOrder(p, waiting)
+	es.granted = true
+	sm.checkOrder(es, waiting)
 }
 
-func (w *simulation) refused(p *entrySession, m message.Refusal) {
-	p.ended = true
+func (sm *simulation) refused(es *entrySession, m message.Refusal) {
+	es.ended = true
 	if m.Ran != oriolebend.RanNo {
 		return
 	}
-	if w.runs[m.Attempt] > 0 {
-		w.Fatalf("attempt %v ran, but the gate reported that it did not", m.Attempt)
+	if sm.runs[m.Attempt] > 0 {
+		sm.Fatalf("attempt %v ran, but the gate reported that it did not", m.Attempt)
 	}
-	if p.granted {
-		w.neverRun[m.Attempt] = true
+	if es.granted {
+		sm.neverRun[m.Attempt] = true
 	}
 }
 
 // urgentWaiting returns the urgent reservations that wait.
-func (w *simulation) urgentWaiting() map[*reservation]bool {
+func (sm *simulation) urgentWaiting() map[*reservation]bool {
 	waiting := map[*reservation]bool{}
-	for _, r := range w.gate.queue.all() {
+	for _, r := range sm.gate.queue.all() {
 		if r.reserve.Urgency == oriolebend.Urgent {
 			waiting[r] = true
 		}
@@ -498,77 +498,77 @@
 // checkOrder checks that no patient reservation passes a waiting urgent one,
 // unless a patient one is old enough. Decodes are exempt: a later one may be
 // granted where it doesn't delay the first.
-func (w *simulation) checkOrder(p *entrySession, waiting map[*reservation]bool) {
-	if p.reserve.Urgency == oriolebend.Urgent || w.role == oriolebend.Decode {
+func (sm *simulation) checkOrder(es *entrySession, waiting map[*reservation]bool) {
+	if es.reserve.Urgency == oriolebend.Urgent || sm.role == oriolebend.Decode {
 		return
 	}
-	granted := w.gate.attempts[p.reserve.Attempt]
+	granted := sm.gate.attempts[es.reserve.Attempt]
 	if granted == nil {
 		return
 	}
 	oldest := granted.acceptedAt
-	if w.gate.queue.patient.length > 0 && w.gate.queue.patient.oldest().Before(oldest) {
-		oldest = w.gate.queue.patient.oldest()
+	if sm.gate.queue.patient.length > 0 && sm.gate.queue.patient.oldest().Before(oldest) {
+		oldest = sm.gate.queue.patient.oldest()
 	}
 	for r := range waiting {
-		if r.stage == stageQueued && w.now.Sub(oldest) < w.gate.config.AgeAfter {
-			w.Fatalf("patient attempt %v passes urgent attempt %v", p.reserve.Attempt, r.reserve.Attempt)
+		if r.stage == stageQueued && sm.now.Sub(oldest) < sm.gate.config.AgeAfter {
+			sm.Fatalf("patient attempt %v passes urgent attempt %v", es.reserve.Attempt, r.reserve.Attempt)
 		}
 	}
 }
 
 // check checks the invariants that hold after every event.
-func (w *simulation) check() {
-	g := w.gate
+func (sm *simulation) check() {
+	g := sm.gate
 	if g.usedTokens() > serverTokens || g.freeTokens() < 0 {
-		w.Fatalf("%d tokens used, %d tokens free", g.usedTokens(), g.freeTokens())
+		sm.Fatalf("%d tokens used, %d tokens free", g.usedTokens(), g.freeTokens())
 	}
 	queued := 0
 	for a, r := range g.attempts {
 		if r.stage == stageQueued {
 			queued++
 		}
-		known := g.sessions[r.session]
+		sess := g.sessions[r.session]
 		unowned := r.stage == stageCancelling || (r.stage == stageWorking && r.reserve.Once)
-		if known == nil && !unowned {
-			w.Fatalf("attempt %v is %s without a session", a, r.stage)
+		if sess == nil && !unowned {
+			sm.Fatalf("attempt %v is %s without a session", a, r.stage)
 		}
-		if known != nil && g.leaseClock-known.renewedAt >= g.config.Lease+maxLeaseTicks*g.config.TickEvery {
-			w.Fatalf("attempt %v outlives its lease", a)
+		if sess != nil && g.leaseClock-sess.renewedAt >= g.config.Lease+maxLeaseTicks*g.config.TickEvery {
+			sm.Fatalf("attempt %v outlives its lease", a)
 		}
 	}
 	if queued != g.queue.length || queued != len(g.queue.all()) {
-		w.Fatalf("%d attempts queued, queue length is %d", queued, g.queue.length)
+		sm.Fatalf("%d attempts queued, queue length is %d", queued, g.queue.length)
 	}
-	for _, p := range w.sessions {
-		if !p.ended && g.sessions[p.id] == nil {
-			w.Fatalf("session %s ended without an EndSession", p.id)
+	for _, es := range sm.sessions {
+		if !es.ended && g.sessions[es.id] == nil {
+			sm.Fatalf("session %s ended without an EndSession", es.id)
 		}
 	}
 }
 
 // settle stops all renewals and lets the server answer. Everything must be
 // freed within the lease, two list periods and one cancellation retry.
-func (w *simulation) settle() {
-	if w.role == oriolebend.Service {
-		for _, a := range w.serverWork() {
-			delete(w.held, a)
-			w.apply(ServiceAnswered{At: w.now, Answer: message.CallAnswer{Attempt: a}})
+func (sm *simulation) settle() {
+	if sm.role == oriolebend.Service {
+		for _, a := range sm.serverWork() {
+			delete(sm.held, a)
+			sm.apply(ServiceAnswered{At: sm.now, Answer: message.CallAnswer{Attempt: a}})
 		}
 	}
-	within := w.gate.config.Lease + 2*w.gate.config.ListEvery + w.gate.config.CancelRetry
-	for range within/w.gate.config.TickEvery + 2 {
-		w.advance(1)
-		for len(w.pendingCancels) > 0 {
-			a := w.pendingCancels[0]
-			w.pendingCancels = w.pendingCancels[1:]
-			delete(w.held, a)
-			w.apply(Cancelled{At: w.now, Attempt: a})
+	within := sm.gate.config.Lease + 2*sm.gate.config.ListEvery + sm.gate.config.CancelRetry
+	for range within/sm.gate.config.TickEvery + 2 {
+		sm.advance(1)
+		for len(sm.pendingCancels) > 0 {
+			a := sm.pendingCancels[0]
+			sm.pendingCancels = sm.pendingCancels[1:]
+			delete(sm.held, a)
+			sm.apply(Cancelled{At: sm.now, Attempt: a})
 		}
-		w.list()
-		w.check()
+		sm.list()
+		sm.check()
 	}
-	w.is.Equal(len(w.gate.attempts), 0)
-	w.is.Equal(len(w.gate.sessions), 0)
-	w.is.Equal(len(w.held), 0)
+	sm.is.Equal(len(sm.gate.attempts), 0)
+	sm.is.Equal(len(sm.gate.sessions), 0)
+	sm.is.Equal(len(sm.held), 0)
 }
--- a/internal/reducer/gate/rebuild.go
+++ b/internal/reducer/gate/rebuild.go
@@ -20,18 +20,18 @@
 // own start, and after the engine was unreachable or restarted, the gate grants
 // nothing until it has read the engine's list of work.
 func (s *State) handleEngineKnown(e EngineKnown) {
-	before := s.engine
-	restarted := before.known && before.info.Incarnation != e.Info.Incarnation
+	previous := s.engine
+	restarted := previous.known && previous.info.Incarnation != e.Info.Incarnation
 	if restarted {
 		s.failAll(oriolebend.ReasonServerLost)
 	}
 	s.engine.known = true
 	s.engine.lost = false
 	s.engine.info = e.Info
-	if before.info.Role != e.Info.Role {
+	if previous.info.Role != e.Info.Role {
 		s.limit = s.initialLimit()
 	}
-	if !before.known || before.lost || restarted {
+	if !previous.known || previous.lost || restarted {
 		s.rebuild()
 	}
 	s.refuseMismatched()
@@ -53,13 +53,13 @@
 // refuseMismatched refuses reservations that have not started and whose model
 // the engine no longer holds.
 func (s *State) refuseMismatched() {
-	waiting := s.queue.all()
+	unstarted := s.queue.all()
 	for _, r := range s.heldReservations() {
 		if r.stage == stageGranted || r.stage == stageArrived {
-			waiting = append(waiting, r)
+			unstarted = append(unstarted, r)
 		}
 	}
-	for _, r := range waiting {
+	for _, r := range unstarted {
 		if reason := s.mismatchReason(r.reserve); reason != "" {
 			s.refuseUnstarted(r, message.Refusal{Reason: reason})
 		}
--- a/internal/reducer/gate/reduce.go
+++ b/internal/reducer/gate/reduce.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxLeaseTicks is the number of tick periods by which one event advances the
-// lease clock at most.
+// maxLeaseTicks is the maximum number of tick periods by which one event
+// advances the lease clock.
 const maxLeaseTicks = 3
 
 // Reduce applies one event to the state and returns the effects to carry out,
--- a/internal/reducer/gate/reserve.go
+++ b/internal/reducer/gate/reserve.go
@@ -90,8 +90,8 @@
 
 // evictFor evicts another reservation from a full queue in favour of r, and
 // reports whether the queue is still full. Without it, a flood from one
-// organisation would get the requests of all others refused, and briefs would
-// get pings refused.
+// organisation would cause the requests of all others to be refused, and briefs
+// would cause pings to be refused.
 func (s *State) evictFor(r *reservation) (full bool) {
 	evicted := s.queue.evictionCandidate(r)
 	if evicted == nil {
--- a/internal/reducer/gate/state.go
+++ b/internal/reducer/gate/state.go
@@ -86,7 +86,8 @@
 	cancelledAt, cancelSentAt time.Time
 }
 
-// session is a session and the reservation that it carries, if any.
+// session is the state of one session, with the reservation that it carries, if
+// any.
 type session struct {
 	id          SessionID
 	reservation *reservation
@@ -137,7 +138,7 @@
 	known bool
 	// lost is true while the engine does not answer.
 	lost bool
-	// listed is true once the work list was read in this incarnation.
+	// workListed is true once the work list was read in this incarnation.
 	workListed bool
 	info       engine.Info
 	// pendingLists holds when each unanswered ListWork was emitted. Answers
--- a/internal/reducer/gate/timing_bench_test.go
+++ b/internal/reducer/gate/timing_bench_test.go
@@ -48,24 +48,24 @@
 
 type eventHeap []scheduledEvent
 
-func (c eventHeap) Len() int { return len(c) }
+func (h eventHeap) Len() int { return len(h) }
 
-func (c eventHeap) Less(i, j int) bool {
-	if !c[i].at.Equal(c[j].at) {
-		return c[i].at.Before(c[j].at)
+func (h eventHeap) Less(i, j int) bool {
+	if !h[i].at.Equal(h[j].at) {
+		return h[i].at.Before(h[j].at)
 	}
-	return c[i].order < c[j].order
+	return h[i].order < h[j].order
 }
 
-func (c eventHeap) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (c *eventHeap) Push(x any) { *c = append(*c, x.(scheduledEvent)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(scheduledEvent)) }
 
-func (c *eventHeap) Pop() any {
-	last := len(*c) - 1
-	h := (*c)[last]
-	*c = (*c)[:last]
-	return h
+func (h *eventHeap) Pop() any {
+	last := len(*h) - 1
+	event := (*h)[last]
+	*h = (*h)[:last]
+	return event
 }
 
 // modelRequest is one request of the model.
@@ -76,10 +76,10 @@
 	prompt  int
 	output  int
 	prefill *modelGate
-	// prefilled is true once the prefill result exists, granted once decode
-	// memory is granted, decodeSent once the decode was sent. mayPrefill is
-	// true from the prefill's grant until the prefill is sent.
-	prefilled, granted, decodeSent, mayPrefill bool
+	// prefilled is true once the prefill result exists, decodeGranted once
+	// decode memory is granted, decodeSent once the decode was sent. mayPrefill
+	// is true from the prefill's grant until the prefill is sent.
+	prefilled, decodeGranted, decodeSent, mayPrefill bool
 }
 
 // modelGate is a gate with its engine.
@@ -201,7 +201,7 @@
 func (m *model) start(r *modelRequest) {
 	m.starts++
 	r.attempt = message.Attempt{RequestID: fmt.Sprint("r", m.starts), Number: 1}
-	r.prefilled, r.granted, r.decodeSent, r.mayPrefill = false, false, false, false
+	r.prefilled, r.decodeGranted, r.decodeSent, r.mayPrefill = false, false, false, false
 	m.requests[r.attempt.RequestID] = r
 	if m.timing == atArrival {
 		m.reserveDecode(r, 0)
@@ -339,7 +339,7 @@
 
 func (m *model) handleGrant(g *modelGate, r *modelRequest, took time.Duration) {
 	if g == m.decode {
-		r.granted = true
+		r.decodeGranted = true
 		if m.timing == atArrival {
 			m.reservePrefill(r)
 			return
@@ -367,7 +367,7 @@
 }
 
 func (m *model) startDecode(r *modelRequest) {
-	if r.prefilled && r.granted && !r.decodeSent {
+	if r.prefilled && r.decodeGranted && !r.decodeSent {
 		r.decodeSent = true
 		m.decode.receive(r, message.Decode{Attempt: r.attempt, TransferWithin: 500 * time.Millisecond})
 	}
--- a/internal/reducer/gate/work.go
+++ b/internal/reducer/gate/work.go
@@ -117,8 +117,8 @@
 func (s *State) countTransfers(u oriolebend.Urgency) int {
 	n := 0
 	for _, held := range s.memory.holders {
-		importing := held.stage == stageWorking && held.reserve.Phase == message.PhaseDecode && !held.hasOutput
-		if importing && held.reserve.Urgency == u {
+		transferring := held.stage == stageWorking && held.reserve.Phase == message.PhaseDecode && !held.hasOutput
+		if transferring && held.reserve.Urgency == u {
 			n++
 		}
 	}
@@ -238,7 +238,7 @@
 	if e.Part.Finish == "" {
 		return
 	}
-	s.predict.decodeEnded(r)
+	s.predict.observeOutput(r)
 	s.finish(r)
 }
 
