--- a/internal/reducer/gate/config.go
+++ b/internal/reducer/gate/config.go
@@ -51,7 +51,8 @@
 	TickEvery time.Duration
 	// QueueBound is how many reservations may wait; zero means 1,024.
 	QueueBound int
-	// PrefillSlots is how many prefills the engine runs at once; zero means 2.
+	// PrefillSlots is how many prefills the engine is given at once; zero means
+	// 2.
 	PrefillSlots int
 	// UrgentSlots is how many urgent prefills may run in addition to
 	// PrefillSlots; zero means 4.
--- a/internal/reducer/gate/event.go
+++ b/internal/reducer/gate/event.go
@@ -24,8 +24,8 @@
 	Message message.Message
 }
 
-// Renewed reports a sign of life from the peer of a session. It renews the
-// lease of the session's reservation.
+// Renewed reports activity of the peer of a session. It renews the lease of the
+// session's reservation.
 type Renewed struct {
 	At      time.Time
 	Session SessionID
--- a/internal/reducer/gate/gate_test.go
+++ b/internal/reducer/gate/gate_test.go
@@ -168,7 +168,7 @@
 	for r.now.Before(end) {
 		r.now = r.now.Add(r.state.config.TickEvery)
 		var effects []Effect
-		for _, id := range strings.FieldsFunc(a.text("renew", ""), plus) {
+		for _, id := range strings.FieldsFunc(a.text("renew", ""), isPlus) {
 			effects = append(effects, Reduce(r.state, Renewed{At: r.now, Session: SessionID(id)})...)
 		}
 		effects = append(effects, Reduce(r.state, Ticked{At: r.now})...)
@@ -294,7 +294,7 @@
 // parseWork reads "attempt:tokens+attempt:tokens".
 func parseWork(a arguments) []engine.Work {
 	var all []engine.Work
-	for _, part := range strings.FieldsFunc(a.text("work", ""), plus) {
+	for _, part := range strings.FieldsFunc(a.text("work", ""), isPlus) {
 		name, tokens, _ := strings.Cut(part, ":")
 		held, err := strconv.Atoi(tokens)
 		if err != nil {
@@ -308,7 +308,7 @@
 // parseCacheEvents reads "sequence:change:block+sequence:change:block".
 func parseCacheEvents(a arguments) []engine.CacheEvent {
 	var all []engine.CacheEvent
-	for _, part := range strings.FieldsFunc(a.text("events", ""), plus) {
+	for _, part := range strings.FieldsFunc(a.text("events", ""), isPlus) {
 		var e engine.CacheEvent
 		if _, err := fmt.Sscan(strings.ReplaceAll(part, ":", " "), &e.Sequence, &e.Change, &e.Block); err != nil {
 			panic(err)
@@ -318,7 +318,7 @@
 	return all
 }
 
-func plus(r rune) bool { return r == '+' }
+func isPlus(r rune) bool { return r == '+' }
 
 // describe lists the reservations in the order of attempts.
 func (r *script) describe() []string {
--- a/internal/reducer/gate/memory.go
+++ b/internal/reducer/gate/memory.go
@@ -12,7 +12,7 @@
 
 const (
 	// Of n decode slots, n/urgentSlotDivisor are kept for urgent work, and
-	// urgent work may exceed them by n/urgentExtraDivisor.
+	// urgent work may exceed them by n/urgentExtraDivisor, but by at least one.
 	urgentSlotDivisor  = 8
 	urgentExtraDivisor = 2
 	// Transfers may be planned to take one part in linkDivisor of the time that
--- a/internal/reducer/gate/state.go
+++ b/internal/reducer/gate/state.go
@@ -91,7 +91,7 @@
 type session struct {
 	id          SessionID
 	reservation *reservation
-	// renewedAt is the lease clock at the last sign of life from the peer.
+	// renewedAt is the lease clock at the last activity of the peer.
 	renewedAt    time.Duration
 	leaseElement *list.Element
 }
--- a/internal/reducer/gate/timing_bench_test.go
+++ b/internal/reducer/gate/timing_bench_test.go
@@ -35,8 +35,8 @@
 	modelDuration   = 5 * time.Minute
 	modelPings      = 2.0 // a second
 	modelSeeds      = 3
-	modelBriefSize  = 8000.0
-	modelBriefTaken = 100.0
+	modelBriefPrompt  = 8000.0
+	modelBriefOutput = 100.0
 )
 
 // scheduledEvent is an action of the model at a given time.
@@ -110,7 +110,7 @@
 	idle, working    float64
 	total            float64
 	pings, briefs    []time.Duration
-	done             int
+	completed             int
 }
 
 func newModel(when timing, seed uint64) *model {
@@ -192,8 +192,8 @@
 	m.start(&modelRequest{
 		arrived: m.now,
 		urgency: oriolebend.Patient,
-		prompt:  min(int(modelBriefSize*math.Exp(0.5*m.arrivals.NormFloat64())), 60_000),
-		output:  1 + min(int(modelBriefTaken*math.Exp(0.5*m.arrivals.NormFloat64())), 399),
+		prompt:  min(int(modelBriefPrompt*math.Exp(0.5*m.arrivals.NormFloat64())), 60_000),
+		output:  1 + min(int(modelBriefOutput*math.Exp(0.5*m.arrivals.NormFloat64())), 399),
 	})
 }
 
@@ -298,7 +298,7 @@
 		}
 		if sent+1 == r.output {
 			part.Finish = message.FinishStop
-			m.done++
+			m.completed++
 		}
 		g.apply(EnginePart{At: m.now, Part: part})
 		if part.Finish == "" {
@@ -404,7 +404,7 @@
 		sums.total += m.total
 		sums.wasted += m.wasted
 		sums.computed += m.computed
-		sums.done += m.done
+		sums.completed += m.completed
 		sums.pings = append(sums.pings, m.pings...)
 		sums.briefs = append(sums.briefs, m.briefs...)
 	}
@@ -425,7 +425,7 @@
 				b.ReportMetric(100*m.idle/m.total, "idle%")
 				b.ReportMetric(100*m.working/m.total, "working%")
 				b.ReportMetric(100*m.wasted/m.computed, "wasted%")
-				b.ReportMetric(float64(m.done)/modelSeeds/modelDuration.Seconds(), "done/s")
+				b.ReportMetric(float64(m.completed)/modelSeeds/modelDuration.Seconds(), "done/s")
 				b.ReportMetric(float64(percentile(m.pings, 0.99).Milliseconds()), "ping99ms")
 				b.ReportMetric(float64(percentile(m.briefs, 0.5).Milliseconds()), "brief50ms")
 			})
--- a/internal/reducer/gate/work.go
+++ b/internal/reducer/gate/work.go
@@ -179,8 +179,8 @@
 	s.emit(RunCall{Call: m})
 }
 
-// handlePrefilled informs the entry where the result is. The engine holds it
-// until it is released or expires.
+// handlePrefilled informs the entry where the result is. The engine holds the
+// result until it is released or expires.
 func (s *State) handlePrefilled(e EnginePrefilled) {
 	r := s.attempts[e.Attempt]
 	if r == nil {
