--- a/internal/reducer/gate/timing_bench_test.go
+++ b/internal/reducer/gate/timing_bench_test.go
@@ -27,15 +27,15 @@
 // Sizes of the modelled site: the prefill and decode pools have equal capacity,
 // and decode memory holds about twenty requests.
 const (
-	modelPrefills   = 3
-	modelRate       = 20_000 // tokens a second of one prefill server
-	modelStep       = 25 * time.Millisecond
-	modelResultLife = 800 * time.Millisecond
-	modelNetwork    = 1500 * time.Microsecond
-	modelDuration   = 5 * time.Minute
-	modelPings      = 2.0 // a second
-	modelSeeds      = 3
-	modelBriefPrompt  = 8000.0
+	modelPrefills    = 3
+	modelRate        = 20_000 // tokens a second of one prefill server
+	modelStep        = 25 * time.Millisecond
+	modelResultLife  = 800 * time.Millisecond
+	modelNetwork     = 1500 * time.Microsecond
+	modelDuration    = 5 * time.Minute
+	modelPings       = 2.0 // a second
+	modelSeeds       = 3
+	modelBriefPrompt = 8000.0
 	modelBriefOutput = 100.0
 )
 
@@ -110,7 +110,7 @@
 	idle, working    float64
 	total            float64
 	pings, briefs    []time.Duration
-	completed             int
+	completed        int
 }
 
 func newModel(when timing, seed uint64) *model {
