--- a/internal/reducer/gate/property_test.go
+++ b/internal/reducer/gate/property_test.go
@@ -177,7 +177,7 @@
 	if len(sm.sessions) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(sm.sessions).Draw(sm.T, "session")
+	return rapid.SampledFrom(sm.sessions).Draw(sm.T, "peer")
 }
 
 func (sm *simulation) send(es *entrySession, m message.Message) {
@@ -244,7 +244,7 @@
 
 func (sm *simulation) renew() {
 	for _, es := range sm.sessions {
-		if !es.ended && rapid.IntRange(0, 9).Draw(sm.T, "renewed") > 0 {
+		if !es.ended && rapid.IntRange(0, 9).Draw(sm.T, "heard") > 0 {
 			sm.apply(Renewed{At: sm.now, Session: es.id})
 		}
 	}
--- a/internal/reducer/gate/rebuild.go
+++ b/internal/reducer/gate/rebuild.go
@@ -11,8 +11,8 @@
 const (
 	// maxPendingLists bounds the ListWork effects that are not answered yet.
 	maxPendingLists = 4
-	// lostAfterPeriods is the number of ListEvery periods after which the
-	// oldest of maxPendingLists counts as lost.
+	// lostAfterPeriods is the number of ListEvery periods since the latest
+	// ListWork after which the oldest of maxPendingLists counts as lost.
 	lostAfterPeriods = 10
 )
 
