--- a/internal/reducer/limit/bucket.go
+++ b/internal/reducer/limit/bucket.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// Bucket is a token bucket whose takers take different amounts. Its zero value is empty
-// and lets nothing through.
+// Bucket is a token bucket from which different amounts can be taken. Its zero
+// value is empty and lets nothing through.
 type Bucket struct {
-	// PerSecond is what becomes free in a second, Burst what is saved up at most.
+	// PerSecond is the amount added a second, and Burst the largest amount
+	// saved up.
 	PerSecond, Burst float64
 
 	level   float64
 	updated time.Time
 }
 
-// Level is what can be taken now. It is below zero after more than Burst was taken at once.
+// Level returns the amount that can be taken now. It is below zero after more
+// than Burst was taken at once.
 func (b *Bucket) Level(now time.Time) float64 {
 	if passed := now.Sub(b.updated); passed > 0 {
 		if !b.updated.IsZero() {
@@ -24,9 +26,9 @@
 	return b.level
 }
 
-// Take takes an amount if there is as much beyond what is kept for others. One of more
-// than Burst is let through once the bucket is full, and the next ones wait for it: it
-// could never be otherwise.
+// Take takes an amount if at least that much is there beyond the amount kept
+// for others. An amount above Burst is taken once the bucket is full, and later
+// ones wait until it is made up for: otherwise it could never be taken.
 func (b *Bucket) Take(now time.Time, amount, kept float64) bool {
 	if b.Level(now) < min(amount, b.Burst)+kept {
 		return false
@@ -38,7 +40,8 @@
 // Return puts an amount back.
 func (b *Bucket) Return(amount float64) { b.level = min(b.level+amount, b.Burst) }
 
-// Wait is how long it takes until an amount can be taken; zero means that it can be now.
+// Wait returns how long it takes until an amount can be taken; zero means that
+// it can be taken now.
 func (b *Bucket) Wait(now time.Time, amount float64) time.Duration {
 	missing := min(amount, b.Burst) - b.Level(now)
 	if missing <= 0 {
@@ -50,5 +53,6 @@
 	return time.Duration(missing / b.PerSecond * float64(time.Second))
 }
 
-// never is longer than anybody waits.
+// never stands for an amount that can never be taken; it is longer than any
+// caller waits.
 const never = 24 * time.Hour
--- a/internal/reducer/limit/limit.go
+++ b/internal/reducer/limit/limit.go
@@ -1,32 +1,33 @@
-// Package limit bounds what an entry has in progress and takes in: an adaptive
-// concurrency limit for each pool and a rate for each organisation.
+// Package limit bounds what an entry admits and has in progress: it provides an
+// adaptive concurrency limit for each pool and a rate limit for each
+// organisation.
 package limit
 
 import "time"
 
-// Config sets up a Concurrency limit.
+// Config configures a Concurrency limit.
 type Config struct {
 	// Start is the first limit; zero means 64.
 	Start float64
 	// Min and Max bound the limit; zero means 4 and 1,024.
 	Min, Max float64
-	// Grow is what one success adds while the limit holds work back; zero means
-	// 0.5: an entry with a few requests a second has to win back in seconds
-	// what one period of refusals took.
+	// Grow is what one success adds to the limit while the limit holds work
+	// back; zero means 0.5. An entry with a few requests a second has to regain
+	// in seconds what one period of refusals took.
 	Grow float64
-	// Backoff multiplies the limit when work was refused for lack of room;
-	// zero means 0.85.
+	// Backoff is the factor by which the limit shrinks when work was refused
+	// for lack of room; zero means 0.85.
 	Backoff float64
 	// Every is the shortest time between two decreases; zero means 500ms.
 	Every time.Duration
 }
 
-// Concurrency is a limit on work in progress that grows by a step with each
-// success and shrinks by a factor when servers refuse for lack of room.
+// Concurrency is a limit on work in progress. It grows by a step with each
+// success and shrinks by a factor when servers refuse work for lack of room.
 //
-// With a fixed limit an entry keeps asking full servers when the fleet shrinks
-// and leaves them idle when it grows; one would notice refusals of gates, or
-// requests that wait in the entry while gates are free.
+// With a fixed limit an entry keeps probing full servers when the fleet
+// shrinks, and leaves servers idle when the fleet grows. The symptom would be
+// refusals of gates, or requests that wait in the entry while gates are free.
 type Concurrency struct {
 	config  Config
 	limit   float64
@@ -34,7 +35,7 @@
 	shrunk  time.Time
 }
 
-// NewConcurrency returns a limit at its start.
+// NewConcurrency returns a limit at its start value.
 func NewConcurrency(c Config) *Concurrency {
 	fill(&c.Start, 64)
 	fill(&c.Min, 4)
@@ -53,7 +54,7 @@
 	}
 }
 
-// Acquire takes one place if there is one.
+// Acquire takes one slot if one is free.
 func (c *Concurrency) Acquire() bool {
 	if !c.Free() {
 		return false
@@ -62,22 +63,22 @@
 	return true
 }
 
-// Take takes one place whether there is one or not.
+// Take takes one slot whether one is free or not.
 func (c *Concurrency) Take() { c.running++ }
 
-// Free reports whether there is a place.
+// Free reports whether a slot is free.
 func (c *Concurrency) Free() bool { return float64(c.running) < c.limit }
 
-// Release gives one place back.
+// Release returns one slot.
 func (c *Concurrency) Release() { c.running-- }
 
-// Running is how many places are taken.
+// Running returns the number of slots taken.
 func (c *Concurrency) Running() int { return c.running }
 
-// Limit is the limit now.
+// Limit returns the current limit.
 func (c *Concurrency) Limit() float64 { return c.limit }
 
-// Succeeded grows the limit, but only while it is what holds work back.
+// Succeeded grows the limit, but only while the limit holds work back.
 func (c *Concurrency) Succeeded() {
 	if float64(c.running) < c.limit/2 {
 		return
@@ -85,13 +86,13 @@
 	c.limit = min(c.config.Max, c.limit+c.config.Grow)
 }
 
-// Refused shrinks the limit, once for the refusals of one period.
+// Refused shrinks the limit, once for all refusals of one period.
 func (c *Concurrency) Refused(now time.Time) {
 	if !c.shrunk.IsZero() && now.Sub(c.shrunk) < c.config.Every {
 		return
 	}
 	c.shrunk = now
-	// Work in progress is what the servers carry now; a limit far over it
+	// Work in progress is what the servers can carry now. A limit far above it
 	// would take many decreases to have any effect.
 	c.limit = min(c.limit, float64(c.running)+1)
 	c.limit = max(c.config.Min, c.limit*c.config.Backoff)
--- a/internal/reducer/limit/limit_test.go
+++ b/internal/reducer/limit/limit_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// The limit shrinks to what the servers carry, once for each period, and grows
-// back while it is what holds work back.
+// The limit shrinks to the work that the servers carry, once in each period,
+// and grows again while it holds work back.
 func TestConcurrencyAdapts(t *testing.T) {
 	is := is.New(t)
 	c := NewConcurrency(Config{Start: 40})
--- a/internal/reducer/limit/rate.go
+++ b/internal/reducer/limit/rate.go
@@ -4,16 +4,18 @@
 
 // Rate is a token bucket. Its zero value lets everything through.
 type Rate struct {
-	// PerSecond is how many pass in a second; zero means no bound.
+	// PerSecond is the number of tokens added a second; zero means no bound.
 	PerSecond float64
-	// Burst is how many may pass at once; zero means PerSecond, at least 1.
+	// Burst is the number of tokens that may be taken at once; zero means
+	// PerSecond, at least 1.
 	Burst float64
 
 	tokens  float64
 	updated time.Time
 }
 
-// Allow takes one token. If there is none it returns how long until there is.
+// Allow takes one token. If there is none, it returns the time until there is
+// one.
 func (r *Rate) Allow(now time.Time) (time.Duration, bool) {
 	if r.PerSecond <= 0 {
 		return 0, true
