--- a/internal/reducer/retry/budget.go
+++ b/internal/reducer/retry/budget.go
@@ -1,5 +1,5 @@
-// Package retry decides whether and when work is tried again: budgets that
-// are a share of successes, and full jitter.
+// Package retry decides whether and when work is tried again: budgets limit
+// retries to a share of successes, and pauses have full jitter.
 package retry
 
 import (
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// BudgetConfig sets up a Budget.
+// BudgetConfig configures a Budget.
 type BudgetConfig struct {
-	// Share is how many retries one success earns; zero means 0.2.
+	// Share is the number of retries that one success adds; zero means 0.2.
 	Share float64
-	// Floor is how many retries a second come without any success, so that
-	// accepted work always advances; zero means 1.
+	// Floor is the number of retries a second that are added without any
+	// success, so that accepted work always advances; zero means 1.
 	Floor float64
-	// Burst bounds what is saved up, and is there at the start; zero means 32.
+	// Burst is the largest number of retries saved up, and the number available
+	// at the start; zero means 32.
 	Burst float64
 }
 
 // Budget is a token bucket that keeps retries to a share of successes.
 //
-// Without it a fault that makes all attempts fail multiplies the load by the
-// number of tries, which keeps the servers down after the fault is gone. One
-// would notice by a rate of dispatches far over the rate of arrivals.
+// Without it, a fault that makes all attempts fail multiplies the load by the
+// number of tries, which keeps the servers down after the fault is over. The
+// symptom would be a rate of dispatches far above the rate of arrivals.
 type Budget struct {
 	config  BudgetConfig
 	tokens  float64
@@ -43,14 +44,14 @@
 	return &Budget{config: c, tokens: c.Burst}
 }
 
-// Succeeded earns the share of one success.
+// Succeeded adds the share of one success.
 func (b *Budget) Succeeded(now time.Time) {
 	b.refill(now)
 	b.tokens = min(b.config.Burst, b.tokens+b.config.Share)
 }
 
-// Wait is how long it takes at the floor's rate until a retry is allowed;
-// zero means now.
+// Wait returns how long it takes at the floor's rate until a retry is allowed;
+// zero means that it is allowed now.
 func (b *Budget) Wait(now time.Time) time.Duration {
 	b.refill(now)
 	if b.tokens >= 1 {
@@ -59,15 +60,15 @@
 	return time.Duration((1 - b.tokens) / b.config.Floor * float64(time.Second))
 }
 
-// mostDebt is how far the tokens go below zero. Without a bound a second of
-// stalled transfers would hold accepted work back for a minute.
-const mostDebt = 2
+// maxDebt is how far the tokens may go below zero. Without a bound, one second
+// of stalled transfers would delay accepted work by a minute.
+const maxDebt = 2
 
-// Take spends one retry. The tokens may go below zero, for a retry that is
-// cheaper now than later; the next ones then wait longer.
+// Take spends one retry. The tokens may go below zero, for a retry that costs
+// less now than later; the next retries then wait longer.
 func (b *Budget) Take(now time.Time) {
 	b.refill(now)
-	b.tokens = max(b.tokens-1, -mostDebt)
+	b.tokens = max(b.tokens-1, -maxDebt)
 }
 
 func (b *Budget) refill(now time.Time) {
@@ -85,8 +86,8 @@
 // FullJitter returns a random pause between zero and base times two to the
 // power of tries, at most the bound.
 //
-// Retries with equal pauses meet again at the same server after each pause;
-// one would notice refusals in waves.
+// Retries after equal pauses would meet again at the same server after each
+// pause. The symptom would be refusals in waves.
 func FullJitter(rng *rand.Rand, base, bound time.Duration, tries int) time.Duration {
 	ceiling := bound
 	if tries < 32 && base<<tries > 0 && base<<tries < bound {
--- a/internal/reducer/retry/budget_test.go
+++ b/internal/reducer/retry/budget_test.go
@@ -11,7 +11,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Retries stay a share of successes plus the floor, whatever the order.
+// Retries are limited to a share of successes plus the floor, in any order of
+// events.
 func TestBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := BudgetConfig{Share: 0.2, Floor: 0.5, Burst: 10}
@@ -61,9 +62,8 @@
 	is.True(longest > 140*time.Millisecond) // the whole range is used
 }
 
-// Symptom: accepted work waits for a minute after a second of stalled
-// transfers. Sequence: retries that can't wait are taken far below zero. Cause:
-// debt without a bound.
+// Guards against accepted work that waits for a minute after a second of
+// stalled transfers: retries that can't wait were taken far below zero.
 func TestDebtIsBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
