--- a/internal/reducer/entry/admit.go
+++ b/internal/reducer/entry/admit.go
@@ -7,22 +7,22 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// comeBack is the Retry-After of refusals that no better estimate exists for.
-const comeBack = time.Second
+// defaultRetryAfter is the Retry-After of refusals without a better estimate.
+const defaultRetryAfter = time.Second
 
-// arrived takes a new request in.
+// handleArrived admits or refuses a new request.
 //
-// A request with a key that its caller gave is claimed first and admitted
-// after: the key may belong to an earlier request which ran, so that only the
-// claim can tell whether "not run" is true. A request whose key the entry made
-// is admitted first, since nothing can have run under that key.
-func (s *State) arrived(q Request) {
+// A request whose caller gave the key is claimed first and admitted afterwards:
+// an earlier request may have run under that key, so that only the claim can
+// tell whether "not run" is true. A request whose key the entry made is
+// admitted first, since nothing can have run under that key.
+func (s *State) handleArrived(q Request) {
 	if s.requests[q.ID] != nil {
 		return
 	}
 	r := s.newRequest(q)
 	if len(s.requests) >= s.config.MaxRequests {
-		s.refuse(r, oriolebend.ReasonOverloaded, r.unclaimedRan(), comeBack)
+		s.refuse(r, oriolebend.ReasonOverloaded, r.unclaimedRan(), defaultRetryAfter)
 		return
 	}
 	if q.Generated {
@@ -35,7 +35,7 @@
 	if !r.Deadline.IsZero() {
 		s.setAlarmAt(r, alarmDeadline, r.Deadline)
 	}
-	s.claim(r)
+	s.sendClaim(r)
 }
 
 func (s *State) newRequest(q Request) *request {
@@ -50,9 +50,9 @@
 	}
 }
 
-// refuse tells the caller of a request that holds nothing that it is refused.
+// refuse reports a refusal to the caller of a request that holds nothing.
 func (s *State) refuse(r *request, reason oriolebend.Reason, ran oriolebend.Ran, after time.Duration) {
-	if r.gone {
+	if r.detached {
 		return
 	}
 	s.count("refusal", reason, r)
@@ -64,8 +64,9 @@
 	}})
 }
 
-// unclaimedRan is what is known of a request without its record: under a key
-// that the caller gave an earlier request may have run.
+// unclaimedRan returns what is known about the execution of a request without
+// its record: under a key that the caller gave, an earlier request may have
+// run.
 func (r *request) unclaimedRan() oriolebend.Ran {
 	if r.Generated {
 		return oriolebend.RanNo
@@ -73,28 +74,28 @@
 	return oriolebend.RanUnknown
 }
 
-// admit decides whether a request is taken in. It returns the reason of a
-// refusal and when to come back, or no reason.
+// admit decides whether to admit a request. It returns the reason of a refusal
+// and when to retry, or no reason.
 func (s *State) admit(r *request) (oriolebend.Reason, time.Duration) {
 	if s.stopping {
-		return oriolebend.ReasonStopping, comeBack
+		return oriolebend.ReasonStopping, defaultRetryAfter
 	}
 	if s.pool(r.pool(r.firstRole())).Len() == 0 {
-		return oriolebend.ReasonNoServer, comeBack
+		return oriolebend.ReasonNoServer, defaultRetryAfter
 	}
-	if !s.fitsAnywhere(r) || s.outlivesResult(r) {
+	if !s.fitsAnywhere(r) || s.transferOutlivesResult(r) {
 		return oriolebend.ReasonTooLarge, 0
 	}
 	if after, allowed := r.org.rate.Allow(s.now); !allowed {
 		return oriolebend.ReasonRateLimited, after
 	}
 	if s.waiting >= s.config.MaxWaiting {
-		return oriolebend.ReasonQueueFull, comeBack
+		return oriolebend.ReasonQueueFull, defaultRetryAfter
 	}
 	if s.waitingBytes+len(r.Prompt) > s.config.MaxWaitingBytes {
-		return oriolebend.ReasonQueueFull, comeBack
+		return oriolebend.ReasonQueueFull, defaultRetryAfter
 	}
-	if late := r.lane.late(r, s.now); late > 0 && !s.config.AdmitAll {
+	if late := r.lane.admissionDelay(r, s.now); late > 0 && !s.config.AdmitAll {
 		return oriolebend.ReasonOverloaded, late
 	}
 	return "", 0
@@ -108,7 +109,7 @@
 }
 
 // fitsAnywhere reports whether the pools have servers whose memory is large
-// enough for the request, as far as their sizes are known.
+// enough for the request, as far as the sizes are known.
 func (s *State) fitsAnywhere(r *request) bool {
 	if r.Call != nil {
 		return true
@@ -117,22 +118,23 @@
 		s.pool(r.pool(oriolebend.Decode)).fits(r.PromptTokens+r.MaxTokens)
 }
 
-// movableShare is the part of its longest time that a transfer may need over a
-// link of its own.
-const movableShare = 0.9
+// maxTransferShare is the largest share of the time allowed for a transfer that
+// the transfer may take on an otherwise idle link.
+const maxTransferShare = 0.9
 
-// outlivesResult reports whether the KV cache of a request can't be moved to
-// any decode server while its prefill result lives, as far as the sizes were
-// learned. A transfer that begins in time may go on for as long again.
+// transferOutlivesResult reports whether the KV cache of a request can't be
+// moved to any decode server while its prefill result is valid, as far as the
+// sizes were learned. A transfer that begins while the result is valid may
+// continue for the result's lifetime once more.
 //
-// Without it such a request is prefilled again for ever: one would notice one
-// request with ever more retries of reason transferStalled.
-func (s *State) outlivesResult(r *request) bool {
-	f := &r.lane.first
+// Without this check the prefill of such a request would be repeated forever.
+// The symptom would be one request with ever more retries for transferStalled.
+func (s *State) transferOutlivesResult(r *request) bool {
+	f := &r.lane.costs
 	rate := s.pool(r.pool(oriolebend.Decode)).fastest
 	if r.Call != nil || f.livesFor == 0 || rate <= 0 {
 		return false
 	}
 	alone := f.bytesPerToken * float64(r.PromptTokens) / rate
-	return alone > movableShare*2*f.livesFor.Seconds()
+	return alone > maxTransferShare*2*f.livesFor.Seconds()
 }
--- a/internal/reducer/entry/call.go
+++ b/internal/reducer/entry/call.go
@@ -9,14 +9,14 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// advanceCall takes a call of a plain service on.
+// advanceCall advances a call of a plain service.
 func (s *State) advanceCall(r *request) {
 	switch {
 	case r.call == nil:
 		s.openCall(r)
 	case !r.call.granted || !r.call.sent.IsZero():
 	case r.Once:
-		s.startCall(r)
+		s.recordCallRunning(r)
 	default:
 		s.sendCall(r)
 	}
@@ -24,20 +24,22 @@
 
 func (s *State) openCall(r *request) {
 	r.attempt++
-	reserve := s.reservation(r, message.PhaseCall)
+	reserve := s.newReservation(r, message.PhaseCall)
 	want := policy.Want{Domain: s.config.FailureDomain, Count: s.config.Probes}
-	r.call = s.ask(r, alarmCall, reserve, want, r.pool(oriolebend.Service))
+	r.call = s.openRound(r, alarmCall, reserve, want, r.pool(oriolebend.Service))
 	if r.call == nil {
-		s.noServer(r)
+		s.waitForServer(r)
 	}
 }
 
-// startCall has the record say that the call runs before it is sent.
+// recordCallRunning sets the record of a call to running before the call is
+// sent.
 //
-// If the call went out first and this entry died, another claim would find a
-// record that says nothing ran and would send the call again: a patron charged
-// twice. One would notice two executions under one downstream identity.
-func (s *State) startCall(r *request) {
+// If the call was sent first and this entry died, another claim would find a
+// record which says that nothing ran, and would send the call again: a customer
+// would be charged twice. The symptom would be two executions under one
+// downstream identity.
+func (s *State) recordCallRunning(r *request) {
 	r.step = stepStarting
 	s.settle(r, message.Settle{
 		Attempt: r.call.attempt,
@@ -46,9 +48,9 @@
 	})
 }
 
-// started is met once the record says that the call runs.
-func (s *State) started(r *request) {
-	s.unsettle(r)
+// sendRecordedCall sends a call once its record says that the call runs.
+func (s *State) sendRecordedCall(r *request) {
+	s.dropSettlement(r)
 	r.step = stepRouting
 	s.sendCall(r)
 }
@@ -57,32 +59,32 @@
 	g := r.call
 	g.sent = s.now
 	r.dispatched = true
-	r.sentCall = g.chosen.key.Attempt.Number
-	r.calledAt = g.chosen.server.Name
+	r.callAttempt = g.chosen.key.Attempt.Number
+	r.callServer = g.chosen.server.Name
 	call := *r.Call
 	call.Attempt = g.chosen.key.Attempt
 	s.emit(Send{Session: g.chosen.key, Message: call})
 	s.setAlarm(r, alarmCall, s.config.CallWithin)
 }
 
-func (s *State) callAnswered(p *probe, m message.CallAnswer) {
+func (s *State) handleCallAnswer(p *probe, m message.CallAnswer) {
 	r, g := p.request, p.round
 	if g != r.call || g.sent.IsZero() {
 		return
 	}
-	if r.step == stepAsking {
-		s.statusAnswered(r, m)
+	if r.step == stepQuerying {
+		s.handleStatusAnswer(r, m)
 		return
 	}
-	s.callEnded(r, m)
+	s.completeCall(r, m)
 }
 
-func (s *State) callEnded(r *request, m message.CallAnswer) {
+func (s *State) completeCall(r *request, m message.CallAnswer) {
 	if r.call != nil {
-		r.call.finish()
+		r.call.markDone()
 	}
 	r.outcome.call = &m
-	s.succeeded(r)
+	s.noteSuccess(r)
 	s.observe("answer", r, s.now.Sub(r.arrived).Seconds())
 	s.conclude(r, message.RecordAnswered, &message.Answer{
 		Status: m.Status,
@@ -91,64 +93,64 @@
 	})
 }
 
-// callLost takes the loss of a call that was sent. Only a gate that says "no"
-// and will never let the attempt through makes another try allowed for a call
-// that may run once.
-func (s *State) callLost(r *request, g *round, l loss) {
-	if r.step == stepAsking {
-		s.statusFailed(r, l.retryAfter)
+// handleCallLoss handles the loss of a call that was sent. A call that may run
+// once may be tried again only if the gate reports that the attempt did not run
+// and will never run.
+func (s *State) handleCallLoss(r *request, g *round, l loss) {
+	if r.step == stepQuerying {
+		s.retryStatusQuery(r, l.retryAfter)
 		return
 	}
 	s.closeRound(r, g)
 	if l.ran == oriolebend.RanNo {
 		r.dispatched = false
-		s.retryUnlessGone(r, l.reason)
+		s.retryUnlessDetached(r, l.reason)
 		return
 	}
 	if !r.Once {
-		s.retryUnlessGone(r, l.reason)
+		s.retryUnlessDetached(r, l.reason)
 		return
 	}
 	r.lastReason = l.reason
-	s.outcomeLost(r)
+	s.resolveLostCall(r)
 }
 
-// retryUnlessGone tries again, unless the caller was told or left while the
-// call went on.
-func (s *State) retryUnlessGone(r *request, reason oriolebend.Reason) {
-	if r.outcome.told || r.gone {
+// retryUnlessDetached retries a call, unless its outcome was reported or its
+// caller left while the call ran.
+func (s *State) retryUnlessDetached(r *request, reason oriolebend.Reason) {
+	if r.outcome.reported || r.detached {
 		s.giveUp(r, oriolebend.ReasonCallerCancelled, 0)
 		return
 	}
 	s.retryWork(r, reason)
 }
 
-// outcomeLost is met when a call that may run once was sent and its answer
-// will not come. It is never sent again. The service is asked for the outcome
-// if it has a status call.
-func (s *State) outcomeLost(r *request) {
+// resolveLostCall handles a call that may run once, was sent, and whose answer
+// will not come. The call is never sent again. If the service has a status
+// call, it is queried for the outcome.
+func (s *State) resolveLostCall(r *request) {
 	s.count("outcomeLost", cmp.Or(r.lastReason, oriolebend.ReasonOutcomeLost), r)
 	if r.StatusPath == "" {
-		s.unknown(r)
+		s.concludeUnknown(r)
 		return
 	}
-	r.step = stepAsking
+	r.step = stepQuerying
 	r.tries = 0
 	s.setAlarm(r, alarmStatus, s.config.StatusWithin)
-	s.askStatus(r)
+	s.queryStatus(r)
 }
 
-// askStatus asks for the outcome under the identity that the call carried. The
-// gate that had the call is asked first: it closes the attempt before it asks
-// its service, so that the call can't run behind the answer.
-func (s *State) askStatus(r *request) {
-	v := s.statusServer(r)
+// queryStatus queries the outcome under the identity that the call carried. The
+// gate that had the call is queried first: it closes the attempt before it
+// queries its service, so that the call can't run after the answer.
+func (s *State) queryStatus(r *request) {
+	v := s.pickStatusServer(r)
 	if v == nil {
-		s.statusFailed(r, 0)
+		s.retryStatusQuery(r, 0)
 		return
 	}
 	key := SessionKey{
-		Attempt: message.Attempt{RequestID: r.record, Number: r.sentCall},
+		Attempt: message.Attempt{RequestID: r.record, Number: r.callAttempt},
 		Phase:   message.PhaseCall,
 		Server:  v.Name,
 	}
@@ -165,54 +167,56 @@
 	}})
 }
 
-func (s *State) statusServer(r *request) *server {
-	if v := s.servers[r.calledAt]; v != nil && r.tries == 0 {
+func (s *State) pickStatusServer(r *request) *server {
+	if v := s.servers[r.callServer]; v != nil && r.tries == 0 {
 		return v
 	}
 	p := s.pool(r.pool(oriolebend.Service))
 	if p.Len() == 0 {
 		return nil
 	}
-	s.pick(p.Pool, policy.Want{Domain: s.config.FailureDomain, Count: 1})
-	return s.picked[0]
+	s.pickCandidates(p.Pool, policy.Want{Domain: s.config.FailureDomain, Count: 1})
+	return s.candidates[0]
 }
 
-// statusFailed has the outcome asked for again after a pause, until that took
-// too long.
-func (s *State) statusFailed(r *request, after time.Duration) {
+// retryStatusQuery queries the outcome again after a pause, until StatusWithin
+// has passed.
+func (s *State) retryStatusQuery(r *request, after time.Duration) {
 	s.closeRound(r, r.call)
 	s.setAlarm(r, alarmReserve, max(after, s.jitter(r)))
 	r.tries++
 }
 
-// statusRuns is a service's answer that the call still runs (409 Conflict).
-const statusRuns = 409
+// statusCallRunning is a service's answer that the call still runs (409
+// Conflict).
+const statusCallRunning = 409
 
-// statusAnswered takes the service's word for the outcome. A call that still
-// runs is asked for again, at the same server: its outcome will be known. Any
-// other answer but a success leaves the outcome unknown: a service that does
-// not know the operation may still get it, if the call is on its way.
-func (s *State) statusAnswered(r *request, m message.CallAnswer) {
-	if m.Status == statusRuns {
+// handleStatusAnswer takes the outcome from the service's answer to a status
+// query. A call that still runs is queried again at the same server, since its
+// outcome will be known. Any other answer but a success leaves the outcome
+// unknown: a service that does not know the operation may still receive the
+// call, if that is on its way.
+func (s *State) handleStatusAnswer(r *request, m message.CallAnswer) {
+	if m.Status == statusCallRunning {
 		s.closeRound(r, r.call)
 		s.setAlarm(r, alarmReserve, s.config.StatusEvery)
 		return
 	}
 	if m.Status < 200 || m.Status > 299 {
-		s.unknown(r)
+		s.concludeUnknown(r)
 		return
 	}
 	s.count("outcomeResolved", oriolebend.ReasonOutcomeLost, r)
-	s.callEnded(r, m)
+	s.completeCall(r, m)
 }
 
-func (s *State) statusDue(r *request) {
-	if r.step == stepAsking {
-		s.unknown(r)
+func (s *State) statusTimedOut(r *request) {
+	if r.step == stepQuerying {
+		s.concludeUnknown(r)
 	}
 }
 
-func (s *State) unknown(r *request) {
+func (s *State) concludeUnknown(r *request) {
 	r.outcome.problem = &oriolebend.Problem{
 		Reason: oriolebend.ReasonOutcomeLost,
 		Ran:    oriolebend.RanUnknown,
--- a/internal/reducer/entry/cancel.go
+++ b/internal/reducer/entry/cancel.go
@@ -4,22 +4,24 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// callerGone ends a request whose caller left, unless it is to go on.
-func (s *State) callerGone(id string) {
+// handleCallerLeft cancels a request whose caller left, unless it has to
+// continue.
+func (s *State) handleCallerLeft(id string) {
 	r := s.requests[id]
-	if r == nil || r.gone {
+	if r == nil || r.detached {
 		return
 	}
-	r.gone = true
-	s.endUnheard(r)
+	r.detached = true
+	s.cancelDetached(r)
 }
 
-// endUnheard cancels a request that nobody waits for. All its sessions are
-// closed in the same event, so that no engine memory stays held. One that is
-// still being claimed is kept until the answer: its record is then closed,
-// else a retry of the caller would find a claim that nobody works on.
-func (s *State) endUnheard(r *request) {
-	if !r.gone || r.KeepRunning {
+// cancelDetached cancels a request that no caller waits for. All its sessions
+// are closed in the same event, so that no engine memory stays held. A request
+// whose claim is unanswered is kept until the answer: its record is then
+// closed, since otherwise a retry of the caller would find a claim that no
+// entry works on.
+func (s *State) cancelDetached(r *request) {
+	if !r.detached || r.KeepRunning {
 		return
 	}
 	if r.step == stepClaiming || r.step == stepSettling {
@@ -28,25 +30,26 @@
 	s.giveUp(r, oriolebend.ReasonCallerCancelled, 0)
 }
 
-// deadlinePassed gives a request up whose caller stops waiting now.
-func (s *State) deadlinePassed(r *request) {
+// handleDeadline ends a request when its caller stops waiting.
+func (s *State) handleDeadline(r *request) {
 	switch r.step {
 	case stepSettling:
 	case stepClaiming:
-		s.endUnclaimed(r, oriolebend.ReasonDeadline)
-	case stepAsking:
-		s.unknown(r)
+		s.refuseUnclaimed(r, oriolebend.ReasonDeadline)
+	case stepQuerying:
+		s.concludeUnknown(r)
 	default:
-		s.giveUp(r, oriolebend.ReasonDeadline, comeBack)
+		s.giveUp(r, oriolebend.ReasonDeadline, defaultRetryAfter)
 	}
 }
 
-// endUnclaimed refuses a request whose claim is unanswered. The request is
-// kept until the answer: if it is owned by then its record is closed, else no
-// other entry could ever run what this one holds and does not work on.
-func (s *State) endUnclaimed(r *request, reason oriolebend.Reason) {
-	s.refuse(r, reason, r.unclaimedRan(), comeBack)
-	r.outcome.told = true
-	r.gone = true
+// refuseUnclaimed refuses a request whose claim is unanswered. The request is
+// kept until the answer: if the entry then owns the key, it closes the record.
+// Without that no other entry could ever run the request, because this entry
+// would own it without working on it.
+func (s *State) refuseUnclaimed(r *request, reason oriolebend.Reason) {
+	s.refuse(r, reason, r.unclaimedRan(), defaultRetryAfter)
+	r.outcome.reported = true
+	r.detached = true
 	r.clearAlarm(alarmClaim)
 }
--- a/internal/reducer/entry/claim.go
+++ b/internal/reducer/entry/claim.go
@@ -8,9 +8,9 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// claim asks for the ownership of a request's key. The lease of what an entry
-// owns is the process's own and is renewed beside the reducer.
-func (s *State) claim(r *request) {
+// sendClaim requests the ownership of a request's key. The lease belongs to the
+// entry process as a whole and is renewed outside the reducer.
+func (s *State) sendClaim(r *request) {
 	c := message.Claim{
 		Scope:       r.Scope,
 		RequestID:   r.ID,
@@ -29,27 +29,28 @@
 	s.setAlarm(r, alarmClaim, s.config.ClaimWithin)
 }
 
-// claimDue is met when a claim stays unanswered. The caller is refused now;
-// the request is kept until the answer, whose claim has then to be closed.
-func (s *State) claimDue(r *request) {
-	s.endUnclaimed(r, oriolebend.ReasonControlAway)
+// claimTimedOut refuses the caller of a request whose claim stays unanswered.
+// The request is kept until the answer arrives, because a claim that was
+// granted has to be closed then.
+func (s *State) claimTimedOut(r *request) {
+	s.refuseUnclaimed(r, oriolebend.ReasonControlAway)
 }
 
-func (s *State) claimed(e Claimed) {
+func (s *State) handleClaimed(e Claimed) {
 	r := s.requests[e.RequestID]
 	if r == nil || r.step != stepClaiming {
 		return
 	}
 	r.clearAlarm(alarmClaim)
 	if e.Problem != nil {
-		s.claimProblem(r, e.Problem)
+		s.handleClaimProblem(r, e.Problem)
 		return
 	}
 	switch e.Answer.Outcome {
 	case message.ClaimOwned:
-		s.owned(r, e.Answer)
+		s.handleOwned(r, e.Answer)
 	case message.ClaimAttach:
-		s.endUnowned(r, AnswerAttach{
+		s.answerUnowned(r, AnswerAttach{
 			RequestID:    r.ID,
 			Record:       e.Answer.RequestID,
 			Owner:        e.Answer.Owner,
@@ -58,21 +59,21 @@
 	case message.ClaimReplay:
 		s.replay(r, e.Answer)
 	case message.ClaimConflict:
-		s.refuseClaimed(r, oriolebend.ReasonKeyReused, oriolebend.RanNo, 0)
+		s.refuseUnowned(r, oriolebend.ReasonKeyReused, oriolebend.RanNo, 0)
 	case message.ClaimRefused:
-		s.refuseClaimed(r, e.Answer.Reason, oriolebend.RanNo, comeBack)
+		s.refuseUnowned(r, e.Answer.Reason, oriolebend.RanNo, defaultRetryAfter)
 	default:
-		s.refuseClaimed(r, oriolebend.ReasonOutcomeLost, oriolebend.RanUnknown, 0)
+		s.refuseUnowned(r, oriolebend.ReasonOutcomeLost, oriolebend.RanUnknown, 0)
 	}
 }
 
-// owned takes a request on whose key is this entry's now. One whose key the
-// caller gave is admitted here.
-func (s *State) owned(r *request, a message.ClaimAnswer) {
+// handleOwned continues a request whose key this entry now owns. A request
+// whose caller gave the key is admitted here.
+func (s *State) handleOwned(r *request, a message.ClaimAnswer) {
 	r.record = cmp.Or(a.RequestID, r.ID)
-	r.first = max(a.Attempt, 1)
-	r.attempt = r.first - 1
-	if r.gone {
+	r.firstAttempt = max(a.Attempt, 1)
+	r.attempt = r.firstAttempt - 1
+	if r.detached {
 		s.giveUp(r, oriolebend.ReasonCallerCancelled, 0)
 		return
 	}
@@ -88,45 +89,45 @@
 	s.enqueue(r)
 }
 
-// claimProblem is met when no quorum of control VMs answered: the request is
-// refused. Under a key that the entry made nothing ran and nothing will. Under
-// a key that the caller gave an earlier request may have run, which only a
-// quorum could tell.
+// handleClaimProblem refuses a request because no quorum of control VMs
+// answered its claim. Under a key that the entry made, nothing has run and
+// nothing will. Under a key that the caller gave, an earlier request may have
+// run, which only a quorum can tell.
 //
-// To run a repeatable request without its record would keep answering while
-// no quorum is there, but its caller could be told "not run" later by a record
-// that was closed behind a claim whose answer was lost.
-func (s *State) claimProblem(r *request, p *oriolebend.Problem) {
+// Running a repeatable request without its record would keep answers available
+// while there is no quorum. But the caller could later get "not run" from a
+// record that was closed after a claim whose answer was lost.
+func (s *State) handleClaimProblem(r *request, p *oriolebend.Problem) {
 	ran := r.unclaimedRan()
 	if p.Reason == oriolebend.ReasonRecordsFull {
 		ran = oriolebend.RanNo
 	}
-	s.refuseClaimed(r, p.Reason, ran, cmp.Or(p.RetryAfter, comeBack))
+	s.refuseUnowned(r, p.Reason, ran, cmp.Or(p.RetryAfter, defaultRetryAfter))
 }
 
-// replay gives the caller what the record holds.
+// replay answers the caller from the record.
 func (s *State) replay(r *request, a message.ClaimAnswer) {
 	switch {
 	case a.State == message.RecordNotRun:
-		s.refuseClaimed(r, cmp.Or(a.Reason, oriolebend.ReasonOverloaded), oriolebend.RanNo, comeBack)
+		s.refuseUnowned(r, cmp.Or(a.Reason, oriolebend.ReasonOverloaded), oriolebend.RanNo, defaultRetryAfter)
 	case a.Answer == nil:
-		// The record outlives the stored answer: the request ran and its
-		// output is no longer kept.
-		s.refuseClaimed(r, cmp.Or(a.Reason, oriolebend.ReasonAnswerNotKept), oriolebend.RanYes, 0)
+		// The record outlives the stored answer: the request ran and its output
+		// is no longer kept.
+		s.refuseUnowned(r, cmp.Or(a.Reason, oriolebend.ReasonAnswerNotKept), oriolebend.RanYes, 0)
 	default:
-		s.endUnowned(r, AnswerReplay{RequestID: r.ID, Record: a.RequestID, Answer: *a.Answer})
+		s.answerUnowned(r, AnswerReplay{RequestID: r.ID, Record: a.RequestID, Answer: *a.Answer})
 	}
 }
 
-// refuseClaimed refuses a request that the entry does not own.
-func (s *State) refuseClaimed(r *request, reason oriolebend.Reason, ran oriolebend.Ran, after time.Duration) {
+// refuseUnowned refuses a request whose key the entry does not own.
+func (s *State) refuseUnowned(r *request, reason oriolebend.Reason, ran oriolebend.Ran, after time.Duration) {
 	s.refuse(r, reason, ran, after)
-	s.forget(r)
+	s.removeRequest(r)
 }
 
-func (s *State) endUnowned(r *request, e Effect) {
-	if !r.gone {
+func (s *State) answerUnowned(r *request, e Effect) {
+	if !r.detached {
 		s.emit(e)
 	}
-	s.forget(r)
+	s.removeRequest(r)
 }
--- a/internal/reducer/entry/config.go
+++ b/internal/reducer/entry/config.go
@@ -7,28 +7,31 @@
 	"github.com/oriolebend/oriolebend/internal/policy"
 )
 
-// Config sets up an entry. Every field but Name has a useful zero value.
+// Config configures an entry. Every field but Name has a useful zero value.
 type Config struct {
-	// Name is the entry's process name; gates see it in each reservation.
+	// Name is the process name of the entry; each reservation carries it to the
+	// gate.
 	Name string
-	// Owner is the name and start of this process, unique to this run; empty
-	// means Name.
+	// Owner is the name and incarnation of this process, unique to this run;
+	// empty means Name.
 	Owner string
-	// Region and FailureDomain say where the entry stands.
+	// Region and FailureDomain are the location of the entry.
 	Region        string
 	FailureDomain string
-	// Seed starts the random numbers of jitter and of random candidates.
+	// Seed seeds the random numbers of the jitter and of random candidates.
 	Seed uint64
 
 	// Route is the policy that picks candidates; empty means reserve.
 	Route policy.Name
-	// Probes is how many prefill gates or services are asked for one request
-	// at most; zero means 2.
+	// Probes is the largest number of prefill gates or services that are probed
+	// for one request; zero means 2.
 	Probes int
-	// DecodeProbes is how many decode gates are asked at most; zero means 2.
+	// DecodeProbes is the largest number of decode gates that are probed; zero
+	// means 2.
 	DecodeProbes int
-	// AskAtOnce asks all of them at the same time; false asks the next one only
-	// if the one before can't serve at once or does not answer.
+	// AskAtOnce probes all candidates at the same time. If it is false, the
+	// next candidate is probed only if the one before can't serve at once or
+	// does not answer.
 	AskAtOnce bool
 	// FirstWithin is the target of the time to the first token for requests
 	// that carry none; zero means 1.2s.
@@ -37,14 +40,14 @@
 	// carry none; zero means 41ms.
 	BetweenWithin time.Duration
 
-	// AdmitAll takes requests in whose first token is expected to be late; it
-	// is there to be compared with.
+	// AdmitAll admits requests even if their first token is expected to be
+	// late. It is a baseline for comparisons.
 	AdmitAll bool
 
 	// MaxRequests bounds the requests that the entry holds; zero means 4,096.
 	MaxRequests int
-	// MaxWaiting bounds the accepted requests that wait for room; zero means
-	// 2,048.
+	// MaxWaiting bounds the accepted requests that wait for capacity; zero
+	// means 2,048.
 	MaxWaiting int
 	// MaxWaitingBytes bounds the prompts of waiting requests; zero means
 	// 64 MiB.
@@ -52,69 +55,71 @@
 	// Organisations sets the share and rate of organisations by name; those
 	// not listed have share 1 and no rate limit.
 	Organisations map[string]Organisation
-	// RetryShare is how many retries the budget gains for each success; zero
-	// means 0.2.
+	// RetryShare is the number of retries that each success adds to a budget;
+	// zero means 0.2.
 	RetryShare float64
-	// RetryFloor is how many retries a second a budget gains without any
-	// success, so that accepted work always advances; zero means 1.
+	// RetryFloor is the number of retries a second that a budget gains without
+	// any success, so that accepted work always advances; zero means 1.
 	RetryFloor float64
-	// RetryBurst bounds a retry budget; zero means 32, which is more than the
-	// requests that one decode server holds.
+	// RetryBurst is the size of a retry budget; zero means 32, which is more
+	// than the requests that one decode server holds.
 	RetryBurst float64
 	// MaxConcurrency bounds the adaptive concurrency limit of a pool; zero
 	// means 1,024.
 	MaxConcurrency int
 
 	// ClaimWithin is how long a claim may stay unanswered before its caller is
-	// refused; it is longer than an election and than one call to the control
-	// VMs may take. Zero means 6s.
+	// refused. It is longer than an election and than the longest call to the
+	// control VMs. Zero means 6s.
 	ClaimWithin time.Duration
-	// OfferWithin is how long a round waits for an offer before it asks the
-	// next candidate, or takes the best one that it has; zero means 20ms.
+	// OfferWithin is how long a round waits for an offer before it probes the
+	// next candidate, or takes the best offer that it has; zero means 20ms.
 	OfferWithin time.Duration
 	// ProbeWithin is how long a gate may leave a reservation unanswered; zero
 	// means 500ms.
 	ProbeWithin time.Duration
-	// HoldPrefill is how long granted prefill room is held idle while decode
-	// room is awaited; zero means 100ms.
+	// HoldPrefill is how long a granted prefill reservation is held idle while
+	// the request waits for a decode reservation; zero means 100ms.
 	HoldPrefill time.Duration
-	// StallWithin is how long dispatched work may show no progress before it
-	// is run elsewhere; zero means 10s.
+	// StallWithin is how long dispatched work may show no progress before it is
+	// run on another server; zero means 10s.
 	StallWithin time.Duration
 	// CallWithin is how long a call of a plain service may take; zero means
 	// 30s.
 	CallWithin time.Duration
-	// SettleWithin is how long the end of an answer waits for its record;
-	// zero means 2s.
+	// SettleWithin is how long the end of an answer waits for the record to be
+	// settled; zero means 2s.
 	SettleWithin time.Duration
 	// SettleEvery is the pause between two tries to settle a record, and
-	// SettleSilence how long one try may stay unanswered; zero means 1s and 6s.
+	// SettleSilence the timeout of one try; zero means 1s and 6s.
 	SettleEvery   time.Duration
 	SettleSilence time.Duration
-	// SettleFor is how long a record is tried to be settled; zero means 1m.
+	// SettleFor is how long the entry tries to settle a record; zero means 1m.
 	SettleFor time.Duration
-	// StatusWithin is how long the outcome of a lost call is asked for; zero
-	// means 2s.
+	// StatusWithin is how long the entry queries the outcome of a lost call;
+	// zero means 2s.
 	StatusWithin time.Duration
-	// StatusEvery is the pause before a call that still runs is asked for
-	// again; zero means 100ms.
+	// StatusEvery is the pause before the status of a call that still runs is
+	// queried again; zero means 100ms.
 	StatusEvery time.Duration
 	// RetryBase and RetryMax bound the full jitter of retries; zero means
 	// 20ms and 2s.
 	RetryBase time.Duration
 	RetryMax  time.Duration
-	// MaxEngineFailures ends a request after so many failures in a row that
-	// engines reported without any progress; zero means 8.
+	// MaxEngineFailures is the number of failures that engines report in a row,
+	// without any progress, after which a request is given up; zero means 8.
 	MaxEngineFailures int
 }
 
-// Organisation sets what one organisation may use.
+// Organisation sets the limits of one organisation.
 type Organisation struct {
-	// Share weighs the organisation in the queue; zero means 1.
+	// Share is the weight of the organisation in the queue; zero means 1.
 	Share float64
-	// Rate bounds its new requests a second; zero means no bound.
+	// Rate is the largest number of its new requests a second; zero means no
+	// bound.
 	Rate float64
-	// Burst is how many may come at once; zero means Rate.
+	// Burst is the number of requests that may arrive at once; zero means Rate,
+	// but at least 1.
 	Burst float64
 }
 
--- a/internal/reducer/entry/decode.go
+++ b/internal/reducer/entry/decode.go
@@ -9,43 +9,44 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// openDecodeFor asks for decode room unless a pause before it is not over.
-func (s *State) openDecodeFor(r *request, startIn time.Duration) {
+// openDecodeIfDue reserves decode capacity unless the pause before that has not
+// ended.
+func (s *State) openDecodeIfDue(r *request, startIn time.Duration) {
 	if r.due[alarmReserve].IsZero() {
 		s.openDecode(r, startIn)
 	}
 }
 
-// openDecode asks for decode room that is needed after a while.
+// openDecode reserves decode capacity that is needed after startIn.
 func (s *State) openDecode(r *request, startIn time.Duration) {
 	reserve := s.decodeReservation(r, startIn)
 	w := policy.Want{Domain: s.resultDomain(r), Count: s.config.DecodeProbes}
 	if r.Urgency == oriolebend.Urgent {
-		w.Count *= urgentProbes
+		w.Count *= urgentProbeFactor
 	}
-	r.decode = s.ask(r, alarmDecode, reserve, w, r.pool(oriolebend.Decode))
+	r.decode = s.openRound(r, alarmDecode, reserve, w, r.pool(oriolebend.Decode))
 	if r.decode == nil {
-		s.noServer(r)
+		s.waitForServer(r)
 	}
 }
 
-// urgentProbes is how many times more decode gates an urgent request asks, one
-// after the other until one has room.
-const urgentProbes = 2
+// urgentProbeFactor is how many times more decode gates an urgent request
+// probes, one after the other until one has capacity.
+const urgentProbeFactor = 2
 
 func (s *State) decodeReservation(r *request, startIn time.Duration) message.Reserve {
-	if r.decoded == r.attempt {
+	if r.decodeAttempt == r.attempt {
 		r.attempt++
 	}
-	r.decoded = r.attempt
-	reserve := s.reservation(r, message.PhaseDecode)
+	r.decodeAttempt = r.attempt
+	reserve := s.newReservation(r, message.PhaseDecode)
 	reserve.PromptTokens = r.PromptTokens + r.output.tokens
 	reserve.MaxTokens = r.MaxTokens - r.output.tokens
 	reserve.StartIn = startIn.Truncate(time.Millisecond)
 	return reserve
 }
 
-// resultDomain is the failure domain that the KV cache comes from.
+// resultDomain returns the failure domain from which the KV cache comes.
 func (s *State) resultDomain(r *request) string {
 	if r.prefill != nil && r.prefill.chosen != nil {
 		return r.prefill.chosen.server.FailureDomain
@@ -53,11 +54,11 @@
 	return s.config.FailureDomain
 }
 
-// advanceDecode takes a request on that has a prefill result.
+// advanceDecode advances a request that has a prefill result.
 func (s *State) advanceDecode(r *request) {
 	if r.decode == nil {
 		if r.standby == nil {
-			s.openDecodeFor(r, 0)
+			s.openDecodeIfDue(r, 0)
 		}
 		return
 	}
@@ -67,7 +68,7 @@
 }
 
 func (s *State) sendDecode(r *request) {
-	left := r.expires.Sub(s.now)
+	left := r.resultExpires.Sub(s.now)
 	if left <= 0 {
 		s.retryWork(r, oriolebend.ReasonResultExpired)
 		return
@@ -75,7 +76,7 @@
 	g := r.decode
 	g.sent = s.now
 	r.output.held = nil
-	within := s.stallAfter(r, g, left)
+	within := s.transferStallAfter(r, g, left)
 	s.emit(Send{Session: g.chosen.key, Message: message.Decode{
 		Attempt:        g.chosen.key.Attempt,
 		SourceURL:      r.result.SourceURL,
@@ -85,7 +86,7 @@
 		Offset:         r.output.tokens,
 		MaxTokens:      r.MaxTokens,
 		TransferWithin: left + r.result.LivesFor,
-		StartWithin:    time.Duration(startShare * float64(left)).Truncate(time.Millisecond),
+		StartWithin:    time.Duration(decodeStartShare * float64(left)).Truncate(time.Millisecond),
 	}})
 	if within == 0 {
 		r.clearAlarm(alarmTransfer)
@@ -98,48 +99,53 @@
 }
 
 const (
-	// leastTransfer is the shortest time after which a transfer is stalled.
-	leastTransfer = 200 * time.Millisecond
-	// slowestTransfer is how many times what an idle link takes a transfer may
-	// take: others that share the link make it slow, and to stop it then would
-	// only start it anew behind them.
-	slowestTransfer = 8
-	// secondTransfer is what is kept of a result's life for a second transfer,
-	// in times of what an idle link takes, with transferSlack for its messages
-	// and the time in which the first output would follow the first transfer.
-	secondTransfer = 1.5
-	transferSlack  = 20 * time.Millisecond
-	// startShare is the part of a result's remaining life for which a decode may
-	// wait for room at its gate: behind it another server can still fetch it.
-	startShare = 0.7
+	// minTransferStall is the shortest time after which a transfer counts as
+	// stalled.
+	minTransferStall = 200 * time.Millisecond
+	// transferStallFactor is how many times the time over an idle link a
+	// transfer may take. Other transfers on the same link make it slow;
+	// stopping it then would only start it again from the beginning behind
+	// them.
+	transferStallFactor = 8
+	// secondTransferFactor and transferSlack set how much of a result's
+	// lifetime is kept for a second transfer: a multiple of the time over an
+	// idle link, and a slack for its messages. The time in which the first
+	// output would follow the first transfer is kept as well.
+	secondTransferFactor = 1.5
+	transferSlack        = 20 * time.Millisecond
+	// decodeStartShare is the share of a result's remaining lifetime for which
+	// a decode may wait for capacity at its gate: after that another server can
+	// still fetch the result.
+	decodeStartShare = 0.7
 )
 
-// stallAfter is how long a transfer may show nothing before a second server
-// fetches the result in its place: well over what it should take, and short
-// enough that the other one can still begin; zero is never.
+// transferStallAfter returns how long a transfer may show no progress before a
+// second server fetches the result in its place; zero means never. The time is
+// well over the expected time of the transfer, and short enough that the second
+// server can still begin.
 //
-// A transfer that began while its result lived may go on for as long again, so
-// that to break off one that is merely slow throws away what it moved and loads
-// the links with the same bytes once more: one would notice retries with reason
-// transferStalled that grow with the load.
-func (s *State) stallAfter(r *request, g *round, left time.Duration) time.Duration {
+// A transfer that began while its result was valid may continue for the
+// result's lifetime once more. Breaking off one that is merely slow throws away
+// what it moved and loads the links with the same bytes again. The symptom
+// would be retries for transferStalled that grow with the load.
+func (s *State) transferStallAfter(r *request, g *round, left time.Duration) time.Duration {
 	expected := idleTransfer(r.result.KVBytes, g.chosen)
-	bound := left - time.Duration(secondTransfer*float64(expected)) - transferSlack - 2*r.BetweenWithin
+	bound := left - time.Duration(secondTransferFactor*float64(expected)) - transferSlack - 2*r.BetweenWithin
 	if bound < 2*expected {
 		return 0
 	}
-	return min(bound, max(slowestTransfer*expected, leastTransfer))
+	return min(bound, max(transferStallFactor*expected, minTransferStall))
 }
 
-// hedgeTransfer gets a second decode server ready while a transfer is slow.
+// hedgeTransfer prepares a second decode server while a transfer is slow.
 func (s *State) hedgeTransfer(r *request) {
-	if r.result == nil || r.standby != nil || !s.now.Before(r.expires) {
+	if r.result == nil || r.standby != nil || !s.now.Before(r.resultExpires) {
 		return
 	}
 	s.openStandby(r)
 }
 
-// openStandby asks other decode servers for room at once.
+// openStandby probes other decode servers for capacity that is free at once.
 func (s *State) openStandby(r *request) {
 	reserve := s.decodeReservation(r, 0)
 	reserve.Hold = false
@@ -147,21 +153,22 @@
 	if r.decode != nil && r.decode.chosen != nil {
 		w.Except = r.decode.chosen.server.Name
 	}
-	r.standby = s.ask(r, alarmStandby, reserve, w, r.pool(oriolebend.Decode))
+	r.standby = s.openRound(r, alarmStandby, reserve, w, r.pool(oriolebend.Decode))
 }
 
-// standbyReady is met when a second server holds room: it takes the result if
-// the first was lost meanwhile.
-func (s *State) standbyReady(r *request) {
+// handleStandbyGranted handles a second server that holds a reservation. It
+// takes the place of the first server if that was lost meanwhile, or if the
+// transfer has timed out.
+func (s *State) handleStandbyGranted(r *request) {
 	switch {
 	case r.decode == nil:
 		s.promoteStandby(r)
 	case r.due[alarmTransfer].IsZero():
-		s.transferLate(r)
+		s.handleTransferTimeout(r)
 	}
 }
 
-func (s *State) standbyFailed(r *request) {
+func (s *State) handleStandbyFailure(r *request) {
 	if r.decode != nil {
 		return
 	}
@@ -175,36 +182,39 @@
 	s.advance(r)
 }
 
-// transferLate has a second server fetch the result if one is ready. Without
-// one the transfer goes on: it may yet end well.
-func (s *State) transferLate(r *request) {
+// handleTransferTimeout lets a second server fetch the result if one holds a
+// reservation. Without one the transfer continues, because it may still
+// succeed.
+func (s *State) handleTransferTimeout(r *request) {
 	if r.decode == nil || r.decode.sent.IsZero() {
-		s.resultExpired(r)
+		s.handleResultExpiry(r)
 		return
 	}
 	ready := r.standby != nil && r.standby.granted
-	if r.result == nil || !ready || !s.now.Before(r.expires) {
+	if r.result == nil || !ready || !s.now.Before(r.resultExpires) {
 		return
 	}
-	s.takeOver(r, oriolebend.ReasonTransferStalled)
+	s.switchToStandby(r, oriolebend.ReasonTransferStalled)
 }
 
-// takeOver replaces a decode server that has not begun by the standby.
-func (s *State) takeOver(r *request, reason oriolebend.Reason) {
+// switchToStandby replaces a decode server that has produced no output by the
+// standby.
+func (s *State) switchToStandby(r *request, reason oriolebend.Reason) {
 	s.count("retry", reason, r)
 	r.lastReason = reason
 	if r.decode != nil {
 		r.decode.chosen.server.health.Fail(s.now)
 	}
 	s.closeRound(r, r.decode)
-	s.takeRetry(r)
+	s.spendRetry(r)
 	s.promoteStandby(r)
 }
 
-// decodeLost takes the loss of a dispatched decode. While the result lives and
-// nothing of it was used, another server fetches it; else the request resumes
-// by a prefill of its prompt and what was delivered.
-func (s *State) decodeLost(r *request, g *round, l loss) {
+// handleDecodeLoss handles the loss of a dispatched decode. While the result is
+// valid and no output of it was used, another server fetches it. Otherwise the
+// request resumes with a prefill of its prompt and the output that was
+// delivered.
+func (s *State) handleDecodeLoss(r *request, g *round, l loss) {
 	if g != r.decode {
 		s.closeRound(r, g)
 		return
@@ -215,53 +225,55 @@
 		r.clearAlarm(a)
 	}
 	r.lastReason = l.reason
-	if r.lostInARow() {
+	if r.lostTooManyServers() {
 		s.retryWork(r, l.reason)
 		return
 	}
-	if r.standby != nil && s.resultLives(r) {
-		s.standbyInstead(r, l)
+	if r.standby != nil && s.resultValid(r) {
+		s.switchIfStandbyGranted(r, l)
 		return
 	}
-	if s.resultLives(r) {
-		s.decodeElsewhere(r, l, lostServer)
+	if s.resultValid(r) {
+		s.retryDecodeElsewhere(r, l, lostServer)
 		return
 	}
 	s.retryWork(r, l.reason)
 }
 
-func (s *State) resultLives(r *request) bool {
-	return r.result != nil && s.now.Before(r.expires)
+func (s *State) resultValid(r *request) bool {
+	return r.result != nil && s.now.Before(r.resultExpires)
 }
 
-func (s *State) standbyInstead(r *request, l loss) {
+func (s *State) switchIfStandbyGranted(r *request, l loss) {
 	if r.standby.granted {
-		s.takeOver(r, l.reason)
+		s.switchToStandby(r, l.reason)
 	}
 }
 
-func (s *State) decodeElsewhere(r *request, l loss, lostServer string) {
+// retryDecodeElsewhere reserves decode capacity at another server, which then
+// fetches the same result.
+func (s *State) retryDecodeElsewhere(r *request, l loss, lostServer string) {
 	s.count("retry", l.reason, r)
 	if !lacksRoom(l.reason) {
-		s.takeRetry(r)
+		s.spendRetry(r)
 	}
 	reserve := s.decodeReservation(r, 0)
 	reserve.Hold = false
 	w := policy.Want{Domain: s.resultDomain(r), Count: s.config.DecodeProbes, Except: lostServer}
-	r.decode = s.ask(r, alarmDecode, reserve, w, r.pool(oriolebend.Decode))
+	r.decode = s.openRound(r, alarmDecode, reserve, w, r.pool(oriolebend.Decode))
 	if r.decode == nil {
 		s.retryWork(r, l.reason)
 	}
 }
 
-// decodeLater has decode room asked for once more after a short pause, while a
-// prefill runs or its result lives; it reports whether it did.
+// retryDecodeLater reserves decode capacity again after a short pause, while a
+// prefill runs or its result is valid; it reports whether it did.
 //
-// To cancel the prefill because its decode room was lost would throw away
-// what is the dearest part of the request.
-func (s *State) decodeLater(r *request) bool {
+// Cancelling the prefill because its decode reservation was lost would throw
+// away the most expensive part of the request.
+func (s *State) retryDecodeLater(r *request) bool {
 	running := r.prefill != nil && !r.prefill.sent.IsZero() && r.result == nil
-	if !running && !s.resultLives(r) {
+	if !running && !s.resultValid(r) {
 		return false
 	}
 	s.setAlarm(r, alarmReserve, s.jitter(r))
@@ -269,82 +281,86 @@
 	return true
 }
 
-func (s *State) reserveAgain(r *request) {
-	if r.step == stepAsking {
-		s.askStatus(r)
+func (s *State) retryReservation(r *request) {
+	if r.step == stepQuerying {
+		s.queryStatus(r)
 		return
 	}
-	if r.result != nil && !s.resultLives(r) {
-		s.resultExpired(r)
+	if r.result != nil && !s.resultValid(r) {
+		s.handleResultExpiry(r)
 		return
 	}
 	s.advance(r)
 }
 
-// resultExpired is met when no decode room was found while the result lived.
-func (s *State) resultExpired(r *request) {
+// handleResultExpiry runs the work again if no decode capacity was found while
+// the result was valid.
+func (s *State) handleResultExpiry(r *request) {
 	if r.result != nil {
 		s.retryWork(r, oriolebend.ReasonResultExpired)
 	}
 }
 
-// part takes output. Only the session of the live attempt passes any on.
-func (s *State) part(p *probe, m message.Part) {
+// handlePart handles a part of the output. Only parts from the session of the
+// current attempt are used.
+func (s *State) handlePart(p *probe, m message.Part) {
 	r, g := p.request, p.round
 	if g != r.decode || g.sent.IsZero() || m.Attempt != p.key.Attempt {
 		s.emit(Count{What: "outdatedMessage"})
 		return
 	}
-	s.transferred(r)
-	m, v := r.output.fit(m)
+	s.completeTransfer(r)
+	m, v := r.output.classify(m)
 	switch v {
 	case partDuplicate:
 		s.count("duplicatePart", "", r)
 	case partBroken:
-		s.brokenOutput(r, g)
+		s.handleBrokenOutput(r, g)
 	case partAhead:
-		if !r.output.keep(m) {
-			s.brokenOutput(r, g)
+		if !r.output.hold(m) {
+			s.handleBrokenOutput(r, g)
 		}
 	case partNext:
-		s.passOn(r, m)
+		s.deliverParts(r, m)
 	}
 }
 
-// brokenOutput ends an attempt whose output does not fit what was delivered.
-func (s *State) brokenOutput(r *request, g *round) {
+// handleBrokenOutput ends an attempt whose output does not fit what was
+// delivered.
+func (s *State) handleBrokenOutput(r *request, g *round) {
 	s.closeRound(r, g)
 	s.retryWork(r, oriolebend.ReasonEngineFailed)
 }
 
-// transferred frees what was kept for the transfer: the first output tells
-// that it ended.
-func (s *State) transferred(r *request) {
-	r.heard = s.now
+// completeTransfer frees what was kept for the transfer: the first output shows
+// that the transfer ended.
+func (s *State) completeTransfer(r *request) {
+	r.lastProgress = s.now
 	if r.result == nil {
 		return
 	}
-	r.prefill.finish()
+	r.prefill.markDone()
 	s.dropResult(r)
 	s.closeRound(r, r.standby)
 	r.clearAlarm(alarmHedge)
 	r.clearAlarm(alarmTransfer)
-	r.progressed()
+	r.resetFailures()
 }
 
-// passOn gives the caller new output, and what was held behind it.
-func (s *State) passOn(r *request, m message.Part) {
+// deliverParts delivers a new part to the caller, and then the held parts that
+// follow it.
+func (s *State) deliverParts(r *request, m message.Part) {
 	for {
 		s.deliver(r, m)
 		if m.Finish != "" {
-			s.answered(r, m.Finish)
+			s.completeOutput(r, m.Finish)
 			return
 		}
-		next, found := r.output.nextHeld()
+		next, found := r.output.popHeld()
 		if !found {
 			return
 		}
-		fitted, v := r.output.fit(next)
+		fitted, v := r.output.classify(next)
 		if v != partNext {
 			m = message.Part{Offset: r.output.tokens}
 			continue
@@ -362,12 +378,13 @@
 	s.emit(AnswerPart{RequestID: r.ID, Offset: m.Offset, Tokens: m.Tokens, Text: m.Text})
 }
 
-// stalled is met when dispatched work shows no progress for long.
-func (s *State) stalled(r *request) {
+// handleStall handles dispatched work that has shown no progress for
+// StallWithin.
+func (s *State) handleStall(r *request) {
 	if r.step != stepRouting {
 		return
 	}
-	if quiet := s.now.Sub(r.heard); quiet < s.config.StallWithin && !r.heard.IsZero() {
+	if quiet := s.now.Sub(r.lastProgress); quiet < s.config.StallWithin && !r.lastProgress.IsZero() {
 		s.setAlarm(r, alarmStall, s.config.StallWithin-quiet)
 		return
 	}
@@ -379,11 +396,11 @@
 	stalledRound.chosen.server.health.Fail(s.now)
 	switch stalledRound {
 	case r.decode:
-		s.decodeLost(r, stalledRound, l)
+		s.handleDecodeLoss(r, stalledRound, l)
 	case r.prefill:
-		s.prefillLost(r, stalledRound, l)
+		s.handlePrefillLoss(r, stalledRound, l)
 	default:
-		s.callLost(r, stalledRound, l)
+		s.handleCallLoss(r, stalledRound, l)
 	}
 }
 
--- a/internal/reducer/entry/drain.go
+++ b/internal/reducer/entry/drain.go
@@ -1,9 +1,10 @@
 package entry
 
-// stop refuses new requests from now on; those in progress run to their end.
-func (s *State) stop() { s.stopping = true }
+// stopAccepting refuses new requests from now on; requests in progress run to
+// their end.
+func (s *State) stopAccepting() { s.stopping = true }
 
-// checkDrained tells once that a stopping entry holds nothing any more.
+// checkDrained emits Drained once a stopping entry has no request left.
 func (s *State) checkDrained() {
 	if !s.stopping || s.drained || len(s.requests) > 0 {
 		return
--- a/internal/reducer/entry/effect.go
+++ b/internal/reducer/entry/effect.go
@@ -5,18 +5,19 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Effect is something that the entry is to do; effects are carried out in
-// order and none of them blocks the reducer.
+// Effect is an action that the entry has to carry out. Effects are carried out
+// in order, and none of them blocks the reducer.
 type Effect interface{ entryEffect() }
 
 // AskClaim sends a claim to the control VMs; Claimed follows.
 type AskClaim struct{ Claim message.Claim }
 
-// AskSettle sends a record's next state to the control VMs; Settled follows.
+// AskSettle sends the next state of a record to the control VMs; Settled
+// follows.
 type AskSettle struct{ Settle message.Settle }
 
 // OpenSession opens a session with a gate and sends the reservation, or the
-// status query in its place if that is set.
+// status query instead if Status is set.
 type OpenSession struct {
 	Session SessionKey
 	Address string
@@ -30,10 +31,11 @@
 	Message message.Message
 }
 
-// CloseSession closes a session; what it held is given back by the gate.
+// CloseSession closes a session; the gate then releases the capacity that the
+// session held.
 type CloseSession struct{ Session SessionKey }
 
-// AnswerPart gives the caller a run of output.
+// AnswerPart sends the caller the next part of the output.
 type AnswerPart struct {
 	RequestID string
 	Offset    int
@@ -41,61 +43,62 @@
 	Text      string
 }
 
-// AnswerEnd tells the caller that its output is whole.
+// AnswerEnd reports to the caller that its output is complete.
 type AnswerEnd struct {
 	RequestID string
 	Finish    message.FinishReason
-	// Tokens counts the whole output.
+	// Tokens is the number of tokens of the complete output.
 	Tokens int
 }
 
-// AnswerCall gives the caller the whole answer of a plain service.
+// AnswerCall sends the caller the complete answer of a plain service.
 type AnswerCall struct {
 	RequestID string
 	Answer    message.CallAnswer
 }
 
-// AnswerReplay gives the caller a stored answer.
+// AnswerReplay sends the caller a stored answer.
 type AnswerReplay struct {
 	RequestID string
-	// Record is the request that first used the key.
+	// Record is the ID of the request that first used the key.
 	Record string
 	Answer message.Answer
 }
 
-// AnswerAttach has the caller follow the request at its owner.
+// AnswerAttach lets the caller follow the request at its owner.
 type AnswerAttach struct {
 	RequestID string
-	// Record is the request that runs under the key.
+	// Record is the ID of the request that runs under the key.
 	Record       string
 	Owner        string
 	OwnerAddress string
 }
 
-// AnswerProblem tells the caller that the request is refused or failed.
+// AnswerProblem reports to the caller that the request is refused or has
+// failed.
 type AnswerProblem struct {
 	RequestID string
 	Problem   *oriolebend.Problem
 }
 
-// Count adds one to the counter of refusals, retries or losses.
+// Count adds one to a counter of refusals, retries or losses.
 type Count struct {
 	What         string
 	Reason       oriolebend.Reason
 	Organisation string
-	// Attempt is the one that this is about, for logs; its number is zero
-	// before the first.
+	// Attempt is the attempt that is counted, for logs; its number is zero
+	// before the first attempt.
 	Attempt message.Attempt
 }
 
-// Observe records a measure of one request, in seconds or as a share.
+// Observe records a measurement of one request, in seconds or as a ratio.
 type Observe struct {
 	What    string
 	Urgency oriolebend.Urgency
 	Value   float64
 }
 
-// Drained tells that a stopping entry has no request left.
+// Drained reports that a stopping entry has no request left.
 type Drained struct{}
 
 func (AskClaim) entryEffect()      {}
--- a/internal/reducer/entry/event.go
+++ b/internal/reducer/entry/event.go
@@ -1,6 +1,7 @@
-// Package entry is the reducer of the entry: it takes each request from its
+// Package entry is the reducer of the entry: it carries each request from its
 // arrival through claim, reservation, prefill, transfer and decode to one
-// whole answer. It is pure: no clock, socket or unseeded randomness.
+// complete answer. It is pure: it uses no clock, no socket and no unseeded
+// randomness.
 package entry
 
 import (
@@ -10,8 +11,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Event is something that happened to the entry. At is when, by the clock of
-// the entry's own process.
+// Event is an input of Reduce. The field At of an event is its time by the
+// clock of the entry's process.
 type Event interface{ when() time.Time }
 
 // Request is one validated request of a caller.
@@ -37,32 +38,33 @@
 	// Call is filled in by the reducer.
 	Service string
 	Call    *message.Call
-	// StatusPath is the service's status call, if it has one.
+	// StatusPath is the path of the service's status call; empty if it has
+	// none.
 	StatusPath string
 	// FirstWithin and BetweenWithin are the two latency targets.
 	FirstWithin   time.Duration
 	BetweenWithin time.Duration
-	// Deadline is when the caller stops waiting; zero if it never does.
+	// Deadline is when the caller stops waiting; zero means never.
 	Deadline time.Time
-	// KeepRunning is true if the request goes on after its caller left.
+	// KeepRunning is true if the request continues after its caller left.
 	KeepRunning bool
 }
 
-// SessionKey names one session of an entry with a gate.
+// SessionKey identifies one session of an entry with a gate.
 type SessionKey struct {
 	Attempt message.Attempt
 	Phase   message.Phase
 	Server  string
 }
 
-// Arrived is a new request.
+// Arrived reports a new request.
 type Arrived struct {
 	At      time.Time
 	Request Request
 }
 
-// CallerGone tells that the last caller that followed a request left before
-// its answer ended.
+// CallerGone reports that the last caller that followed a request left before
+// the end of its answer.
 type CallerGone struct {
 	At        time.Time
 	RequestID string
@@ -73,19 +75,19 @@
 	At        time.Time
 	RequestID string
 	Answer    message.ClaimAnswer
-	// Problem is set instead if no quorum answered.
+	// Problem is set instead of Answer if no quorum answered.
 	Problem *oriolebend.Problem
 }
 
 // Settled is the answer of the control VMs to a Settle.
 type Settled struct {
 	At time.Time
-	// RequestID and Attempt are those of the Settle that is answered.
+	// RequestID and Attempt are copied from the Settle that is answered.
 	RequestID string
 	Attempt   uint32
 	State     message.RecordState
 	Accepted  bool
-	// Problem is set instead if no quorum answered.
+	// Problem is set instead of State and Accepted if no quorum answered.
 	Problem *oriolebend.Problem
 }
 
@@ -96,8 +98,8 @@
 	Message message.Message
 }
 
-// SessionLost tells that a session could not be opened, or ended from the
-// other side or with its connection.
+// SessionLost reports that a session could not be opened, or that the gate or a
+// lost connection ended it.
 type SessionLost struct {
 	At      time.Time
 	Session SessionKey
@@ -105,18 +107,18 @@
 	Opened bool
 }
 
-// ServersChanged tells of servers that are new, changed or gone.
+// ServersChanged reports servers that were added, changed or removed.
 type ServersChanged struct {
 	At      time.Time
 	Servers []oriolebend.Server
-	// Whole is true if Servers is the whole membership.
+	// Whole is true if Servers is the complete membership.
 	Whole bool
 }
 
-// Stopping tells that the entry was asked to stop gracefully.
+// Stopping reports that the entry was asked to stop gracefully.
 type Stopping struct{ At time.Time }
 
-// Ticked passes time; it comes at least every TickEvery.
+// Ticked advances the time; it comes at least every TickEvery.
 type Ticked struct{ At time.Time }
 
 func (e Arrived) when() time.Time        { return e.At }
--- a/internal/reducer/entry/loss.go
+++ b/internal/reducer/entry/loss.go
@@ -8,19 +8,20 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// loss is the end of a session from the other side: refused, failed or gone.
+// loss describes why the gate or the network ended a session: refused, failed
+// or lost.
 type loss struct {
 	reason     oriolebend.Reason
 	ran        oriolebend.Ran
 	retryAfter time.Duration
 }
 
-func refused(m message.Refusal) loss {
+func lossFromRefusal(m message.Refusal) loss {
 	return loss{reason: m.Reason, ran: m.Ran, retryAfter: m.RetryAfter}
 }
 
-// sessionLost is a session that ended without a refusal.
-func (s *State) sessionLost(e SessionLost) {
+// handleSessionLost handles a session that ended without a refusal.
+func (s *State) handleSessionLost(e SessionLost) {
 	p := s.sessions[e.Session]
 	if p == nil {
 		return
@@ -30,36 +31,37 @@
 		l.ran = oriolebend.RanNo
 	}
 	p.server.health.Fail(s.now)
-	s.lost(p, l)
+	s.handleLoss(p, l)
 }
 
-// lost takes the end of a session by the phase that it was in.
-func (s *State) lost(p *probe, l loss) {
+// handleLoss handles the end of a session according to its phase.
+func (s *State) handleLoss(p *probe, l loss) {
 	r, g := p.request, p.round
-	s.forgetLost(p)
+	s.removeLostProbe(p)
 	g.reason = l.reason
 	g.retryAfter = max(g.retryAfter, l.retryAfter)
-	s.noteRoom(r, l.reason)
+	s.shrinkLimitOnRefusal(r, l.reason)
 	if l.reason == oriolebend.ReasonServerLost && !g.sent.IsZero() {
 		r.serversLost++
 	}
 	switch {
 	case g.chosen == nil:
-		s.probeLost(r, g)
+		s.handleProbeLoss(r, g)
 	case g.sent.IsZero():
 		s.count("refused", l.reason, r)
-		s.roundFailed(r, g, l.reason, l.retryAfter)
+		s.handleRoundFailure(r, g, l.reason, l.retryAfter)
 	case g.phase == message.PhasePrefill:
-		s.prefillLost(r, g, l)
+		s.handlePrefillLoss(r, g, l)
 	case g.phase == message.PhaseDecode:
-		s.decodeLost(r, g, l)
+		s.handleDecodeLoss(r, g, l)
 	default:
-		s.callLost(r, g, l)
+		s.handleCallLoss(r, g, l)
 	}
 }
 
-// forgetLost closes the entry's side of a session that the other side ended.
-func (s *State) forgetLost(p *probe) {
+// removeLostProbe closes the entry's side of a session that the gate or the
+// network ended.
+func (s *State) removeLostProbe(p *probe) {
 	s.dropProbe(p)
 	s.emit(CloseSession{Session: p.key})
 	g := p.round
@@ -71,64 +73,67 @@
 	}
 }
 
-// probeLost takes the loss of one of several candidates.
-func (s *State) probeLost(r *request, g *round) {
+// handleProbeLoss handles the loss of one of several candidates.
+func (s *State) handleProbeLoss(r *request, g *round) {
 	s.count("refused", g.reason, r)
 	switch {
-	case len(g.spare) > 0:
-		s.askNext(r, g)
+	case len(g.untried) > 0:
+		s.probeNext(r, g)
 	case len(g.probes) == 0:
-		s.roundFailed(r, g, g.reason, g.retryAfter)
-	case g.answered():
-		s.choose(r, g)
+		s.handleRoundFailure(r, g, g.reason, g.retryAfter)
+	case g.allOffered():
+		s.chooseOffer(r, g)
 	}
 }
 
-// noteRoom lets the lane's limit shrink on refusals for lack of room.
-func (s *State) noteRoom(r *request, reason oriolebend.Reason) {
+// shrinkLimitOnRefusal lets the lane's limit shrink on refusals for lack of
+// room.
+func (s *State) shrinkLimitOnRefusal(r *request, reason oriolebend.Reason) {
 	if reason == oriolebend.ReasonQueueFull || reason == oriolebend.ReasonNoMemory {
 		r.lane.limit.Refused(s.now)
 	}
 }
 
-// roundFailed takes the end of a round that dispatched nothing. Finding room
-// is no retry of work: it is bounded by the pause and by the lane's limit, not
-// by the retry budget.
-func (s *State) roundFailed(r *request, g *round, reason oriolebend.Reason, after time.Duration) {
+// handleRoundFailure handles the end of a round that dispatched nothing.
+// Searching for capacity is not a retry of work: it is bounded by the pause and
+// by the lane's limit, not by the retry budget.
+func (s *State) handleRoundFailure(r *request, g *round, reason oriolebend.Reason, after time.Duration) {
 	isStandby, isDecode := g == r.standby, g == r.decode
 	s.closeRound(r, g)
 	switch {
 	case isStandby:
-		s.standbyFailed(r)
+		s.handleStandbyFailure(r)
 		return
-	case s.hopeless(r, reason):
+	case s.isPermanent(r, reason):
 		s.giveUp(r, reason, 0)
 		return
-	case s.tooLate(r, reason):
-		s.giveUp(r, reason, cmp.Or(after, comeBack))
+	case s.noteLateRefusal(r, reason):
+		s.giveUp(r, reason, cmp.Or(after, defaultRetryAfter))
 		return
 	}
 	r.lastReason = reason
-	if isDecode && s.decodeLater(r) {
+	if isDecode && s.retryDecodeLater(r) {
 		return
 	}
-	s.dropWasted(r)
+	s.countWastedPrefill(r)
 	s.closeAll(r)
 	s.pause(r, after)
 }
 
-// hopeless tells refusals that no other server and no later time would change.
-func (s *State) hopeless(r *request, reason oriolebend.Reason) bool {
+// isPermanent reports whether a refusal would be the same at any other server
+// and at any later time.
+func (s *State) isPermanent(r *request, reason oriolebend.Reason) bool {
 	return reason == oriolebend.ReasonMalformed || reason == oriolebend.ReasonTooLarge && !s.fitsAnywhere(r)
 }
 
-// tooLate takes in that a gate would start a request too late, and reports
-// whether to end it. An urgent request that no gate took in yet is refused at
-// its first round: gates know their queues better than any estimate of the
-// entry, and to be refused now leaves the caller its time. A request with a
-// deadline of its own ends when a gate says that it can't be met. Any other is
-// accepted: it goes on, and gates are asked without a bound.
-func (s *State) tooLate(r *request, reason oriolebend.Reason) bool {
+// noteLateRefusal records that a gate would start a request too late, and
+// reports whether to end the request. An urgent request for which no offer was
+// chosen yet is refused at once: gates know their queues better than any
+// estimate of the entry, and an early refusal leaves the caller its time. A
+// patient request with a deadline of its own ends when a gate reports that the
+// deadline can't be met. Any other request is accepted: it continues, and its
+// later reservations carry no bound.
+func (s *State) noteLateRefusal(r *request, reason oriolebend.Reason) bool {
 	if reason != oriolebend.ReasonDeadline && reason != oriolebend.ReasonOverloaded {
 		return false
 	}
@@ -136,16 +141,16 @@
 		s.count("refusal", reason, r)
 		return true
 	}
-	r.late = true
+	r.expectedLate = true
 	return reason == oriolebend.ReasonDeadline && !r.Deadline.IsZero() && r.Urgency != oriolebend.Urgent
 }
 
-// pause has a request wait for a random while that grows with its tries.
+// pause lets a request wait for a random time that grows with its tries.
 func (s *State) pause(r *request, atLeast time.Duration) {
 	if r.step == stepStarting {
-		s.unsettle(r)
+		s.dropSettlement(r)
 	}
 	wait := s.jitter(r) + atLeast
 	r.tries++
-	s.waitFor(r, wait)
+	s.waitAndRetry(r, wait)
 }
--- a/internal/reducer/entry/output.go
+++ b/internal/reducer/entry/output.go
@@ -11,14 +11,14 @@
 // missing.
 const maxHeldParts = 64
 
-// output is what the caller was given so far.
+// output is the output that was delivered to the caller.
 type output struct {
 	tokens int
 	built  strings.Builder
-	// marks are the token offsets at which parts ended, with the bytes up to
-	// there: they tell which bytes of an overlapping part are new.
+	// marks are the token offsets at which parts ended, each with the number of
+	// bytes up to it. They show which bytes of an overlapping part are new.
 	marks []mark
-	// held are parts behind a gap, in the order of their offsets.
+	// held are the parts after a gap, in the order of their offsets.
 	held []message.Part
 }
 
@@ -26,7 +26,7 @@
 
 func (o *output) text() string { return o.built.String() }
 
-// verdict says what a part is to the output.
+// verdict is the relation of a part to the output so far.
 type verdict string
 
 const (
@@ -36,8 +36,9 @@
 	partBroken    verdict = "broken"    // does not fit what was delivered
 )
 
-// fit trims a part to what is new and says what it is.
-func (o *output) fit(m message.Part) (message.Part, verdict) {
+// classify compares a part with the output so far, and trims a part that
+// continues the output to what is new.
+func (o *output) classify(m message.Part) (message.Part, verdict) {
 	end := m.Offset + m.Tokens
 	switch {
 	case m.Offset > o.tokens:
@@ -47,7 +48,7 @@
 	case end < o.tokens:
 		return m, partDuplicate
 	}
-	skip, known := o.bytesBehind(m.Offset)
+	skip, known := o.byteLength(m.Offset)
 	if !known || !strings.HasPrefix(m.Text, o.text()[skip:]) {
 		return m, partBroken
 	}
@@ -59,9 +60,9 @@
 	return m, partNext
 }
 
-// bytesBehind is how many bytes the first tokens of the output have; it is
-// known where a part ended.
-func (o *output) bytesBehind(tokens int) (int, bool) {
+// byteLength returns the number of bytes of the first tokens of the output. It
+// is known only at an offset where a part ended.
+func (o *output) byteLength(tokens int) (int, bool) {
 	if tokens == 0 {
 		return 0, true
 	}
@@ -80,8 +81,9 @@
 	}
 }
 
-// keep holds a part behind a gap; it reports false if there are too many.
-func (o *output) keep(m message.Part) bool {
+// hold keeps a part that comes after a gap; it returns false if too many are
+// held.
+func (o *output) hold(m message.Part) bool {
 	if len(o.held) >= maxHeldParts {
 		return false
 	}
@@ -92,8 +94,9 @@
 	return true
 }
 
-// nextHeld takes a held part that the output has reached.
-func (o *output) nextHeld() (message.Part, bool) {
+// popHeld removes and returns the first held part if the output has reached its
+// offset.
+func (o *output) popHeld() (message.Part, bool) {
 	if len(o.held) == 0 || o.held[0].Offset > o.tokens {
 		return message.Part{}, false
 	}
--- a/internal/reducer/entry/predict.go
+++ b/internal/reducer/entry/predict.go
@@ -10,73 +10,77 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// gain is the share of one observation in a learned mean.
-const gain = 0.1
+// ewmaWeight is the weight of one observation in a learned mean.
+const ewmaWeight = 0.1
 
-// firstToken is what a lane learned of its work.
-type firstToken struct {
-	// perToken follows the time of a prefill for one prompt token, and
-	// bytesPerToken the size of its KV cache.
+// costModel is what a lane learned about the cost of its work.
+type costModel struct {
+	// perToken is the mean time of a prefill for one prompt token, and
+	// bytesPerToken the mean size of its KV cache.
 	perToken      float64
 	bytesPerToken float64
 	// livesFor is how long the last prefill result could be fetched.
 	livesFor time.Duration
 }
 
-// admitShare is the share of the target of the first token that a new request
-// may be expected to take: the others of its urgency that wait now will have
-// waited longer by the time it is served.
+// admitShare is the share of the first-token target that a new request may be
+// expected to take: the requests of its urgency that wait now will have waited
+// longer by the time they are served.
 const admitShare = 0.7
 
-// late is how long a new request should stay away because its first token
-// would be late; zero if it would not. Work of one urgency is served about in
-// the order of its coming, so that a new request waits about as long as the
-// oldest one has that has no output yet. That is known now, while a mean of
-// finished waits tells of the load some seconds ago.
+// admissionDelay returns after how long a new request should be sent again
+// because its first token would be late; zero if it would not be late. Requests
+// of one urgency are served roughly in the order of their arrival, so that a
+// new request waits about as long as the oldest one without output has waited.
+// That age is known now, while a mean of finished waits describes the load of
+// some seconds ago.
 //
-// Without it an overloaded pool serves every request just behind its target,
-// and all of them have failed; one would notice goodput falling to nothing
-// while the servers are busy.
-func (l *lane) late(r *request, now time.Time) time.Duration {
+// Without this check an overloaded pool serves every request just after its
+// target, so that all of them fail. The symptom would be a goodput that falls
+// to nothing while the servers are busy.
+func (l *lane) admissionDelay(r *request, now time.Time) time.Duration {
 	oldest := l.unstarted(r.Urgency).Front()
 	if oldest == nil {
 		return 0
 	}
 	waited := now.Sub(oldest.Value.(*request).arrived)
-	work := time.Duration(l.first.perToken * float64(r.PromptTokens) * float64(time.Second))
+	work := time.Duration(l.costs.perToken * float64(r.PromptTokens) * float64(time.Second))
 	limit := time.Duration(admitShare * float64(r.FirstWithin))
-	if waited+work <= limit || r.Urgency == oriolebend.Patient && !l.queuedTooLong(r, now) {
+	if waited+work <= limit || r.Urgency == oriolebend.Patient && !l.queueTooLong(r, now) {
 		return 0
 	}
-	return min(max(waited+work-limit, comeBack/10), r.FirstWithin)
+	return min(max(waited+work-limit, defaultRetryAfter/10), r.FirstWithin)
 }
 
-// queuedTooLong reports whether a new patient request would wait too long by the
-// number of those that wait already, over the rate at which patient requests
-// come to their first token (Little's law). One old request that finds no room
-// says nothing of the others, which go on past it; by its age alone no patient
-// request would be let in for as long as it waits. The number alone would shut
-// out requests that come seldom: their rate is that of their coming.
-func (l *lane) queuedTooLong(r *request, now time.Time) bool {
+// queueTooLong reports whether a new patient request would wait too long,
+// judged by the number of requests that wait already and the rate at which
+// patient requests get their first token (Little's law).
+//
+// The age of the oldest request is not enough for patient requests: one that
+// finds no capacity says nothing about the others, which overtake it, and no
+// patient request would be admitted for as long as it waits. The number alone
+// is not enough either: it would refuse requests that arrive rarely, because
+// their rate of first tokens is then their rate of arrival.
+func (l *lane) queueTooLong(r *request, now time.Time) bool {
 	rate := l.served.value(now)
 	if rate <= 0 {
 		return true
 	}
 	wait := time.Duration(float64(l.patient.Len()+1) / rate * float64(time.Second))
-	return wait > time.Duration(patientShare*float64(r.FirstWithin))
+	return wait > time.Duration(patientWaitShare*float64(r.FirstWithin))
 }
 
-// patientShare is the share of the target that a mean wait may take: one
+// patientWaitShare is the share of the target that the mean wait may take: one
 // request in a hundred waits twice as long.
-const patientShare = 0.5
+const patientWaitShare = 0.5
 
-// rateFades is the time constant of a rateMeter.
-const rateFades = 5 * time.Second
+// rateDecay is the time constant of a rateMeter.
+const rateDecay = 5 * time.Second
 
-// rateMeter follows how many events come in a second, fading.
+// rateMeter measures the rate of events a second, with exponential decay.
 type rateMeter struct {
 	rate float64
-	// since is the first event and seen the last one.
+	// since is the time of the first event and seen that of the last one.
 	since, seen time.Time
 }
 
@@ -84,24 +88,24 @@
 	if m.since.IsZero() {
 		m.since = now
 	}
-	m.rate = m.faded(now) + 1/rateFades.Seconds()
+	m.rate = m.decayed(now) + 1/rateDecay.Seconds()
 	m.seen = now
 }
 
-func (m *rateMeter) faded(now time.Time) float64 {
-	return m.rate * math.Exp(-now.Sub(m.seen).Seconds()/rateFades.Seconds())
+func (m *rateMeter) decayed(now time.Time) float64 {
+	return m.rate * math.Exp(-now.Sub(m.seen).Seconds()/rateDecay.Seconds())
 }
 
-// value is the rate, or zero while too little was seen to know it.
+// value returns the rate, or zero while the events span less than rateDecay.
 func (m *rateMeter) value(now time.Time) float64 {
-	if m.since.IsZero() || now.Sub(m.since) < rateFades {
+	if m.since.IsZero() || now.Sub(m.since) < rateDecay {
 		return 0
 	}
-	return m.faded(now) / (1 - math.Exp(-now.Sub(m.since).Seconds()/rateFades.Seconds()))
+	return m.decayed(now) / (1 - math.Exp(-now.Sub(m.since).Seconds()/rateDecay.Seconds()))
 }
 
-// unstarted lists the lane's requests of one urgency that have no output yet,
-// in the order of their coming.
+// unstarted returns the lane's requests of one urgency that have no output yet,
+// in the order of their arrival.
 func (l *lane) unstarted(u oriolebend.Urgency) *list.List {
 	if u == oriolebend.Urgent {
 		return &l.urgent
@@ -109,21 +113,23 @@
 	return &l.patient
 }
 
-// started notes that a request has output, or ends without any.
-func (r *request) started() {
+// markStarted removes a request from the lane's list of requests without
+// output, once it has output or ends without any.
+func (r *request) markStarted() {
 	if r.unstarted != nil {
 		r.lane.unstarted(r.Urgency).Remove(r.unstarted)
 		r.unstarted = nil
 	}
 }
 
-// observeOutput learns from one run of output.
+// observeOutput updates measurements and the lane's rate with one part of
+// output.
 func (s *State) observeOutput(r *request, tokens int) {
 	switch {
 	case r.output.tokens == 0:
 		took := s.now.Sub(r.arrived)
 		s.observe("firstToken", r, took.Seconds())
-		r.started()
+		r.markStarted()
 		if r.Urgency == oriolebend.Patient {
 			r.lane.served.add(s.now)
 		}
@@ -133,49 +139,50 @@
 	r.lastOutput = s.now
 }
 
-// prefillEnds is when the prefill whose offer was taken should end, from now:
-// the gate's own prediction, corrected by how its earlier ones came out.
-func (s *State) prefillEnds(r *request) time.Duration {
+// predictPrefillEnd returns the time from now until the prefill whose offer was
+// taken should end: the gate's own prediction, corrected by the accuracy of its
+// earlier ones.
+func (s *State) predictPrefillEnd(r *request) time.Duration {
 	p := r.prefill.chosen
 	took := time.Duration(float64(p.offer.Took) * p.server.health.Correction())
 	return p.offer.StartIn + took
 }
 
-// took is the gate's prediction of the work itself.
-func (g *round) took() time.Duration {
+// predictedDuration returns the gate's prediction for the work itself.
+func (g *round) predictedDuration() time.Duration {
 	if g.chosen == nil || g.chosen.offer == nil {
 		return 0
 	}
 	return g.chosen.offer.Took
 }
 
-// learnPrefill learns how well the server's prediction was met and how much
-// time and cache a prompt token costs.
+// learnPrefill updates the accuracy of the server's predictions, and the time
+// and the cache size for one prompt token.
 func (s *State) learnPrefill(r *request, g *round, m message.Prefilled) {
 	took := s.now.Sub(g.sent)
-	g.chosen.server.health.Observe(took, g.took(), s.now)
+	g.chosen.server.health.Observe(took, g.predictedDuration(), s.now)
 	s.observe("prefill", r, took.Seconds())
-	if g.took() > 0 {
-		s.observe("prefillPrediction", r, took.Seconds()/g.took().Seconds())
+	if g.predictedDuration() > 0 {
+		s.observe("prefillPrediction", r, took.Seconds()/g.predictedDuration().Seconds())
 	}
 	tokens := float64(r.PromptTokens + r.output.tokens)
 	if tokens == 0 {
 		return
 	}
-	learn(&r.lane.first.perToken, took.Seconds()/tokens)
-	r.lane.first.livesFor = m.LivesFor
-	learn(&r.lane.first.bytesPerToken, float64(m.KVBytes)/tokens)
+	updateMean(&r.lane.costs.perToken, took.Seconds()/tokens)
+	r.lane.costs.livesFor = m.LivesFor
+	updateMean(&r.lane.costs.bytesPerToken, float64(m.KVBytes)/tokens)
 }
 
-func learn(mean *float64, seen float64) {
+func updateMean(mean *float64, seen float64) {
 	if *mean == 0 {
 		*mean = seen
 		return
 	}
-	*mean += gain * (seen - *mean)
+	*mean += ewmaWeight * (seen - *mean)
 }
 
-// estimate is what a policy is told of one offer.
+// estimate returns what a policy needs to know about one offer.
 func (s *State) estimate(r *request, g *round, p *probe) policy.Estimate {
 	e := policy.Estimate{
 		StartIn: p.offer.StartIn,
@@ -192,30 +199,30 @@
 	return e
 }
 
-// cacheBytes is the size of the KV cache to move, known or predicted.
+// cacheBytes returns the size of the KV cache to move, known or predicted.
 func (s *State) cacheBytes(r *request) int64 {
 	if r.result != nil {
 		return r.result.KVBytes
 	}
-	return int64(r.lane.first.bytesPerToken * float64(r.PromptTokens+r.output.tokens))
+	return int64(r.lane.costs.bytesPerToken * float64(r.PromptTokens+r.output.tokens))
 }
 
-// transferTime is how long so many bytes take over what the gate says that
-// its link has left.
+// transferTime returns how long a transfer takes at the rate that the gate
+// reports as free on its link.
 func transferTime(bytes int64, p *probe) time.Duration {
 	rate := p.server.LinkBytes
 	if p.offer != nil && p.offer.LinkBytes > 0 {
 		rate = p.offer.LinkBytes
 	}
-	return over(bytes, rate)
+	return durationAt(bytes, rate)
 }
 
-// idleTransfer is how long so many bytes take over the whole of a link.
+// idleTransfer returns how long a transfer takes at the full rate of a link.
 func idleTransfer(bytes int64, p *probe) time.Duration {
-	return over(bytes, p.server.LinkBytes)
+	return durationAt(bytes, p.server.LinkBytes)
 }
 
-func over(bytes int64, rate float64) time.Duration {
+func durationAt(bytes int64, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
--- a/internal/reducer/entry/predict_test.go
+++ b/internal/reducer/entry/predict_test.go
@@ -9,10 +9,10 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Symptom: no brief is let in any more while the servers serve briefs.
-// Sequence: one old request finds no room for minutes; the others pass it.
-// Cause: admission went by the age of the oldest request without output.
-func TestOneOldRequestShutsNobodyOut(t *testing.T) {
+// Guards against refusing all patient requests while the servers serve them.
+// One old request finds no capacity for minutes and the others overtake it;
+// admission went by the age of the oldest request without output alone.
+func TestOldRequestDoesNotBlockAdmission(t *testing.T) {
 	is := is.New(t)
 	s := New(Config{})
 	old := s.newRequest(fleetRequest(0))
@@ -24,11 +24,11 @@
 		at = at.Add(time.Second)
 		old.lane.served.add(at)
 	}
-	is.Equal(old.lane.late(old, at.Add(time.Minute)), time.Duration(0)) // seldom, nobody waits
+	is.Equal(old.lane.admissionDelay(old, at.Add(time.Minute)), time.Duration(0)) // no request waits
 	old.unstarted = old.lane.patient.PushBack(old)
-	is.Equal(old.lane.late(old, at), time.Duration(0))
-	for range 30 { // at one a second, they wait half a minute
+	is.Equal(old.lane.admissionDelay(old, at), time.Duration(0))
+	for range 30 { // at one a second, 30 requests take half a minute
 		old.lane.patient.PushBack(old)
 	}
-	is.True(old.lane.late(old, at) > 0)
+	is.True(old.lane.admissionDelay(old, at) > 0)
 }
--- a/internal/reducer/entry/prefill.go
+++ b/internal/reducer/entry/prefill.go
@@ -8,31 +8,32 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// openPrefill asks for prefill room. After output was delivered the prompt to
-// compute is the caller's and that output.
+// openPrefill reserves prefill capacity. Once output was delivered, the text to
+// compute is the caller's prompt followed by that output.
 func (s *State) openPrefill(r *request) {
 	r.attempt++
-	reserve := s.reservation(r, message.PhasePrefill)
+	reserve := s.newReservation(r, message.PhasePrefill)
 	reserve.PromptTokens = r.PromptTokens + r.output.tokens
 	reserve.Prefix = r.Prefix
 	want := policy.Want{Prefix: r.Prefix, Domain: s.config.FailureDomain, Count: s.config.Probes}
-	r.prefill = s.ask(r, alarmPrefill, reserve, want, r.pool(oriolebend.Prefill))
+	r.prefill = s.openRound(r, alarmPrefill, reserve, want, r.pool(oriolebend.Prefill))
 	if r.prefill == nil {
-		s.noServer(r)
+		s.waitForServer(r)
 	}
 }
 
-// noServer has a request wait because its pool is empty.
-func (s *State) noServer(r *request) {
+// waitForServer lets a request wait because its pool is empty.
+func (s *State) waitForServer(r *request) {
 	s.count("refused", oriolebend.ReasonNoServer, r)
 	r.lastReason = oriolebend.ReasonNoServer
-	s.dropWasted(r)
+	s.countWastedPrefill(r)
 	s.closeAll(r)
 	s.pause(r, 0)
 }
 
-// sendPrefill starts the prefill once its room is held, and the decode room
-// behind it if the policy reserves that.
+// sendPrefill starts the prefill once its reservation is held. If the policy
+// reserves decode capacity as well, advance calls it only once that is held
+// too.
 func (s *State) sendPrefill(r *request) {
 	g := r.prefill
 	if !g.granted || !g.sent.IsZero() {
@@ -45,12 +46,13 @@
 		Attempt: g.chosen.key.Attempt,
 		Prompt:  r.Prompt + r.output.text(),
 	}})
-	s.setAlarm(r, alarmPrefill, max(s.config.StallWithin, 10*g.took()))
+	s.setAlarm(r, alarmPrefill, max(s.config.StallWithin, 10*g.predictedDuration()))
 }
 
-// releasePrefillHold gives up prefill room that is held while decode room is
-// still awaited: others can use it meanwhile. Once the decode room is held,
-// prefill room is asked for again.
+// releasePrefillHold gives up a prefill reservation that is held while the
+// request still waits for a decode reservation, so that others can use the
+// capacity meanwhile. Once the decode reservation is held, prefill capacity is
+// reserved again.
 func (s *State) releasePrefillHold(r *request) {
 	if r.prefill == nil || !r.prefill.granted || !r.prefill.sent.IsZero() {
 		return
@@ -62,7 +64,7 @@
 	s.closeRound(r, r.prefill)
 }
 
-func (s *State) prefilled(p *probe, m message.Prefilled) {
+func (s *State) handlePrefilled(p *probe, m message.Prefilled) {
 	r, g := p.request, p.round
 	if g != r.prefill || g.sent.IsZero() || r.result != nil {
 		return
@@ -70,27 +72,27 @@
 	s.learnPrefill(r, g, m)
 	r.clearAlarm(alarmPrefill)
 	r.result = &m
-	r.expires = s.now.Add(m.LivesFor)
-	s.setAlarmAt(r, alarmTransfer, r.expires)
+	r.resultExpires = s.now.Add(m.LivesFor)
+	s.setAlarmAt(r, alarmTransfer, r.resultExpires)
 	s.advance(r)
 }
 
-func (s *State) prefillLost(r *request, g *round, l loss) {
+func (s *State) handlePrefillLoss(r *request, g *round, l loss) {
 	if r.result != nil {
-		s.resultLost(r, l)
+		s.handleResultLoss(r, l)
 		return
 	}
 	s.closeRound(r, g)
 	s.retryWork(r, l.reason)
 }
 
-// resultLost is met when the prefill server goes while its result is being
-// fetched: the transfer may still end well, so that only a transfer that has
-// not begun is given up here.
-func (s *State) resultLost(r *request, l loss) {
+// handleResultLoss handles the loss of a prefill server whose result is needed.
+// A transfer that has begun may still succeed, so that only one that has not
+// begun is given up here.
+func (s *State) handleResultLoss(r *request, l loss) {
 	s.closeRound(r, r.prefill)
 	if r.decode != nil && !r.decode.sent.IsZero() {
-		r.expires = s.now
+		r.resultExpires = s.now
 		return
 	}
 	s.retryWork(r, l.reason)
@@ -99,12 +101,12 @@
 // dropResult frees the prefill's result at its server.
 func (s *State) dropResult(r *request) {
 	r.result = nil
-	r.expires = time.Time{}
+	r.resultExpires = time.Time{}
 	s.closeRound(r, r.prefill)
 }
 
-// dropWasted counts a prefill whose result is thrown away.
-func (s *State) dropWasted(r *request) {
+// countWastedPrefill counts a prefill whose result is thrown away.
+func (s *State) countWastedPrefill(r *request) {
 	if r.result == nil && (r.prefill == nil || r.prefill.sent.IsZero()) {
 		return
 	}
--- a/internal/reducer/entry/queue.go
+++ b/internal/reducer/entry/queue.go
@@ -13,7 +13,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// laneKey names the requests that need the same servers.
+// laneKey identifies the requests that need the same servers.
 type laneKey struct{ model, version, adapter, service string }
 
 func (k laneKey) compare(other laneKey) int {
@@ -25,16 +25,16 @@
 	)
 }
 
-// lane holds what requests for the same servers share: the adaptive limit, the
-// queue of those that wait, the retry budget, and what was learned of the time
-// to the first token.
+// lane holds the shared state of the requests that need the same servers: the
+// adaptive limit, the queue of waiting requests, the retry budget and the
+// learned costs.
 type lane struct {
 	key    laneKey
 	limit  *limit.Concurrency
 	budget *retry.Budget
 	queue  policy.FairQueue[*request]
-	first  firstToken
-	// served follows the first tokens of patient requests.
+	costs  costModel
+	// served measures the rate of first tokens of patient requests.
 	served rateMeter
 	// urgent and patient are the requests without output, oldest first.
 	urgent  list.List
@@ -55,8 +55,8 @@
 	return l
 }
 
-// dropLane forgets a lane that nobody uses and no server serves: callers can
-// name any number of models.
+// dropLane removes a lane that no request uses and no server serves, because
+// callers can name any number of models.
 func (s *State) dropLane(l *lane) {
 	if l.queue.Len() > 0 || l.limit.Running() > 0 {
 		return
@@ -78,8 +78,9 @@
 	}
 }
 
-// enqueue lets an accepted request wait for its turn. It goes on at once if
-// its lane has a place: pump runs at the end of each event.
+// enqueue puts an accepted request into its lane's queue. It starts in the same
+// event if the lane has a free slot, since runQueues runs at the end of each
+// event.
 func (s *State) enqueue(r *request) {
 	s.startWaiting(r)
 	if r.queued || !r.due[alarmWake].IsZero() {
@@ -87,11 +88,11 @@
 	}
 	r.queued = true
 	r.lane.queue.Push(r.Urgency == oriolebend.Urgent, r.Scope.Organisation, r.org.share, r)
-	s.ready(r.lane)
+	s.markReady(r.lane)
 }
 
-// startWaiting counts a request that holds no room, whether it stands in its
-// lane's queue or pauses before it does.
+// startWaiting counts a request that holds no capacity as waiting, both while
+// it is in its lane's queue and during the pause before that.
 func (s *State) startWaiting(r *request) {
 	if r.step == stepWaiting {
 		return
@@ -110,42 +111,42 @@
 	s.waitingBytes -= len(r.Prompt)
 }
 
-// ready marks a lane whose queue may go on.
-func (s *State) ready(l *lane) {
+// markReady marks a lane whose queue is to be checked.
+func (s *State) markReady(l *lane) {
 	if !slices.Contains(s.readyLanes, l) {
 		s.readyLanes = append(s.readyLanes, l)
 	}
 }
 
-// pump starts waiting requests while their lanes have places. Only lanes that
-// changed in this event are looked at, so that the cost of an event does not
-// grow with what waits.
-func (s *State) pump() {
+// runQueues starts waiting requests while their lanes have free slots. It
+// checks only lanes that changed in this event, so that the cost of an event
+// does not grow with the number of waiting requests.
+func (s *State) runQueues() {
 	for len(s.readyLanes) > 0 {
 		l := s.readyLanes[0]
 		s.readyLanes = s.readyLanes[1:]
-		s.pumpLane(l)
+		s.runLane(l)
 	}
 }
 
-func (s *State) pumpLane(l *lane) {
+func (s *State) runLane(l *lane) {
 	for {
 		r, found := l.next()
 		if !found {
 			return
 		}
 		r.queued = false
-		if !s.mayRetry(r) {
+		if !s.acquireRetry(r) {
 			continue
 		}
-		s.takePlace(r)
-		s.begin(r)
+		s.takeSlot(r)
+		s.startRouting(r)
 	}
 }
 
-// next takes the request whose turn it is. The limit holds back patient ones
-// only: their places are held for as long as they wait at gates, and a ping
-// must not wait behind them.
+// next removes and returns the request whose turn it is. The limit applies to
+// patient requests only: they hold their slots for as long as they wait at
+// gates, and an urgent request must not wait behind them.
 func (l *lane) next() (*request, bool) {
 	if r, found := l.queue.PopUrgent(); found {
 		return r, true
@@ -156,7 +157,7 @@
 	return l.queue.Pop()
 }
 
-// leaveQueue takes a request that ends out of all waiting.
+// leaveQueue removes a request that ends from its queue and stops its wait.
 func (s *State) leaveQueue(r *request) {
 	r.clearAlarm(alarmWake)
 	s.stopWaiting(r)
@@ -166,28 +167,28 @@
 	}
 }
 
-func (s *State) takePlace(r *request) {
-	if r.counted {
+func (s *State) takeSlot(r *request) {
+	if r.holdsSlot {
 		return
 	}
-	r.counted = true
+	r.holdsSlot = true
 	r.lane.limit.Take()
 }
 
-func (s *State) releasePlace(r *request) {
-	if !r.counted {
+func (s *State) releaseSlot(r *request) {
+	if !r.holdsSlot {
 		return
 	}
-	r.counted = false
+	r.holdsSlot = false
 	r.lane.limit.Release()
-	s.ready(r.lane)
+	s.markReady(r.lane)
 }
 
-// waitFor has a request that found no room try again after a while. It gives
-// its place in the lane to others meanwhile.
-func (s *State) waitFor(r *request, pause time.Duration) {
+// waitAndRetry queues a request that found no capacity again after a pause. Its
+// slot in the lane is free for others meanwhile.
+func (s *State) waitAndRetry(r *request, pause time.Duration) {
 	s.startWaiting(r)
-	s.releasePlace(r)
+	s.releaseSlot(r)
 	s.setAlarm(r, alarmWake, pause)
 }
 
@@ -197,8 +198,8 @@
 	}
 }
 
-// wakeLanes has every lane look again after a change of membership, in a
-// fixed order.
+// wakeLanes marks every lane ready after a change of membership, in a fixed
+// order.
 func (s *State) wakeLanes() {
 	lanes := make([]*lane, 0, len(s.lanes))
 	for _, l := range s.lanes {
@@ -206,6 +207,6 @@
 	}
 	slices.SortFunc(lanes, func(a, b *lane) int { return a.key.compare(b.key) })
 	for _, l := range lanes {
-		s.ready(l)
+		s.markReady(l)
 	}
 }
--- a/internal/reducer/entry/reduce.go
+++ b/internal/reducer/entry/reduce.go
@@ -6,53 +6,53 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// TickEvery is the longest pause between two Ticked events.
+// TickEvery is the longest interval between two Ticked events.
 const TickEvery = 5 * time.Millisecond
 
-// Reduce carries out one event on the state and returns what is to be done,
+// Reduce applies one event to the state and returns the effects to carry out,
 // in order.
 func Reduce(s *State, e Event) []Effect {
 	s.effects = nil
-	s.pass(e.when())
-	s.dispatch(e)
+	s.advanceClock(e.when())
+	s.handle(e)
 	s.runTimers()
-	s.pump()
+	s.runQueues()
 	s.checkDrained()
 	return s.effects
 }
 
-func (s *State) dispatch(e Event) {
+func (s *State) handle(e Event) {
 	switch e := e.(type) {
 	case Arrived:
-		s.arrived(e.Request)
+		s.handleArrived(e.Request)
 	case CallerGone:
-		s.callerGone(e.RequestID)
+		s.handleCallerLeft(e.RequestID)
 	case Claimed:
-		s.claimed(e)
+		s.handleClaimed(e)
 	case Settled:
-		s.settled(e)
+		s.handleSettled(e)
 	case Received:
-		s.received(e)
+		s.handleReceived(e)
 	case SessionLost:
-		s.sessionLost(e)
+		s.handleSessionLost(e)
 	case ServersChanged:
-		s.serversChanged(e)
+		s.handleServersChanged(e)
 	case Stopping:
-		s.stop()
+		s.stopAccepting()
 	}
 }
 
-// pass moves the clock on; it never goes back, as events of several
-// goroutines may come slightly out of order.
-func (s *State) pass(at time.Time) {
+// advanceClock moves the clock forward, never back: events of several
+// goroutines may arrive slightly out of order.
+func (s *State) advanceClock(at time.Time) {
 	if at.After(s.now) {
 		s.now = at
 	}
 }
 
-// received hands a gate's message to the round that it belongs to. Messages
-// of sessions that the entry closed are outdated and dropped.
-func (s *State) received(e Received) {
+// handleReceived passes a gate's message to the round of its session. Messages
+// of sessions that the entry has closed are outdated and dropped.
+func (s *State) handleReceived(e Received) {
 	p := s.sessions[e.Session]
 	if p == nil {
 		s.emit(Count{What: "outdatedMessage"})
@@ -60,16 +60,16 @@
 	}
 	switch m := e.Message.(type) {
 	case message.Offer:
-		s.offered(p, m)
+		s.handleOffer(p, m)
 	case message.Grant:
-		s.granted(p)
+		s.handleGrant(p)
 	case message.Refusal:
-		s.lost(p, refused(m))
+		s.handleLoss(p, lossFromRefusal(m))
 	case message.Prefilled:
-		s.prefilled(p, m)
+		s.handlePrefilled(p, m)
 	case message.Part:
-		s.part(p, m)
+		s.handlePart(p, m)
 	case message.CallAnswer:
-		s.callAnswered(p, m)
+		s.handleCallAnswer(p, m)
 	}
 }
--- a/internal/reducer/entry/reserve.go
+++ b/internal/reducer/entry/reserve.go
@@ -10,24 +10,27 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// round is one asking of a few gates for room, and what came of it.
+// round is one search for a reservation: the sessions with the gates that were
+// probed, and its outcome.
 type round struct {
 	phase   message.Phase
 	attempt uint32
 	alarm   alarm
-	// probes are the sessions that are open, and spare the candidates that
-	// reserve would be sent to next.
+	// probes are the open sessions, and untried the candidates to which reserve
+	// is sent next.
 	probes  []*probe
-	spare   []*server
+	untried []*server
 	reserve message.Reserve
-	// chosen is the session whose offer was taken; the others are closed then.
+	// chosen is the session whose offer was taken; the other sessions are
+	// closed then.
 	chosen  *probe
 	granted bool
 	// sent is when the work was dispatched; zero before.
 	sent time.Time
-	// done is true once the work ended by itself: nothing is left to cancel.
+	// done is true once the work ended by itself, so that nothing is left to
+	// cancel.
 	done bool
-	// reason and retryAfter are the last refusal's.
+	// reason and retryAfter are those of the last refusal.
 	reason     oriolebend.Reason
 	retryAfter time.Duration
 }
@@ -39,19 +42,19 @@
 	round   *round
 	server  *server
 	offer   *message.Offer
-	// noted is true while the session counts in its server's load.
-	noted bool
+	// counted is true while the session counts in its server's load.
+	counted bool
 }
 
-// begin starts a request that got its turn.
-func (s *State) begin(r *request) {
+// startRouting starts a request whose turn has come.
+func (s *State) startRouting(r *request) {
 	s.stopWaiting(r)
 	r.step = stepRouting
 	s.advance(r)
 }
 
 // advance takes every step of a request that is possible now. It may be called
-// at any time: what is not due yet is left alone.
+// at any time: it leaves alone what is not due yet.
 func (s *State) advance(r *request) {
 	if r.step != stepRouting {
 		return
@@ -71,15 +74,15 @@
 	case !s.route.ReservesDecode():
 		s.sendPrefill(r)
 	case r.decode == nil:
-		s.openDecodeFor(r, s.prefillEnds(r))
+		s.openDecodeIfDue(r, s.predictPrefillEnd(r))
 	case r.decode.granted:
 		s.sendPrefill(r)
 	}
 }
 
-// ask opens sessions with the candidates of a request for one phase. It
-// returns nil if no server can serve it now.
-func (s *State) ask(r *request, a alarm, reserve message.Reserve, w policy.Want, k poolKey) *round {
+// openRound probes the candidates of a request for one phase. It returns nil if
+// no server can serve the request now.
+func (s *State) openRound(r *request, a alarm, reserve message.Reserve, w policy.Want, k poolKey) *round {
 	pool := s.pool(k)
 	if pool.Len() == 0 {
 		return nil
@@ -87,48 +90,50 @@
 	if !s.route.ReservesDecode() {
 		w.Count = 1
 	}
-	s.pick(pool.Pool, w)
+	s.pickCandidates(pool.Pool, w)
 	g := &round{
 		phase:   reserve.Phase,
 		attempt: reserve.Attempt.Number,
 		alarm:   a,
-		spare:   slices.Clone(s.picked),
+		untried: slices.Clone(s.candidates),
 		reserve: reserve,
 	}
-	s.askNext(r, g)
-	for len(g.spare) > 0 && (s.config.AskAtOnce || !reserve.Hold) {
-		s.askNext(r, g)
+	s.probeNext(r, g)
+	for len(g.untried) > 0 && (s.config.AskAtOnce || !reserve.Hold) {
+		s.probeNext(r, g)
 	}
 	return g
 }
 
-// askNext opens a session with the next candidate of a round. Most first
-// candidates can serve at once: to ask the others only if it can't costs one
-// round trip then, and saves half of the bytes and of the gates' work.
-func (s *State) askNext(r *request, g *round) {
-	v := g.spare[0]
-	g.spare = g.spare[1:]
-	s.open(r, g, v, g.reserve)
+// probeNext opens a session with the next candidate of a round. Most first
+// candidates can serve at once. Probing the others only if the first one can't
+// costs one round trip in that case, and saves half of the bytes and of the
+// gates' work.
+func (s *State) probeNext(r *request, g *round) {
+	v := g.untried[0]
+	g.untried = g.untried[1:]
+	s.openProbe(r, g, v, g.reserve)
 	wait := s.config.ProbeWithin
-	if len(g.spare) > 0 {
+	if len(g.untried) > 0 {
 		wait = s.config.OfferWithin
 	}
 	s.setAlarm(r, g.alarm, wait)
 }
 
-// pick fills s.picked with the candidates.
-func (s *State) pick(pool *policy.Pool[*server], w policy.Want) {
-	s.picked = s.picked[:0]
+// pickCandidates fills s.candidates. The server named by w.Except is left out
+// unless the pool has no other.
+func (s *State) pickCandidates(pool *policy.Pool[*server], w policy.Want) {
+	s.candidates = s.candidates[:0]
 	if except := s.servers[w.Except]; except != nil && pool.Len() > 1 {
-		s.picked = append(s.picked, except)
+		s.candidates = append(s.candidates, except)
 		w.Count++
-		s.picked = s.route.Pick(pool, w, s.rng, s.picked)[1:]
+		s.candidates = s.route.Pick(pool, w, s.rng, s.candidates)[1:]
 		return
 	}
-	s.picked = s.route.Pick(pool, w, s.rng, s.picked)
+	s.candidates = s.route.Pick(pool, w, s.rng, s.candidates)
 }
 
-func (s *State) open(r *request, g *round, v *server, reserve message.Reserve) {
+func (s *State) openProbe(r *request, g *round, v *server, reserve message.Reserve) {
 	key := SessionKey{Attempt: reserve.Attempt, Phase: g.phase, Server: v.Name}
 	p := &probe{key: key, request: r, round: g, server: v}
 	g.probes = append(g.probes, p)
@@ -136,8 +141,8 @@
 	s.emit(OpenSession{Session: key, Address: v.GateAddress, Reserve: reserve})
 }
 
-// reservation fills in what all reservations of a request have in common.
-func (s *State) reservation(r *request, phase message.Phase) message.Reserve {
+// newReservation fills in what all reservations of a request have in common.
+func (s *State) newReservation(r *request, phase message.Phase) message.Reserve {
 	reserve := message.Reserve{
 		Attempt:      message.Attempt{RequestID: r.record, Number: r.attempt},
 		Phase:        phase,
@@ -153,23 +158,24 @@
 		Once:         r.Once,
 	}
 	if phase != message.PhaseDecode && r.output.tokens == 0 {
-		reserve.Deadline = s.startWithin(r)
+		reserve.Deadline = s.firstOutputWithin(r)
 	}
 	return reserve
 }
 
-// waitedUnit is the unit in which a request's age is told: gates age work over
-// seconds, and small numbers take fewer bytes.
+// waitedUnit is the unit in which a reservation reports the age of its request:
+// gates age work over seconds, and small numbers take fewer bytes.
 const waitedUnit = 100 * time.Millisecond
 
-// startWithin is how long a first output is of use, told to gates so that they
-// refuse early what would come too late; zero is no bound. An urgent request
-// has its latency target, a patient one the deadline of its caller, if any. An
-// accepted request that is late already asks without: it is not dropped.
-func (s *State) startWithin(r *request) time.Duration {
+// firstOutputWithin returns for how long the first output is still of use; zero
+// means no bound. It is sent to gates so that they refuse early a request that
+// they would start too late. An urgent request has its latency target, a
+// patient one the deadline of its caller, if any. An accepted request that is
+// already expected to be late has no bound, since it is not dropped.
+func (s *State) firstOutputWithin(r *request) time.Duration {
 	var left time.Duration
 	switch {
-	case r.late:
+	case r.expectedLate:
 	case r.Urgency == oriolebend.Urgent:
 		left = r.FirstWithin - s.now.Sub(r.arrived)
 	case !r.Deadline.IsZero():
@@ -178,53 +184,55 @@
 	return max(0, left.Truncate(time.Millisecond))
 }
 
-// offered takes a gate's offer. The round waits a little for the other offers
-// and then takes the best.
-func (s *State) offered(p *probe, m message.Offer) {
+// handleOffer records a gate's offer. The round waits a little for the other
+// offers, or probes the next candidate, and then takes the best offer.
+func (s *State) handleOffer(p *probe, m message.Offer) {
 	g := p.round
 	if p.offer != nil || g.chosen != nil {
 		return
 	}
 	p.offer = &m
-	p.server.queued, p.server.seen = m.Queued, s.now
+	p.server.queued, p.server.queuedAt = m.Queued, s.now
 	switch {
-	case m.Granted && !s.config.AskAtOnce && (len(g.spare) == 0 || !p.linkBusy()):
-		s.choose(p.request, g)
-	case len(g.spare) > 0 && (p.linkBusy() || m.StartIn > worthAsking):
-		s.askNext(p.request, g)
-	case g.answered() && g.bindsLate(p.request):
-		s.setAlarm(p.request, g.alarm, grantLate(m))
-	case len(g.spare) > 0 || g.answered():
-		s.choose(p.request, g)
+	case m.Granted && !s.config.AskAtOnce && (len(g.untried) == 0 || !p.linkBusy()):
+		s.chooseOffer(p.request, g)
+	case len(g.untried) > 0 && (p.linkBusy() || m.StartIn > minWaitToProbe):
+		s.probeNext(p.request, g)
+	case g.allOffered() && g.usesLateBinding(p.request):
+		s.setAlarm(p.request, g.alarm, grantTimeout(m))
+	case len(g.untried) > 0 || g.allOffered():
+		s.chooseOffer(p.request, g)
 	default:
 		s.setAlarm(p.request, g.alarm, s.config.OfferWithin)
 	}
 }
 
 // linkBusy reports whether a decode server's link carries transfers that would
-// slow one more down. Without it all decodes of a failure domain go to its
-// nearest server, where their transfers take each other's time until results
-// expire; one would notice by transferStalled while other links are idle.
+// slow down another one. Without this check all decodes of a failure domain
+// would go to its nearest server, where their transfers would slow each other
+// down until results expire. The symptom would be transferStalled while other
+// links are idle.
 func (p *probe) linkBusy() bool {
 	if p.round.phase != message.PhaseDecode || p.offer.LinkBytes <= 0 {
 		return false
 	}
-	return p.offer.LinkBytes < p.server.LinkBytes*idleLink
+	return p.offer.LinkBytes < p.server.LinkBytes*idleLinkShare
 }
 
-// idleLink is the share of its rate from which a link counts as idle.
-const idleLink = 0.75
-
-// bindsLate reports whether a round keeps its places in all the queues that
-// took it in, and takes the gate that grants first (late binding). Gates
-// predict badly when generations end; bound to one queue by such a prediction
-// a ping waits in it while other servers have room. Patient requests take one
-// place: there are many of them, and gates keep room for the first in line.
-func (g *round) bindsLate(r *request) bool {
-	return r.Urgency == oriolebend.Urgent && g.phase != message.PhasePrefill && g.reserve.Hold && !g.anyGranted()
+// idleLinkShare is the free share of its rate from which a link counts as idle.
+const idleLinkShare = 0.75
+
+// usesLateBinding reports whether a round keeps its places in the queues of all
+// gates that made an offer, and takes the gate that grants first (late
+// binding). Gates predict badly when generations end: bound to one queue by
+// such a prediction, an urgent request would wait in it while other servers
+// have capacity. A patient request keeps one place only: there are many of
+// them, and gates hold capacity for the first request in line.
+func (g *round) usesLateBinding(r *request) bool {
+	return r.Urgency == oriolebend.Urgent && g.phase != message.PhasePrefill && g.reserve.Hold && !g.hasGrant()
 }
 
-func (g *round) anyGranted() bool {
+func (g *round) hasGrant() bool {
 	for _, p := range g.probes {
 		if p.offer != nil && p.offer.Granted {
 			return true
@@ -233,11 +241,11 @@
 	return false
 }
 
-// worthAsking is the wait from which another candidate is asked: below it the
-// round trip costs more than what could be won.
-const worthAsking = 10 * time.Millisecond
+// minWaitToProbe is the wait above which another candidate is probed: below it
+// the round trip costs more than it can gain.
+const minWaitToProbe = 10 * time.Millisecond
 
-func (g *round) answered() bool {
+func (g *round) allOffered() bool {
 	for _, p := range g.probes {
 		if p.offer == nil {
 			return false
@@ -246,7 +254,7 @@
 	return true
 }
 
-func (s *State) choose(r *request, g *round) {
+func (s *State) chooseOffer(r *request, g *round) {
 	var best *probe
 	var lowest time.Duration
 	for _, p := range g.probes {
@@ -267,52 +275,52 @@
 	g.probes = append(g.probes, best)
 	g.chosen = best
 	r.accepted = true
-	best.noted = true
+	best.counted = true
 	best.server.open++
-	s.chosen(r, g)
+	s.applyChoice(r, g)
 }
 
-func (s *State) chosen(r *request, g *round) {
+func (s *State) applyChoice(r *request, g *round) {
 	if g.chosen.offer.Granted {
-		s.hold(r, g)
+		s.markGranted(r, g)
 		return
 	}
-	s.setAlarm(r, g.alarm, grantLate(*g.chosen.offer))
+	s.setAlarm(r, g.alarm, grantTimeout(*g.chosen.offer))
 	s.advance(r)
 }
 
-// grantLate is how long a gate may take for its grant: well over its own
-// prediction, after which the request asks again elsewhere.
-func grantLate(m message.Offer) time.Duration {
+// grantTimeout returns how long a gate may take for its grant. It is well over
+// the gate's own prediction; after it the request reserves again.
+func grantTimeout(m message.Offer) time.Duration {
 	return 2*m.StartIn + time.Second
 }
 
-// granted tells that a waiting reservation is held now. A doubled grant
-// changes nothing.
-func (s *State) granted(p *probe) {
+// handleGrant marks a waiting reservation as held. A duplicate grant changes
+// nothing.
+func (s *State) handleGrant(p *probe) {
 	g := p.round
 	if g.granted {
 		return
 	}
 	if g.chosen == nil {
-		// The grant came before the round was decided: it is as good as an
-		// offer that is granted.
+		// The grant came before the round was decided: it counts as a granted
+		// offer.
 		if p.offer == nil {
-			s.offered(p, message.Offer{Attempt: p.key.Attempt, Granted: true})
+			s.handleOffer(p, message.Offer{Attempt: p.key.Attempt, Granted: true})
 		} else {
 			p.offer.Granted, p.offer.StartIn, p.offer.Queued = true, 0, 0
-			s.choose(p.request, g)
+			s.chooseOffer(p.request, g)
 		}
 		return
 	}
-	s.hold(p.request, g)
+	s.markGranted(p.request, g)
 }
 
-func (s *State) hold(r *request, g *round) {
+func (s *State) markGranted(r *request, g *round) {
 	g.granted = true
 	r.clearAlarm(g.alarm)
 	if g == r.standby {
-		s.standbyReady(r)
+		s.handleStandbyGranted(r)
 		return
 	}
 	if g == r.prefill && s.route.ReservesDecode() && !(r.decode != nil && r.decode.granted) {
@@ -321,31 +329,31 @@
 	s.advance(r)
 }
 
-// roundDue is met when offers, a grant or a result did not come in time.
-func (s *State) roundDue(r *request, g *round) {
+// roundTimedOut handles offers, a grant or a result that did not come in time.
+func (s *State) roundTimedOut(r *request, g *round) {
 	if g == nil {
 		return
 	}
 	switch {
 	case !g.sent.IsZero():
-		s.stalled(r)
+		s.handleStall(r)
 	case g.chosen != nil:
 		s.count("refused", oriolebend.ReasonQueueFull, r)
-		s.roundFailed(r, g, oriolebend.ReasonQueueFull, 0)
-	case len(g.spare) > 0:
-		s.askNext(r, g)
-	case g.anyOffer():
-		s.choose(r, g)
+		s.handleRoundFailure(r, g, oriolebend.ReasonQueueFull, 0)
+	case len(g.untried) > 0:
+		s.probeNext(r, g)
+	case g.hasOffer():
+		s.chooseOffer(r, g)
 	default:
 		for _, p := range g.probes {
 			p.server.health.Fail(s.now)
 			s.count("refused", oriolebend.ReasonServerLost, r)
 		}
-		s.roundFailed(r, g, cmp.Or(g.reason, oriolebend.ReasonServerLost), g.retryAfter)
+		s.handleRoundFailure(r, g, cmp.Or(g.reason, oriolebend.ReasonServerLost), g.retryAfter)
 	}
 }
 
-func (g *round) anyOffer() bool {
+func (g *round) hasOffer() bool {
 	for _, p := range g.probes {
 		if p.offer != nil {
 			return true
@@ -377,9 +385,10 @@
 	}
 }
 
-// closeProbe closes one session. A Release goes before if work was sent over
-// it: the gate then remembers the attempt as closed, should the work arrive
-// after the close. A mere reservation needs none, which saves its bytes.
+// closeProbe closes one session. If work was sent over the session, a Release
+// goes first: the gate then remembers the attempt as closed, in case the work
+// arrives after the close. A mere reservation needs no Release, which saves its
+// bytes.
 func (s *State) closeProbe(p *probe) {
 	if s.sessions[p.key] != p {
 		return
@@ -391,23 +400,23 @@
 	s.emit(CloseSession{Session: p.key})
 }
 
-// finish notes that the work of a round ended by itself.
-func (g *round) finish() {
+// markDone records that the work of a round ended by itself.
+func (g *round) markDone() {
 	if g != nil {
 		g.done = true
 	}
 }
 
-// dropProbe forgets a session that is closed or lost.
+// dropProbe removes a session that is closed or lost.
 func (s *State) dropProbe(p *probe) {
 	delete(s.sessions, p.key)
-	if p.noted {
-		p.noted = false
+	if p.counted {
+		p.counted = false
 		p.server.open--
 	}
 }
 
-// closeAll closes every session of a request at once and drops its result.
+// closeAll closes all sessions of a request and drops its result.
 func (s *State) closeAll(r *request) {
 	s.closeRound(r, r.standby)
 	s.closeRound(r, r.decode)
--- a/internal/reducer/entry/servers.go
+++ b/internal/reducer/entry/servers.go
@@ -7,21 +7,23 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// server is one backend server and what the entry learned of it.
+// server is one backend server and the entry's state for it.
 type server struct {
 	oriolebend.Server
 	health policy.Health
-	// now is the clock of the state, for what fades with time.
+	// now points to the clock of the state, for values that decay with time.
 	now *time.Time
-	// open counts this entry's sessions that were chosen there.
+	// open is the number of this entry's sessions that were chosen at the
+	// server.
 	open int
-	// queued is the queue that the gate told last, at seen.
-	queued int
-	seen   time.Time
+	// queued is the queue length that the gate last reported, at queuedAt.
+	queued   int
+	queuedAt time.Time
 }
 
-// hintFades is how long a gate's last answer counts as a hint of its load.
-const hintFades = 2 * time.Second
+// loadHintLifetime is how long a gate's last offer counts as a hint of its
+// load.
+const loadHintLifetime = 2 * time.Second
 
 // Key implements policy.Member.
 func (v *server) Key() string { return v.Name }
@@ -32,17 +34,18 @@
 // Weight implements policy.Member.
 func (v *server) Weight() float64 { return v.health.Weight(*v.now) }
 
-// Load implements policy.Member. The gate's last answer counts less the older
-// it is.
+// Load implements policy.Member. The queue length of the gate's last offer
+// counts less the older it is.
 func (v *server) Load() float64 {
 	load := float64(v.open)
-	if age := v.now.Sub(v.seen); age < hintFades {
-		load += float64(v.queued) * (1 - age.Seconds()/hintFades.Seconds())
+	if age := v.now.Sub(v.queuedAt); age < loadHintLifetime {
+		load += float64(v.queued) * (1 - age.Seconds()/loadHintLifetime.Seconds())
 	}
 	return load
 }
 
-// poolKey names the servers that can serve one kind of request in one phase.
+// poolKey identifies the servers that can serve one kind of request in one
+// phase.
 type poolKey struct {
 	role    oriolebend.PoolRole
 	model   string
@@ -68,7 +71,7 @@
 	return poolKey{role: role, model: r.Model, version: r.Version, adapter: r.Adapter}
 }
 
-// pool is the servers that can serve one kind of request in one phase.
+// pool holds the servers that can serve one kind of request in one phase.
 type pool struct {
 	*policy.Pool[*server]
 	// largest is the size of the largest memory in tokens; zero if unknown.
@@ -81,12 +84,14 @@
 	return p.largest == 0 || tokens <= p.largest
 }
 
-// maxPools bounds the pools that are kept although they have no members.
+// maxPools bounds the number of pools: a pool without members is kept only
+// below it.
 const maxPools = 1024
 
-// pool returns the pool of a key; it is built on first use after a change of
-// membership, so that choosing a server does not depend on their number. The number
-// of pools is bounded: callers could name any number of models.
+// pool returns the pool of a key. It is built on first use after a change of
+// membership, so that the cost of choosing a server does not depend on the
+// number of servers. The number of pools is bounded, because callers could name
+// any number of models.
 func (s *State) pool(k poolKey) *pool {
 	if p := s.pools[k]; p != nil {
 		return p
@@ -107,43 +112,43 @@
 	return p
 }
 
-func (s *State) serversChanged(e ServersChanged) {
+func (s *State) handleServersChanged(e ServersChanged) {
 	if e.Whole {
-		s.forgetServersBut(e.Servers)
+		s.removeServersExcept(e.Servers)
 	}
 	for _, v := range e.Servers {
-		s.serverChanged(v)
+		s.applyServer(v)
 	}
 	s.wakeLanes()
 }
 
-func (s *State) forgetServersBut(keep []oriolebend.Server) {
+func (s *State) removeServersExcept(keep []oriolebend.Server) {
 	kept := make(map[string]bool, len(keep))
 	for _, v := range keep {
 		kept[v.Name] = true
 	}
 	for name, v := range s.servers {
 		if !kept[name] {
-			s.forgetServer(v)
+			s.removeServer(v)
 		}
 	}
 }
 
-func (s *State) forgetServer(v *server) {
+func (s *State) removeServer(v *server) {
 	delete(s.servers, v.Name)
 	s.dropPools(v.Server)
 }
 
-func (s *State) serverChanged(v oriolebend.Server) {
+func (s *State) applyServer(v oriolebend.Server) {
 	known := s.servers[v.Name]
 	if v.State == oriolebend.ServerGone {
 		if known != nil {
-			s.forgetServer(known)
+			s.removeServer(known)
 		}
 		return
 	}
 	if known == nil {
-		known = &server{now: &s.now, health: policy.Health{Since: s.firstSeen()}}
+		known = &server{now: &s.now, health: policy.Health{Since: s.slowStartBegin()}}
 		s.servers[v.Name] = known
 	} else if known.Incarnation != v.Incarnation {
 		known.health = policy.Health{Since: s.now}
@@ -153,10 +158,11 @@
 	s.dropPools(v)
 }
 
-// firstSeen is the start of a server's slow start. Servers of the first
-// membership that the entry gets have been there before it: they need none.
-func (s *State) firstSeen() time.Time {
-	if len(s.requests) == 0 && s.seq == 0 {
+// slowStartBegin returns when the slow start of a new server begins. The
+// servers of the first membership that the entry receives were there before it
+// and need no slow start.
+func (s *State) slowStartBegin() time.Time {
+	if len(s.requests) == 0 && s.timerSeq == 0 {
 		return time.Time{}
 	}
 	return s.now
--- a/internal/reducer/entry/settle.go
+++ b/internal/reducer/entry/settle.go
@@ -8,16 +8,16 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// answered takes the whole output of a model request.
+// completeOutput records and reports the complete output of a model request.
 //
-// The parts went out as they came. Only the end waits for the record, which
-// costs one commit after the last token and nothing before it: if the end were
-// told first and the record lost, a retry under the same key would run the
-// model again and might be answered differently.
-func (s *State) answered(r *request, finish message.FinishReason) {
-	r.decode.finish()
+// The parts were delivered as they came. Only the end of the answer waits for
+// the record, which costs one commit after the last token and nothing before
+// it. If the end were reported first and the record lost, a retry under the
+// same key would run the model again and might be answered differently.
+func (s *State) completeOutput(r *request, finish message.FinishReason) {
+	r.decode.markDone()
 	r.outcome.finish = finish
-	s.succeeded(r)
+	s.noteSuccess(r)
 	s.conclude(r, message.RecordAnswered, &message.Answer{
 		Status: statusOK,
 		Body:   []byte(r.output.text()),
@@ -28,42 +28,45 @@
 
 const statusOK = 200
 
-// succeeded lets the limits and budgets learn of a success.
-func (s *State) succeeded(r *request) {
+// noteSuccess reports a success to the limit and the budgets.
+func (s *State) noteSuccess(r *request) {
 	r.lane.limit.Succeeded()
 	r.org.budget.Succeeded(s.now)
 	r.lane.budget.Succeeded(s.now)
 }
 
-// conclude frees all that the request holds and has its outcome recorded.
+// conclude frees everything that the request holds and settles its record with
+// its outcome.
 func (s *State) conclude(r *request, state message.RecordState, a *message.Answer) {
-	attempt := max(r.attempt, r.first)
+	attempt := max(r.attempt, r.firstAttempt)
 	if r.Once && r.dispatched {
-		// The record takes the outcome of the very attempt that it says runs.
-		attempt = r.sentCall
+		// The record accepts the outcome only for the attempt that it shows as
+		// running.
+		attempt = r.callAttempt
 	}
 	s.closeAll(r)
 	s.leaveQueue(r)
-	s.releasePlace(r)
-	r.started()
+	s.releaseSlot(r)
+	r.markStarted()
 	r.clearAlarm(alarmDeadline)
 	r.step = stepSettling
 	s.settle(r, message.Settle{Attempt: attempt, State: state, Answer: a})
-	// A failure that claims nothing about "not run" is true whatever the
-	// record says: the caller gets it at once.
+	// A failure that does not claim "not run" is true whatever the record says:
+	// it is reported to the caller at once.
 	if r.outcome.problem != nil && state != message.RecordNotRun {
-		s.tell(r)
+		s.reportOutcome(r)
 	}
 }
 
-// settle asks for the record's next state, until it is settled.
+// settle sends the record's next state to the control VMs until the record is
+// settled.
 func (s *State) settle(r *request, m message.Settle) {
 	m.RequestID = r.record
 	m.Scope = r.Scope
 	m.Owner = s.config.Owner
-	s.unsettle(r)
+	s.dropSettlement(r)
 	r.outcome.settle = &m
-	s.settling[settlement(m)] = r
+	s.settling[settlementKey(m)] = r
 	r.outcome.since = s.now
 	r.outcome.tries = 0
 	s.setAlarm(r, alarmAnswer, s.config.SettleWithin)
@@ -75,7 +78,7 @@
 		return
 	}
 	if r.step == stepSettling && s.now.Sub(r.outcome.since) > s.config.SettleFor {
-		s.settleLost(r)
+		s.abandonSettlement(r)
 		return
 	}
 	r.outcome.tries++
@@ -83,15 +86,16 @@
 	s.setAlarm(r, alarmSettle, s.config.SettleSilence)
 }
 
-// settleLost lets go of a record after long: whoever carries settlements out
-// sends the last one on until a quorum takes it.
-func (s *State) settleLost(r *request) {
+// abandonSettlement stops settling a record after SettleFor. The component that
+// carries out AskSettle keeps sending the last settlement until a quorum
+// accepts it.
+func (s *State) abandonSettlement(r *request) {
 	s.count("settleLost", oriolebend.ReasonControlAway, r)
-	s.answerUnsettled(r)
-	s.forget(r)
+	s.reportUnsettled(r)
+	s.removeRequest(r)
 }
 
-func (s *State) settled(e Settled) {
+func (s *State) handleSettled(e Settled) {
 	r := s.settling[message.Attempt{RequestID: e.RequestID, Number: e.Attempt}]
 	if r == nil {
 		return
@@ -100,69 +104,69 @@
 		s.count("settleFailed", e.Problem.Reason, r)
 		s.setAlarm(r, alarmSettle, s.config.SettleEvery)
 		if r.step == stepStarting {
-			s.startAgain(r)
+			s.requeueUnrecordedCall(r)
 		}
 		return
 	}
-	asked := r.outcome.settle.State
-	// The answer to a resent settlement finds the record where the first one
-	// moved it.
-	accepted := e.Accepted || (e.State == asked && r.outcome.tries > 1)
-	if accepted && e.State != asked {
+	requested := r.outcome.settle.State
+	// The answer to a settlement that was sent again finds the record in the
+	// state to which the first one moved it.
+	accepted := e.Accepted || (e.State == requested && r.outcome.tries > 1)
+	if accepted && e.State != requested {
 		return // the answer to an earlier settlement of this request
 	}
-	if asked == message.RecordRunning {
-		s.runningSettled(r, accepted)
+	if requested == message.RecordRunning {
+		s.handleRunningSettled(r, accepted)
 		return
 	}
 	if !accepted {
-		s.settledElsewhere(r, e.State)
+		s.noteSettledElsewhere(r, e.State)
 	}
-	s.tell(r)
-	s.forget(r)
+	s.reportOutcome(r)
+	s.removeRequest(r)
 }
 
-// unsettle drops a settlement that is no longer waited for.
-func (s *State) unsettle(r *request) {
+// dropSettlement drops a settlement whose answer is no longer needed.
+func (s *State) dropSettlement(r *request) {
 	if r.outcome.settle == nil {
 		return
 	}
-	delete(s.settling, settlement(*r.outcome.settle))
+	delete(s.settling, settlementKey(*r.outcome.settle))
 	r.outcome.settle = nil
 	r.clearAlarm(alarmSettle)
 	r.clearAlarm(alarmAnswer)
 }
 
-// settlement is what the answer to a Settle is found by.
-func settlement(m message.Settle) message.Attempt {
+// settlementKey returns the key by which the answer to a Settle is found.
+func settlementKey(m message.Settle) message.Attempt {
 	return message.Attempt{RequestID: m.RequestID, Number: m.Attempt}
 }
 
-// startAgain is met when no quorum said that the record is running. It may
-// say so or not; the call was not sent, so that the request can wait and ask
-// again without holding room.
-func (s *State) startAgain(r *request) {
+// requeueUnrecordedCall handles a call for which no quorum confirmed that its
+// record is running. The record may be running or not. The call was not sent,
+// so that the request can wait without holding capacity and then reserve again.
+func (s *State) requeueUnrecordedCall(r *request) {
 	r.lastReason = oriolebend.ReasonControlAway
 	s.closeAll(r)
 	s.pause(r, 0)
 }
 
-// runningSettled sends the call if its record says so. If the record had
-// moved on the call is not sent.
-func (s *State) runningSettled(r *request, accepted bool) {
+// handleRunningSettled sends the call if its record is running. If the record
+// had moved on, the call is not sent.
+func (s *State) handleRunningSettled(r *request, accepted bool) {
 	if r.step != stepStarting {
 		return
 	}
 	if accepted {
-		s.started(r)
+		s.sendRecordedCall(r)
 		return
 	}
-	s.giveUp(r, oriolebend.ReasonLeaseEnded, comeBack)
+	s.giveUp(r, oriolebend.ReasonLeaseEnded, defaultRetryAfter)
 }
 
-// settledElsewhere corrects what is told when the record had moved on: another
-// entry took the request over after this one's lease had ended.
-func (s *State) settledElsewhere(r *request, state message.RecordState) {
+// noteSettledElsewhere replaces the outcome to report when the record had moved
+// on: another entry took over the request after the lease of this one expired.
+func (s *State) noteSettledElsewhere(r *request, state message.RecordState) {
 	s.count("settledElsewhere", oriolebend.ReasonLeaseEnded, r)
 	ran := oriolebend.RanUnknown
 	if state == message.RecordAnswered {
@@ -172,31 +176,32 @@
 		Reason:     oriolebend.ReasonLeaseEnded,
 		Ran:        ran,
 		Detail:     "another entry answered this request; ask again for its answer",
-		RetryAfter: comeBack,
+		RetryAfter: defaultRetryAfter,
 	}
 }
 
-// answerUnsettled ends an answer whose record takes too long: the caller has
-// the output and is not made to wait for control VMs that are away. "Not run"
-// is not told without its record: the caller hears that it is unknown.
-func (s *State) answerUnsettled(r *request) {
-	if r.step != stepSettling || r.outcome.told {
+// reportUnsettled ends an answer whose record takes too long to settle: the
+// caller has the output and does not wait for control VMs that are unreachable.
+// "Not run" is not reported without its record: the caller gets "unknown"
+// instead.
+func (s *State) reportUnsettled(r *request) {
+	if r.step != stepSettling || r.outcome.reported {
 		return
 	}
 	s.count("settleLate", oriolebend.ReasonControlAway, r)
 	if p := r.outcome.problem; p != nil && p.Ran == oriolebend.RanNo {
 		p.Ran = oriolebend.RanUnknown
 	}
-	s.tell(r)
+	s.reportOutcome(r)
 }
 
-// tell gives the caller the end of its answer, once.
-func (s *State) tell(r *request) {
-	if r.outcome.told {
+// reportOutcome sends the caller the end of its answer, once.
+func (s *State) reportOutcome(r *request) {
+	if r.outcome.reported {
 		return
 	}
-	r.outcome.told = true
-	if r.gone && !r.followed() {
+	r.outcome.reported = true
+	if r.detached && !r.mayHaveFollowers() {
 		return
 	}
 	switch o := r.outcome; {
@@ -210,15 +215,15 @@
 	}
 }
 
-// followed reports whether others may follow the request after its own caller
-// left. They are told the end of it, or they would wait for one that never
-// comes.
-func (r *request) followed() bool {
+// mayHaveFollowers reports whether other callers may follow the request after
+// its own caller left. The end of the answer is sent to them too; otherwise
+// they would wait for it forever.
+func (r *request) mayHaveFollowers() bool {
 	return r.KeepRunning || r.Once
 }
 
-// giveUp ends a request without an answer, and tells so at once where that is
-// true without the record.
+// giveUp ends a request without an answer. The caller gets the problem at once,
+// except for "not run", which is true only with its record.
 func (s *State) giveUp(r *request, reason oriolebend.Reason, after time.Duration) {
 	if s.leaveCallRunning(r, reason, after) {
 		return
@@ -232,26 +237,26 @@
 		return
 	}
 	problem.Ran = oriolebend.RanUnknown
-	s.dropWasted(r)
+	s.countWastedPrefill(r)
 	s.conclude(r, message.RecordFailed, &message.Answer{Reason: reason})
 }
 
-// leaveCallRunning lets a call that may run once go on to its outcome after
-// its caller left or its deadline passed: ending it would turn an outcome that
-// can be known into one that is lost.
+// leaveCallRunning lets a call that may run once continue to its outcome after
+// its caller left or its deadline passed. Ending the call would lose an outcome
+// that can be known.
 func (s *State) leaveCallRunning(r *request, reason oriolebend.Reason, after time.Duration) bool {
 	if !r.Once || !r.dispatched {
 		return false
 	}
-	if r.outcome.told {
+	if r.outcome.reported {
 		return true
 	}
 	s.count("givenUp", reason, r)
-	if r.gone {
-		return true // who follows it waits for its outcome
+	if r.detached {
+		return true // its followers wait for the outcome
 	}
 	r.outcome.problem = &oriolebend.Problem{Reason: reason, Ran: oriolebend.RanUnknown, RetryAfter: after}
-	s.tell(r)
+	s.reportOutcome(r)
 	r.outcome.problem = nil
 	return true
 }
--- a/internal/reducer/entry/state.go
+++ b/internal/reducer/entry/state.go
@@ -13,19 +13,19 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// State is everything that an entry knows. It is in memory only and changed by
-// Reduce alone; it is not safe for use from several goroutines.
+// State is the complete state of an entry. It is kept in memory only and
+// changed by Reduce alone; it is not safe for use from several goroutines.
 type State struct {
 	config   Config
 	rng      *rand.Rand
 	route    policy.Policy[*server]
 	now      time.Time
-	seq      uint64
+	timerSeq uint64
 	stopping bool
 	drained  bool
 
 	requests map[string]*request
-	// settling finds the requests whose settlement is unanswered, by record and
+	// settling holds the requests whose settlement is unanswered, by record and
 	// attempt: a caller's retry may own the same record before the settlement
 	// of its first request is answered.
 	settling map[message.Attempt]*request
@@ -35,17 +35,18 @@
 	lanes    map[laneKey]*lane
 	orgs     map[string]*organisation
 	timers   timers
-	// readyLanes have waiting requests that may go on.
+	// readyLanes are the lanes whose queues are to be checked for requests that
+	// can start.
 	readyLanes []*lane
 	waiting    int
-	// waitingBytes counts the prompts of waiting requests.
+	// waitingBytes is the total size of the prompts of waiting requests.
 	waitingBytes int
 
-	effects []Effect
-	picked  []*server
+	effects    []Effect
+	candidates []*server
 }
 
-// New returns the state of an entry that knows no server yet.
+// New returns the state of an entry that has no servers yet.
 func New(c Config) *State {
 	c = c.filled()
 	return &State{
@@ -62,7 +63,7 @@
 	}
 }
 
-// organisation is what the entry keeps for one organisation of callers.
+// organisation is the entry's state for one organisation of callers.
 type organisation struct {
 	share  float64
 	rate   limit.Rate
@@ -91,15 +92,15 @@
 	}
 }
 
-// step is where a request stands.
+// step is the stage that a request has reached.
 type step string
 
 const (
 	stepClaiming step = "claiming" // the claim is unanswered
-	stepWaiting  step = "waiting"  // owned, no session open, waits for its turn
+	stepWaiting  step = "waiting"  // the key is owned, no session is open, the request waits for its turn
 	stepRouting  step = "routing"  // sessions are open or work is dispatched
-	stepStarting step = "starting" // the record is to say running before a call
-	stepAsking   step = "asking"   // the outcome of a lost call is asked for
+	stepStarting step = "starting" // a call waits for its record to be running
+	stepQuerying step = "asking"   // the outcome of a lost call is queried
 	stepSettling step = "settling" // the outcome is known, the record is not settled
 )
 
@@ -111,75 +112,78 @@
 	lane    *lane
 	org     *organisation
 	arrived time.Time
-	// accepted is true once the request is not refused any more, but answered:
-	// for a patient one when it is admitted, for an urgent one when a gate took
-	// it in besides.
+	// accepted is true once the request must be answered and is no longer
+	// refused. A patient request is accepted on admission, an urgent one when
+	// in addition the offer of a gate was chosen for it.
 	accepted bool
-	// late is true once a gate said that the first token would be late: gates
-	// are asked without a bound from then on.
-	late bool
+	// expectedLate is true once a gate reported that the first token would be
+	// late: from then on reservations carry no deadline.
+	expectedLate bool
 	// record is the ID of the request's record, under which its work is
-	// dispatched: that of the first request under the key.
+	// dispatched: the ID of the first request with the same key.
 	record string
-	// gone is true once the last caller left.
-	gone bool
-	// queued is true while the request waits in its lane's queue.
+	// detached is true once no caller waits for the request: the last one left
+	// or was refused.
+	detached bool
+	// queued is true while the request is in its lane's queue.
 	queued bool
-	// counted is true while the request takes a place of its lane's limit.
-	counted bool
-	due     [alarms]time.Time
-
-	// attempt is the number of the last try; first is the lowest that this
-	// ownership of the record may use, and decoded the last number that a
-	// decode round used.
-	attempt uint32
-	first   uint32
-	decoded uint32
-	prefill *round
-	decode  *round
-	standby *round
-	call    *round
-	// result is the prefill's result while it lives, until expires.
-	result  *message.Prefilled
-	expires time.Time
+	// holdsSlot is true while the request counts towards its lane's limit.
+	holdsSlot bool
+	due       [alarmCount]time.Time
+
+	// attempt is the number of the last attempt, firstAttempt the lowest number
+	// that this ownership of the record may use, and decodeAttempt the last
+	// number that a decode round used.
+	attempt       uint32
+	firstAttempt  uint32
+	decodeAttempt uint32
+	prefill       *round
+	decode        *round
+	standby       *round
+	call          *round
+	// result is the prefill's result while it can be fetched, until
+	// resultExpires.
+	result        *message.Prefilled
+	resultExpires time.Time
 
 	output output
-	// heard is when the live attempt showed progress last, and lastOutput when
-	// the caller got output last.
-	heard      time.Time
-	lastOutput time.Time
-	// dispatched is true once any work was sent that may have run; sentCall is
-	// the attempt of the last call that was, and calledAt its server.
-	dispatched bool
-	sentCall   uint32
-	calledAt   string
-	// tries counts rounds and attempts that failed since the last progress.
+	// lastProgress is when the current attempt last showed progress, and
+	// lastOutput when the caller last got output.
+	lastProgress time.Time
+	lastOutput   time.Time
+	// dispatched is true once any work was sent that may have run. callAttempt
+	// is the attempt of the last call that was sent, and callServer its server.
+	dispatched  bool
+	callAttempt uint32
+	callServer  string
+	// tries counts the rounds and attempts that failed since the last progress.
 	tries          int
 	engineFailures int
-	// serversLost counts the servers that were lost while they worked on the request,
-	// since its last progress.
+	// serversLost counts the servers that were lost while they worked on the
+	// request, since its last progress.
 	serversLost int
 	lastReason  oriolebend.Reason
-	// owesRetry is true while a retry is not yet taken off the budgets.
-	owesRetry bool
+	// needsRetryToken is true while a retry is not yet taken off the budgets.
+	needsRetryToken bool
 
-	// unstarted is the request's place among those without output.
+	// unstarted is the request's element in its lane's list of requests without
+	// output.
 	unstarted *list.Element
 
 	outcome outcome
 }
 
-// outcome is what is to be recorded and told.
+// outcome is the end of a request that is recorded and reported to its caller.
 type outcome struct {
 	settle *message.Settle
 	since  time.Time
 	tries  int
-	// problem, finish or call is what the caller is told once the record is
-	// settled, or when waiting for it took too long.
-	problem *oriolebend.Problem
-	finish  message.FinishReason
-	call    *message.CallAnswer
-	told    bool
+	// problem, finish or call is reported to the caller once the record is
+	// settled, or when waiting for the record took too long.
+	problem  *oriolebend.Problem
+	finish   message.FinishReason
+	call     *message.CallAnswer
+	reported bool
 }
 
 func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
@@ -195,12 +199,12 @@
 	s.emit(Observe{What: what, Urgency: r.Urgency, Value: value})
 }
 
-// forget drops a request that has nothing open.
-func (s *State) forget(r *request) {
+// removeRequest removes a request from the state and closes its sessions.
+func (s *State) removeRequest(r *request) {
 	s.closeAll(r)
 	s.leaveQueue(r)
-	s.releasePlace(r)
+	s.releaseSlot(r)
 	delete(s.requests, r.ID)
-	s.unsettle(r)
+	s.dropSettlement(r)
 	s.dropLane(r.lane)
 }
--- a/internal/reducer/entry/timer.go
+++ b/internal/reducer/entry/timer.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// alarm names one timer of a request.
+// alarm identifies one timer of a request.
 type alarm int
 
 const (
 	alarmDeadline alarm = iota // the caller stops waiting
-	alarmClaim                 // a claim is unanswered, or is to be renewed
+	alarmClaim                 // a claim is unanswered
 	alarmWake                  // a waiting request may try again
 	alarmPrefill               // the prefill round: offers, grant, result
 	alarmDecode                // the decode round: offers, grant
 	alarmStandby               // the second decode round: offers
 	alarmCall                  // the call round: offers, grant
-	alarmReserve               // decode room is to be asked for once more
-	alarmHold                  // prefill room was held idle for long enough
-	alarmHedge                 // the transfer is slow: get a second server ready
-	alarmTransfer              // the transfer is late
-	alarmStall                 // no output for long
+	alarmReserve               // decode capacity or a call status is to be requested again
+	alarmHold                  // a prefill reservation was held idle for long enough
+	alarmHedge                 // the transfer is slow: prepare a second server
+	alarmTransfer              // the transfer or the result has timed out
+	alarmStall                 // no progress for long
 	alarmSettle                // a record is unsettled
-	alarmAnswer                // the answer's end waited for its record
-	alarmStatus                // the outcome of a lost call is unanswered
-	alarms
+	alarmAnswer                // the end of the answer waited too long for its record
+	alarmStatus                // the query of the outcome of a lost call timed out
+	alarmCount
 )
 
 type timer struct {
@@ -34,7 +34,8 @@
 	alarm alarm
 }
 
-// timers is a heap ordered by time, then by the order of setting.
+// timers is a heap ordered by time, then by the order in which the timers were
+// set.
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
@@ -60,16 +61,17 @@
 	return popped
 }
 
-// setAlarm has an alarm of r go off after a while, in place of its last one.
+// setAlarm sets an alarm of r to go off after a duration and replaces its last
+// setting.
 func (s *State) setAlarm(r *request, a alarm, after time.Duration) {
 	s.setAlarmAt(r, a, s.now.Add(after))
 }
 
 func (s *State) setAlarmAt(r *request, a alarm, at time.Time) {
 	r.due[a] = at
-	s.seq++
-	heap.Push(&s.timers, timer{at: at, seq: s.seq, id: r.ID, alarm: a})
-	if len(s.timers) > 2*int(alarms)*(len(s.requests)+minTimers) {
+	s.timerSeq++
+	heap.Push(&s.timers, timer{at: at, seq: s.timerSeq, id: r.ID, alarm: a})
+	if len(s.timers) > 2*int(alarmCount)*(len(s.requests)+minTimers) {
 		s.compactTimers()
 	}
 }
@@ -77,8 +79,8 @@
 // minTimers keeps the heap of a nearly idle entry from being compacted often.
 const minTimers = 16
 
-// compactTimers drops the outdated entries of the heap: alarms far ahead would
-// else keep the IDs of requests that ended long ago.
+// compactTimers removes the outdated entries of the heap. Without it, alarms
+// set far ahead would keep the IDs of requests that ended long ago.
 func (s *State) compactTimers() {
 	live := s.timers[:0]
 	for _, t := range s.timers {
@@ -95,8 +97,9 @@
 	r.due[a] = time.Time{}
 }
 
-// runTimers carries out every alarm that is due. An alarm set again or
-// cleared since leaves an outdated entry in the heap, told by its time.
+// runTimers fires every alarm that is due. An alarm that was set again or
+// cleared leaves an outdated entry in the heap, which is recognised by its
+// time.
 func (s *State) runTimers() {
 	for len(s.timers) > 0 && !s.timers[0].at.After(s.now) {
 		t := heap.Pop(&s.timers).(timer)
@@ -105,41 +108,41 @@
 			continue
 		}
 		r.clearAlarm(t.alarm)
-		s.rang(r, t.alarm)
+		s.fire(r, t.alarm)
 	}
 }
 
-func (s *State) rang(r *request, a alarm) {
+func (s *State) fire(r *request, a alarm) {
 	switch a {
 	case alarmDeadline:
-		s.deadlinePassed(r)
+		s.handleDeadline(r)
 	case alarmClaim:
-		s.claimDue(r)
+		s.claimTimedOut(r)
 	case alarmWake:
 		s.wake(r)
 	case alarmPrefill:
-		s.roundDue(r, r.prefill)
+		s.roundTimedOut(r, r.prefill)
 	case alarmDecode:
-		s.roundDue(r, r.decode)
+		s.roundTimedOut(r, r.decode)
 	case alarmStandby:
-		s.roundDue(r, r.standby)
+		s.roundTimedOut(r, r.standby)
 	case alarmCall:
-		s.roundDue(r, r.call)
+		s.roundTimedOut(r, r.call)
 	case alarmReserve:
-		s.reserveAgain(r)
+		s.retryReservation(r)
 	case alarmHold:
 		s.releasePrefillHold(r)
 	case alarmHedge:
 		s.hedgeTransfer(r)
 	case alarmTransfer:
-		s.transferLate(r)
+		s.handleTransferTimeout(r)
 	case alarmStall:
-		s.stalled(r)
+		s.handleStall(r)
 	case alarmSettle:
 		s.sendSettle(r)
 	case alarmAnswer:
-		s.answerUnsettled(r)
+		s.reportUnsettled(r)
 	case alarmStatus:
-		s.statusDue(r)
+		s.statusTimedOut(r)
 	}
 }
