--- a/internal/reducer/entry/bench_test.go
+++ b/internal/reducer/entry/bench_test.go
@@ -15,14 +15,16 @@
 	fleetModels        = 34
 	fleetOrganisations = 210
 	fleetDomains       = 12
-	// entryRate is how many requests a second one entry sees at the peak.
+	// entryRate is the number of requests a second that one entry receives at
+	// the peak.
 	entryRate = 6
-	// controlBytes is what an entry may spend for control in a second.
+	// controlBytes is how many bytes a second an entry may spend on control
+	// messages.
 	controlBytes = 2000
 )
 
-// fleet is n servers, half of them prefill. Each holds as many models as make
-// every model served by several.
+// fleet returns n servers, half of them for prefill. Each holds enough models
+// that every model is served by several servers.
 func fleet(n int) []oriolebend.Server {
 	var servers []oriolebend.Server
 	each := max(1, 6*fleetModels*2/n)
@@ -63,41 +65,42 @@
 	}
 }
 
-// prefix is the hashes of 256, 512, ... 4,096 tokens.
+// prefix returns the hashes of the first 256, 512, ... 4,096 tokens.
 func prefix(i int) []uint64 {
 	const odd = 0x9e3779b97f4a7c15
 	return []uint64{odd, uint64(i%7) * odd, uint64(i%50) * odd, uint64(i%50+7) * odd, uint64(i) * odd}
 }
 
-// wire is CBOR with the shortest floats.
+// wire encodes CBOR with the shortest floats.
 var wire, _ = cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.EncMode()
 
-// drive takes requests through a state whose gates grant all. Its buffers are
-// kept, so that what is measured is the reducer.
-type drive struct {
+// driver runs requests through a state whose gates grant every reservation. It
+// keeps its buffers, so that a benchmark measures the reducer.
+type driver struct {
 	state *State
 	now   time.Time
 	queue []Event
-	// bytes counts what went to and came from gates besides the work itself.
-	bytes int
-	count bool
-	// busy makes no gate able to serve at once.
+	// bytes is the size of the messages to and from gates, without the work
+	// itself.
+	bytes      int
+	countBytes bool
+	// busy is true if no gate can serve at once.
 	busy bool
 }
 
-func (d *drive) request(r Request) {
+func (d *driver) request(r Request) {
 	d.now = d.now.Add(time.Millisecond)
 	d.queue = append(d.queue[:0], Arrived{At: d.now, Request: r})
 	for i := 0; i < len(d.queue); i++ {
 		for _, effect := range Reduce(d.state, d.queue[i]) {
-			d.take(effect)
+			d.perform(effect)
 		}
 	}
 }
 
-func (d *drive) add(e Event) { d.queue = append(d.queue, e) }
+func (d *driver) add(e Event) { d.queue = append(d.queue, e) }
 
-func (d *drive) take(e Effect) {
+func (d *driver) perform(e Effect) {
 	switch e := e.(type) {
 	case AskClaim:
 		d.add(Claimed{At: d.now, RequestID: e.Claim.RequestID, Answer: message.ClaimAnswer{Outcome: message.ClaimOwned}})
@@ -113,18 +116,18 @@
 		if d.busy {
 			offer.Granted, offer.StartIn, offer.Queued = false, 300*time.Millisecond, 4
 		}
-		d.weigh(e.Reserve)
-		d.weigh(offer)
+		d.addBytes(e.Reserve)
+		d.addBytes(offer)
 		d.add(Received{At: d.now, Session: e.Session, Message: offer})
 		if d.busy {
 			d.add(Received{At: d.now, Session: e.Session, Message: message.Grant{Attempt: e.Session.Attempt}})
 		}
 	case Send:
-		d.sent(e)
+		d.handleSend(e)
 	}
 }
 
-func (d *drive) sent(e Send) {
+func (d *driver) handleSend(e Send) {
 	switch m := e.Message.(type) {
 	case message.Prefill:
 		d.add(Received{At: d.now, Session: e.Session, Message: message.Prefilled{
@@ -136,27 +139,27 @@
 			Attempt: m.Attempt, Offset: 1, Tokens: 1, Text: "b", Finish: message.FinishStop,
 		}})
 	default:
-		d.weigh(m)
+		d.addBytes(m)
 	}
 }
 
-func (d *drive) weigh(m message.Message) {
-	if !d.count {
+func (d *driver) addBytes(m message.Message) {
+	if !d.countBytes {
 		return
 	}
 	encoded, _ := wire.Marshal(m)
 	d.bytes += len(encoded)
 }
 
-// BenchmarkRequest is the whole cost of deciding on one request, from arrival
-// to settlement, at 12 and at 1,100 servers.
+// BenchmarkRequest measures the complete cost of deciding on one request, from
+// arrival to settlement, at 12 and at 1,100 servers.
 func BenchmarkRequest(b *testing.B) {
 	for _, route := range []policy.Name{policy.Reserve, policy.Random, policy.RoundRobin, policy.LeastLoad, policy.Affinity} {
 		for _, n := range []int{12, 1100} {
 			b.Run(fmt.Sprintf("%s/servers=%d", route, n), func(b *testing.B) {
-				d := &drive{state: fleetState(n, route), now: scriptStart}
+				d := &driver{state: fleetState(n, route), now: scriptStart}
 				for i := range 2 * fleetOrganisations {
-					d.request(fleetRequest(i)) // pools and organisations are known
+					d.request(fleetRequest(i)) // creates the pools and the organisations
 				}
 				requests := make([]Request, 4096)
 				for i := range requests {
@@ -172,11 +175,11 @@
 	}
 }
 
-// BenchmarkMembership is the cost of one server's change at 1,100 servers,
-// with the pools it touches built again.
+// BenchmarkMembership measures the cost of one server's change at 1,100
+// servers, including the rebuild of the pools that it affects.
 func BenchmarkMembership(b *testing.B) {
 	s := fleetState(1100, policy.Reserve)
-	d := &drive{state: s, now: scriptStart}
+	d := &driver{state: s, now: scriptStart}
 	for i := range fleetModels {
 		d.request(fleetRequest(i))
 	}
@@ -193,9 +196,9 @@
 	}
 }
 
-// TestControlBytes holds that finding servers for six requests a second stays
-// within what a daemon may spend for control: in all while the first candidates
-// can serve at once, and in what is asked besides them while none can.
+// TestControlBytes checks that finding servers for six requests a second stays
+// within the bytes that a daemon may spend on control: in total while the first
+// candidates can serve at once, and in the additional probes while none can.
 func TestControlBytes(t *testing.T) {
 	idle, busy := controlBytesOf(false), controlBytesOf(true)
 	t.Logf("bytes a second at %d requests: %d idle, %d busy", entryRate, idle, busy)
@@ -205,7 +208,7 @@
 }
 
 func controlBytesOf(busy bool) int {
-	d := &drive{state: fleetState(1100, policy.Reserve), now: scriptStart, count: true, busy: busy}
+	d := &driver{state: fleetState(1100, policy.Reserve), now: scriptStart, countBytes: true, busy: busy}
 	const requests = 1000
 	for i := range requests {
 		d.request(fleetRequest(i))
--- a/internal/reducer/entry/property_test.go
+++ b/internal/reducer/entry/property_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestInterleavings lets callers, control VMs and gates do anything in any
-// order, and checks what must hold all the same: an answer has no gap and no
-// repeat and ends once; a call that may run once is executed once at most, and
-// never after "not run"; a caller that left holds no session; and once all is
-// over the entry holds nothing.
+// TestInterleavings lets callers, control VMs and gates act in any order, and
+// checks the invariants: an answer has no gap and no repeated part and ends
+// once; a call that may run once is executed at most once, and never after "not
+// run" was reported; a caller that left holds no session; and at the end the
+// entry holds nothing.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -27,14 +27,15 @@
 			actions[w.rng.IntN(len(actions))](t)
 			w.check(t)
 		}
-		w.settleDown(t)
+		w.runToEnd(t)
 		w.checkEnd(t)
 	})
 }
 
-// actions are what may happen next; frequent ones stand there several times.
+// actions returns the possible next actions; frequent ones are listed several
+// times.
 func (w *world) actions() []func(*rapid.T) {
-	actions := []func(*rapid.T){w.arrive, w.tickAny, w.restartAny, w.stopSometimes, w.goneAny, w.otherEventAny}
+	actions := []func(*rapid.T){w.arrive, w.tickAny, w.restartAny, w.stopSometimes, w.callerLeavesAny, w.serverChangeAny}
 	for range 6 {
 		actions = append(actions, w.deliverAny, w.workAny)
 	}
@@ -79,8 +80,8 @@
 	w.deliver(w.number(len(w.events)-1), t)
 }
 
-// otherEventAny changes the membership.
-func (w *world) otherEventAny(t *rapid.T) {
+// serverChangeAny changes the state of one server.
+func (w *world) serverChangeAny(t *rapid.T) {
 	state := oriolebend.ServerState(w.draw("leaving", "serving"))
 	w.reduce(serverChange(w.now, "d1", state), t)
 }
@@ -105,12 +106,12 @@
 	w.tick(time.Duration(ms)*time.Millisecond, t)
 }
 
-func (w *world) goneAny(t *rapid.T) {
+func (w *world) callerLeavesAny(t *rapid.T) {
 	if w.next == 0 {
 		return
 	}
 	id := fmt.Sprintf("r%d", 1+w.number(w.next-1))
-	w.callers[id].gone = true
+	w.callers[id].left = true
 	w.reduce(CallerGone{At: w.now, RequestID: id}, t)
 }
 
@@ -119,7 +120,7 @@
 	name := w.draw("p1", "d1", "d2", "s1")
 	for _, g := range w.openSessions() {
 		if g.key.Server == name {
-			w.lose(g)
+			w.loseSession(g)
 		}
 	}
 }
@@ -130,41 +131,41 @@
 	}
 }
 
-// check holds after every event.
+// check checks the invariants that hold after every event.
 func (w *world) check(t *rapid.T) {
 	for key, p := range w.state.sessions {
 		c := w.callers[p.request.ID]
-		if c.gone && !c.request.KeepRunning && !c.request.Once {
-			t.Fatalf("%s is open though its caller left", printKey(key))
+		if c.left && !c.request.KeepRunning && !c.request.Once {
+			t.Fatalf("session %s is open after its caller left", printKey(key))
 		}
 	}
 	for name, v := range w.state.servers {
 		if v.open < 0 {
-			t.Fatalf("%s: %d sessions", name, v.open)
+			t.Fatalf("server %s counts %d sessions", name, v.open)
 		}
 	}
 	if w.state.waiting < 0 || w.state.waitingBytes < 0 {
-		t.Fatalf("waiting %d, %d bytes", w.state.waiting, w.state.waitingBytes)
+		t.Fatalf("%d requests wait with %d bytes", w.state.waiting, w.state.waitingBytes)
 	}
 }
 
 func (w *world) checkEnd(t *rapid.T) {
 	s := w.state
 	if len(s.requests)+len(s.settling)+len(s.sessions)+s.waiting+s.waitingBytes != 0 {
-		t.Fatalf("left: %d requests, %d sessions, %d waiting", len(s.requests), len(s.sessions), s.waiting)
+		t.Fatalf("%d requests, %d sessions and %d waiting requests are left", len(s.requests), len(s.sessions), s.waiting)
 	}
 	for _, l := range s.lanes {
 		if l.limit.Running() != 0 || l.queue.Len() != 0 {
-			t.Fatalf("lane holds %d, %d wait", l.limit.Running(), l.queue.Len())
+			t.Fatalf("lane has %d slots taken and %d requests queued", l.limit.Running(), l.queue.Len())
 		}
 	}
 	for name, v := range s.servers {
 		if v.open != 0 {
-			t.Fatalf("%s: %d sessions counted", name, v.open)
+			t.Fatalf("server %s counts %d sessions at the end", name, v.open)
 		}
 	}
 	for id, c := range w.callers {
-		if len(c.ends) == 0 && !c.gone {
+		if len(c.ends) == 0 && !c.left {
 			t.Fatalf("%s was never answered", id)
 		}
 	}
@@ -174,19 +175,20 @@
 	}
 }
 
-// checkRecords holds that every record is settled and true.
+// checkRecords checks that every record is settled with the true outcome.
 func (w *world) checkRecords(t *rapid.T) {
-	for id, r := range w.owners {
-		c := w.callers[r.runs]
-		// A claim whose answer was lost may stand: its lease ends it.
-		if r.state == message.RecordClaimed && r.told {
-			t.Fatalf("%s: record left %s", id, r.state)
+	for id, r := range w.recordsByID {
+		c := w.callers[r.ownerID]
+		// A record may stay claimed if the answer to its claim was lost: its
+		// lease expires.
+		if r.state == message.RecordClaimed && r.ownerNotified {
+			t.Fatalf("%s: record is still %s at the end", id, r.state)
 		}
 		if r.state == message.RecordNotRun && c.request.Once && w.executions[id] > 0 {
-			t.Fatalf("%s: recorded as not run, and ran", id)
+			t.Fatalf("%s: recorded as not run, but it ran", id)
 		}
 		if r.state == message.RecordFailed && c.request.Once && w.executions[id] > 0 {
-			t.Fatalf("%s: recorded as failed, and ran", id)
+			t.Fatalf("%s: recorded as failed, but it ran", id)
 		}
 	}
 }
--- a/internal/reducer/entry/script_test.go
+++ b/internal/reducer/entry/script_test.go
@@ -13,8 +13,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TestScripts runs the scripts of testdata. Each line of a script is one
-// event; what is printed are its effects. A session is written
+// TestScripts runs the scripts of testdata. Each line of a script is one event;
+// the output shows its effects. A session is written
 // request/attempt/phase/server, a part @offset+tokens "text".
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -35,14 +35,14 @@
 
 var scriptStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// script runs events on one state.
+// script applies events to one state.
 type script struct {
 	state *State
 	now   time.Time
 }
 
-// reset makes a new state. The first letter of a server's name tells its role:
-// prefill, decode or service.
+// reset makes a new state. The first letter of a server's name stands for its
+// role: prefill, decode or service.
 func (w *script) reset(t *testing.T, d *datadriven.TestData) {
 	c := Config{Name: "e1", Seed: 1, FailureDomain: "a"}
 	names := []string{"p1", "d1", "s1"}
@@ -99,7 +99,7 @@
 	return servers
 }
 
-// run carries out one line and prints its effects.
+// run applies the event of one line and prints its effects.
 func (w *script) run(t *testing.T, line string, out *strings.Builder) {
 	words := strings.Fields(line)
 	if len(words) == 0 || strings.HasPrefix(line, "#") {
@@ -119,8 +119,8 @@
 	}
 }
 
-// words are the arguments of one line: those with a "=" by name, the others
-// by place.
+// words are the arguments of one line: those with a "=" by name, the others by
+// position.
 type words struct {
 	placed []string
 	named  map[string]string
@@ -181,7 +181,7 @@
 		return Ticked{At: w.now}
 	case "arrive":
 		return Arrived{At: w.now, Request: w.request(a)}
-	case "gone":
+	case "callerLeft":
 		return CallerGone{At: w.now, RequestID: a.at(0)}
 	case "stop":
 		return Stopping{At: w.now}
@@ -232,7 +232,7 @@
 
 func (w *script) claimed(a words) Event {
 	e := Claimed{At: w.now, RequestID: a.at(0)}
-	if a.at(1) == "away" {
+	if a.at(1) == "noQuorum" {
 		e.Problem = &oriolebend.Problem{Reason: oriolebend.ReasonControlAway}
 		return e
 	}
@@ -252,7 +252,7 @@
 
 func (w *script) settled(a words) Event {
 	e := Settled{At: w.now, RequestID: a.at(0), Attempt: uint32(a.number("attempt", 1)), State: message.RecordState(a.at(1)), Accepted: !a.has("rejected")}
-	if a.at(1) == "away" {
+	if a.at(1) == "noQuorum" {
 		e.Problem = &oriolebend.Problem{Reason: oriolebend.ReasonControlAway}
 	}
 	return e
@@ -318,7 +318,7 @@
 	return fmt.Sprintf("%s/%d/%s/%s", k.Attempt.RequestID, k.Attempt.Number, k.Phase, k.Server)
 }
 
-// printEffect prints what a script looks at; measures are left out.
+// printEffect prints an effect that scripts check; measurements are left out.
 func printEffect(e Effect) string {
 	switch e := e.(type) {
 	case AskClaim:
@@ -326,7 +326,7 @@
 	case AskSettle:
 		return "settle " + e.Settle.RequestID + " " + printSettle(e.Settle)
 	case OpenSession:
-		return "open " + printKey(e.Session) + printFirst(e)
+		return "open " + printKey(e.Session) + printOpen(e)
 	case Send:
 		return "send " + printKey(e.Session) + " " + printMessage(e.Message)
 	case CloseSession:
@@ -364,8 +364,8 @@
 	return text
 }
 
-// printFirst prints what a session begins with.
-func printFirst(e OpenSession) string {
+// printOpen prints the first message of a session.
+func printOpen(e OpenSession) string {
 	if e.Status != nil {
 		return " status " + e.Status.Identity
 	}
--- a/internal/reducer/entry/world_test.go
+++ b/internal/reducer/entry/world_test.go
@@ -12,51 +12,53 @@
 	"pgregory.net/rapid"
 )
 
-// world is a fake of all that an entry speaks to: callers, control VMs and
-// gates. Every message waits in it until the test lets it go on, so that any
-// interleaving comes about.
+// world simulates the callers, control VMs and gates of one entry. Every
+// message waits in it until the test delivers it, so that any interleaving can
+// occur.
 type world struct {
 	state *State
 	rng   *rand.Rand
 	now   time.Time
-	// events wait for the entry; those of one session stay in their order.
-	events []Event
-	gates  map[SessionKey]*fakeSession
-	// records are the control VMs' request records, by scope.
-	records map[message.Scope]*fakeRecord
-	owners  map[string]*fakeRecord
-	callers map[string]*fakeCaller
-	// executions counts calls by their downstream identity.
+	// events wait to be delivered to the entry; those of one session stay in
+	// order.
+	events   []Event
+	sessions map[SessionKey]*fakeSession
+	// records are the control VMs' request records, by scope and by ID.
+	records     map[message.Scope]*fakeRecord
+	recordsByID map[string]*fakeRecord
+	callers     map[string]*fakeCaller
+	// executions counts the executions of calls by their downstream identity.
 	executions map[string]int
-	// ran names the requests of which an engine did some work.
+	// ran holds the requests for which an engine did some work.
 	ran     map[string]bool
 	drained bool
-	// calm is true once nothing fails any more.
-	calm bool
-	next int
+	// noFaults is true once nothing fails any more.
+	noFaults bool
+	next     int
 }
 
 type fakeSession struct {
 	key     SessionKey
 	granted bool
 	closed  bool
-	// called is set once a call waits to be executed.
-	called  *message.Call
-	prefill bool
-	decode  *message.Decode
-	sent    int
-	last    int
+	// pendingCall is set while a call waits to be executed.
+	pendingCall *message.Call
+	prefill     bool
+	decode      *message.Decode
+	sent        int
+	last        int
 }
 
 type fakeRecord struct {
 	id string
-	// runs is the request whose claim owns the record.
-	runs    string
+	// ownerID is the request whose claim owns the record.
+	ownerID string
 	state   message.RecordState
 	attempt uint32
 	reopens bool
-	// told is true once its owner was told that it owns the request.
-	told bool
+	// ownerNotified is true once the owner has received the answer that it owns
+	// the key.
+	ownerNotified bool
 }
 
 type fakeCaller struct {
@@ -64,13 +66,13 @@
 	text    strings.Builder
 	tokens  int
 	ends    []Effect
-	gone    bool
+	left    bool
 }
 
 const worldTokens = 6
 
-// wholeOutput is what every engine generates for a prompt.
-func wholeOutput() string { return outputFrom(0, worldTokens) }
+// completeOutput returns what every engine generates for a prompt.
+func completeOutput() string { return outputFrom(0, worldTokens) }
 
 func outputFrom(offset, tokens int) string {
 	text := ""
@@ -83,8 +85,8 @@
 func newWorld(c Config, seed uint64) *world {
 	w := &world{
 		state: New(c), now: scriptStart, rng: rand.New(rand.NewPCG(seed, 1)),
-		gates:   map[SessionKey]*fakeSession{},
-		records: map[message.Scope]*fakeRecord{}, owners: map[string]*fakeRecord{},
+		sessions: map[SessionKey]*fakeSession{},
+		records:  map[message.Scope]*fakeRecord{}, recordsByID: map[string]*fakeRecord{},
 		callers: map[string]*fakeCaller{}, executions: map[string]int{}, ran: map[string]bool{},
 	}
 	w.reduce(ServersChanged{
@@ -94,14 +96,14 @@
 	return w
 }
 
-// reduce hands one event to the entry and takes its effects.
+// reduce applies one event to the entry and performs its effects.
 func (w *world) reduce(e Event, t *rapid.T) {
 	for _, effect := range Reduce(w.state, e) {
-		w.take(effect, t)
+		w.perform(effect, t)
 	}
 }
 
-func (w *world) take(e Effect, t *rapid.T) {
+func (w *world) perform(e Effect, t *rapid.T) {
 	switch e := e.(type) {
 	case AskClaim:
 		w.claim(e.Claim, t)
@@ -112,7 +114,7 @@
 	case Send:
 		w.send(e, t)
 	case CloseSession:
-		if g := w.gates[e.Session]; g != nil {
+		if g := w.sessions[e.Session]; g != nil {
 			g.closed = true
 		}
 	case AnswerPart:
@@ -135,15 +137,15 @@
 func (w *world) answerPart(e AnswerPart, t *rapid.T) {
 	c := w.callers[e.RequestID]
 	if e.Offset != c.tokens {
-		t.Fatalf("%s: part at %d after %d tokens", e.RequestID, e.Offset, c.tokens)
+		t.Fatalf("%s: part at offset %d after %d tokens", e.RequestID, e.Offset, c.tokens)
 	}
 	if len(c.ends) > 0 {
 		t.Fatalf("%s: part after the end", e.RequestID)
 	}
 	c.tokens += e.Tokens
 	c.text.WriteString(e.Text)
-	if !strings.HasPrefix(wholeOutput(), c.text.String()) {
-		t.Fatalf("%s: output %q", e.RequestID, c.text.String())
+	if !strings.HasPrefix(completeOutput(), c.text.String()) {
+		t.Fatalf("%s: unexpected output %q", e.RequestID, c.text.String())
 	}
 }
 
@@ -155,40 +157,40 @@
 	}
 	w.checkNotRun(id, e, t)
 	if end, whole := e.(AnswerEnd); whole {
-		if end.Tokens != worldTokens || c.text.String() != wholeOutput() {
+		if end.Tokens != worldTokens || c.text.String() != completeOutput() {
 			t.Fatalf("%s: ended with %q", id, c.text.String())
 		}
 	}
 }
 
-// checkNotRun holds that "not run" is true, and that the record says so if the
-// entry knows of one.
+// checkNotRun checks that a reported "not run" is true, and that the record
+// says so if the entry knows the record.
 func (w *world) checkNotRun(id string, e Effect, t *rapid.T) {
 	p, isProblem := e.(AnswerProblem)
 	if !isProblem || p.Problem.Ran != oriolebend.RanNo {
 		return
 	}
 	if w.ran[id] || w.executions[id] > 0 {
-		t.Fatalf("%s: told %s not run, and it ran", id, p.Problem.Reason)
+		t.Fatalf("%s: reported as not run (%s), but it ran", id, p.Problem.Reason)
 	}
-	if r := w.runBy(id); r != nil && r.told && r.state != message.RecordNotRun {
-		t.Fatalf("%s: told not run, and its record says %s", id, r.state)
+	if r := w.recordOwnedBy(id); r != nil && r.ownerNotified && r.state != message.RecordNotRun {
+		t.Fatalf("%s: reported as not run, but its record is %s", id, r.state)
 	}
 }
 
-// runBy is the record that a request's claim owns, if any.
-func (w *world) runBy(id string) *fakeRecord {
-	if r := w.records[w.callers[id].request.Scope]; r != nil && r.runs == id {
+// recordOwnedBy returns the record that a request's claim owns, if any.
+func (w *world) recordOwnedBy(id string) *fakeRecord {
+	if r := w.records[w.callers[id].request.Scope]; r != nil && r.ownerID == id {
 		return r
 	}
 	return nil
 }
 
-// claim answers as the control VMs do; sometimes no quorum does.
+// claim answers as the control VMs do; sometimes without a quorum.
 func (w *world) claim(c message.Claim, t *rapid.T) {
 	e := Claimed{At: w.now, RequestID: c.RequestID}
-	lost := w.draw("ok", "ok", "ok", "away", "doneAway")
-	if lost != "away" {
+	lost := w.draw("ok", "ok", "ok", "noQuorum", "doneNoQuorum")
+	if lost != "noQuorum" {
 		e.Answer = w.claimRecord(c)
 	}
 	if lost != "ok" {
@@ -200,19 +202,19 @@
 func (w *world) claimRecord(c message.Claim) message.ClaimAnswer {
 	r := w.records[c.Scope]
 	if r == nil {
-		r = &fakeRecord{id: c.RequestID, runs: c.RequestID, state: message.RecordClaimed, attempt: 1}
+		r = &fakeRecord{id: c.RequestID, ownerID: c.RequestID, state: message.RecordClaimed, attempt: 1}
 		w.records[c.Scope] = r
-		w.owners[c.RequestID] = r
+		w.recordsByID[c.RequestID] = r
 	}
-	if r.runs != c.RequestID && (r.state == message.RecordNotRun || r.reopens) {
-		r.runs, r.state, r.told, r.reopens = c.RequestID, message.RecordClaimed, false, false
+	if r.ownerID != c.RequestID && (r.state == message.RecordNotRun || r.reopens) {
+		r.ownerID, r.state, r.ownerNotified, r.reopens = c.RequestID, message.RecordClaimed, false, false
 		r.attempt = (r.attempt/4096+1)*4096 + 1
 	}
 	a := message.ClaimAnswer{RequestID: r.id, State: r.state, Attempt: r.attempt, Outcome: message.ClaimReplay}
 	switch {
 	case r.state == message.RecordUnknown:
 		a.Outcome = message.ClaimUnknown
-	case r.runs == c.RequestID && r.state == message.RecordClaimed:
+	case r.ownerID == c.RequestID && r.state == message.RecordClaimed:
 		a.Outcome = message.ClaimOwned
 	case r.state == message.RecordClaimed || r.state == message.RecordRunning:
 		a.Outcome = message.ClaimAttach
@@ -224,8 +226,8 @@
 
 func (w *world) settle(m message.Settle, t *rapid.T) {
 	e := Settled{At: w.now, RequestID: m.RequestID, Attempt: m.Attempt, State: m.State}
-	lost := w.draw("ok", "ok", "ok", "away", "doneAway")
-	if lost != "away" {
+	lost := w.draw("ok", "ok", "ok", "noQuorum", "doneNoQuorum")
+	if lost != "noQuorum" {
 		e.Accepted, e.State = w.settleRecord(m)
 	}
 	if lost != "ok" {
@@ -235,8 +237,8 @@
 }
 
 func (w *world) settleRecord(m message.Settle) (bool, message.RecordState) {
-	r := w.owners[m.RequestID]
-	once := w.callers[r.runs].request.Once
+	r := w.recordsByID[m.RequestID]
+	once := w.callers[r.ownerID].request.Once
 	switch {
 	case r.state == m.State && r.attempt == m.Attempt:
 		return true, r.state
@@ -258,11 +260,11 @@
 		w.status(e, t)
 		return
 	}
-	if w.gates[e.Session] != nil {
+	if w.sessions[e.Session] != nil {
 		t.Fatalf("session %s opened twice", printKey(e.Session))
 	}
 	g := &fakeSession{key: e.Session}
-	w.gates[e.Session] = g
+	w.sessions[e.Session] = g
 	offer := message.Offer{Attempt: e.Session.Attempt, Took: 50 * time.Millisecond, LeaseFor: 3 * time.Second}
 	switch w.draw("grant", "grant", "grant", "grant", "wait", "wait", "refuse", "lost", "silent") {
 	case "grant":
@@ -291,53 +293,54 @@
 	w.reply(g, message.Refusal{Attempt: g.key.Attempt, Reason: reason, Ran: ran}, t)
 }
 
-func (w *world) lose(g *fakeSession) {
+func (w *world) loseSession(g *fakeSession) {
 	g.closed = true
 	w.events = append(w.events, SessionLost{At: w.now, Session: g.key, Opened: true})
 }
 
 func (w *world) send(e Send, t *rapid.T) {
-	g := w.gates[e.Session]
+	g := w.sessions[e.Session]
 	if g == nil {
-		t.Fatalf("message on a session that was never opened: %s", printKey(e.Session))
+		t.Fatalf("message on session %s, which was never opened", printKey(e.Session))
 	}
 	switch m := e.Message.(type) {
 	case message.Prefill:
-		w.sendable(g, t)
+		w.checkGranted(g, t)
 		g.prefill = true
 	case message.Decode:
-		w.sendable(g, t)
+		w.checkGranted(g, t)
 		g.decode = &m
 	case message.Call:
-		w.sendable(g, t)
-		w.called(g, m, t)
+		w.checkGranted(g, t)
+		w.handleCall(g, m, t)
 	case message.Release:
 		g.closed = true
 	}
 }
 
-func (w *world) sendable(g *fakeSession, t *rapid.T) {
+func (w *world) checkGranted(g *fakeSession, t *rapid.T) {
 	if !g.granted {
-		t.Fatalf("work sent without a grant: %s", printKey(g.key))
+		t.Fatalf("work sent without a grant on session %s", printKey(g.key))
 	}
 }
 
-func (w *world) called(g *fakeSession, m message.Call, t *rapid.T) {
-	r := w.owners[g.key.Attempt.RequestID]
-	once := w.callers[r.runs].request.Once
+func (w *world) handleCall(g *fakeSession, m message.Call, t *rapid.T) {
+	r := w.recordsByID[g.key.Attempt.RequestID]
+	once := w.callers[r.ownerID].request.Once
 	if once && (r.state != message.RecordRunning || r.attempt > g.key.Attempt.Number) {
-		t.Fatalf("%s: call sent while its record says %s", printKey(g.key), r.state)
+		t.Fatalf("%s: call sent while its record is %s", printKey(g.key), r.state)
 	}
-	g.called = &m
+	g.pendingCall = &m
 }
 
-// status closes the attempt at its gate and asks the service for its outcome.
+// status closes the attempt at its gate and queries the service for its
+// outcome.
 func (w *world) status(e OpenSession, t *rapid.T) {
-	if old := w.gates[e.Session]; old != nil {
-		old.closed, old.called = true, nil
+	if old := w.sessions[e.Session]; old != nil {
+		old.closed, old.pendingCall = true, nil
 	}
 	g := &fakeSession{key: e.Session}
-	w.gates[e.Session] = g
+	w.sessions[e.Session] = g
 	a := message.CallAnswer{Attempt: e.Session.Attempt, Status: 404}
 	if w.executions[e.Status.Identity] > 0 {
 		a.Status = 200
@@ -348,17 +351,17 @@
 	case "busy":
 		w.refuse(g, oriolebend.ReasonAttemptUsed, oriolebend.RanUnknown, t)
 	default:
-		w.lose(g)
+		w.loseSession(g)
 	}
 }
 
-// work lets one gate go on with what it was given.
+// work advances the work that one gate received.
 func (w *world) work(g *fakeSession, t *rapid.T) {
 	if g.closed {
 		return
 	}
 	switch {
-	case g.called != nil:
+	case g.pendingCall != nil:
 		w.workCall(g, t)
 	case g.decode != nil:
 		w.workDecode(g, t)
@@ -369,7 +372,7 @@
 }
 
 func (w *world) workPrefill(g *fakeSession, t *rapid.T) {
-	w.ran[w.owners[g.key.Attempt.RequestID].runs] = true
+	w.ran[w.recordsByID[g.key.Attempt.RequestID].ownerID] = true
 	switch w.draw("ok", "ok", "ok", "fail", "lost") {
 	case "ok":
 		w.reply(g, message.Prefilled{
@@ -378,7 +381,7 @@
 	case "fail":
 		w.refuse(g, oriolebend.ReasonEngineFailed, oriolebend.RanUnknown, t)
 	default:
-		w.lose(g)
+		w.loseSession(g)
 	}
 }
 
@@ -389,7 +392,7 @@
 		w.refuse(g, oriolebend.ReasonTransferStalled, oriolebend.RanUnknown, t)
 		return
 	case "lost":
-		w.lose(g)
+		w.loseSession(g)
 		return
 	case "skip":
 		return
@@ -414,8 +417,8 @@
 }
 
 func (w *world) workCall(g *fakeSession, t *rapid.T) {
-	call := g.called
-	g.called = nil
+	call := g.pendingCall
+	g.pendingCall = nil
 	switch w.draw("ok", "ok", "refused", "lostBefore", "lostAfter") {
 	case "ok":
 		w.execute(g, call, t)
@@ -423,69 +426,70 @@
 	case "refused":
 		w.refuse(g, oriolebend.ReasonLeaving, oriolebend.RanNo, t)
 	case "lostBefore":
-		w.lose(g)
+		w.loseSession(g)
 	default:
 		w.execute(g, call, t)
-		w.lose(g)
+		w.loseSession(g)
 	}
 }
 
-// execute runs a call at the service: twice is a fault, and so is a call
-// whose caller was told that it did not run.
+// execute runs a call at the service. It fails the test if the call already
+// ran, or if its caller received "not run".
 func (w *world) execute(g *fakeSession, call *message.Call, t *rapid.T) {
 	w.executions[call.Identity]++
-	c := w.callers[w.owners[g.key.Attempt.RequestID].runs]
+	c := w.callers[w.recordsByID[g.key.Attempt.RequestID].ownerID]
 	if c.request.Once && w.executions[call.Identity] > 1 {
 		t.Fatalf("%s: executed twice", call.Identity)
 	}
 	for _, e := range c.ends {
 		if p, isProblem := e.(AnswerProblem); isProblem && p.Problem.Ran == oriolebend.RanNo {
-			t.Fatalf("%s: executed after not run", call.Identity)
+			t.Fatalf("%s: executed after it was reported as not run", call.Identity)
 		}
 	}
 }
 
-// draw picks what happens; the first way is the good one, which is what
-// always happens once the world is calm.
-func (w *world) draw(ways ...string) string {
-	if w.calm {
-		return ways[0]
+// draw picks one of the choices. The first choice is the one without a fault,
+// and it is always picked once noFaults is set.
+func (w *world) draw(choices ...string) string {
+	if w.noFaults {
+		return choices[0]
 	}
-	return ways[w.rng.IntN(len(ways))]
+	return choices[w.rng.IntN(len(choices))]
 }
 
-func (w *world) number(most int) int {
-	if w.calm {
-		return most
+func (w *world) number(largest int) int {
+	if w.noFaults {
+		return largest
 	}
-	return w.rng.IntN(most + 1)
+	return w.rng.IntN(largest + 1)
 }
 
-// deliver hands over one waiting event. Events of other sessions may be taken
-// before it; output parts of the same session as well.
+// deliver delivers one waiting event. Events of other sessions may overtake it,
+// and output parts may overtake events of their own session.
 func (w *world) deliver(i int, t *rapid.T) {
 	e := w.events[i]
-	if !overtakes(e) {
-		i = slices.IndexFunc(w.events, func(other Event) bool { return stream(other) == stream(e) })
+	if !mayOvertake(e) {
+		i = slices.IndexFunc(w.events, func(other Event) bool { return orderKey(other) == orderKey(e) })
 		e = w.events[i]
 	}
 	w.events = slices.Delete(w.events, i, i+1)
-	w.noteTold(e)
+	w.noteOwnerNotified(e)
 	w.reduce(at(e, w.now), t)
 }
 
-// noteTold notes that the entry learned of its claim while it had the request.
-func (w *world) noteTold(e Event) {
+// noteOwnerNotified records that the entry received the answer to its claim
+// while it still had the request.
+func (w *world) noteOwnerNotified(e Event) {
 	c, claimed := e.(Claimed)
 	if !claimed || c.Problem != nil || c.Answer.Outcome != message.ClaimOwned {
 		return
 	}
 	if w.state.requests[c.RequestID] != nil {
-		w.owners[c.Answer.RequestID].told = true
+		w.recordsByID[c.Answer.RequestID].ownerNotified = true
 	}
 }
 
-func overtakes(e Event) bool {
+func mayOvertake(e Event) bool {
 	r, received := e.(Received)
 	if !received {
 		return false
@@ -494,8 +498,8 @@
 	return part
 }
 
-// stream names what keeps its order.
-func stream(e Event) string {
+// orderKey returns a key for the events that are delivered in order.
+func orderKey(e Event) string {
 	switch e := e.(type) {
 	case Received:
 		return printKey(e.Session)
@@ -531,7 +535,7 @@
 
 func (w *world) openSessions() []*fakeSession {
 	var open []*fakeSession
-	for _, g := range w.gates {
+	for _, g := range w.sessions {
 		if !g.closed {
 			open = append(open, g)
 		}
@@ -545,9 +549,9 @@
 	w.reduce(Ticked{At: w.now}, t)
 }
 
-// settleDown lets everything go well until nothing is left to do.
-func (w *world) settleDown(t *rapid.T) {
-	w.calm = true
+// runToEnd runs without faults until nothing is left to do.
+func (w *world) runToEnd(t *rapid.T) {
+	w.noFaults = true
 	for range 2000 {
 		for len(w.events) > 0 {
 			w.deliver(0, t)
