--- a/internal/reducer/entry/config.go
+++ b/internal/reducer/entry/config.go
@@ -93,7 +93,7 @@
 	// SettleEvery is the pause between two tries to settle a record, and
 	// SettleSilence the timeout of one try; zero means 1s and 6s.
 	SettleEvery   time.Duration
-	SettleSilence time.Duration
+	SettleTimeout time.Duration
 	// SettleFor is how long the entry tries to settle a record; zero means 1m.
 	SettleFor time.Duration
 	// StatusWithin is how long the entry queries the outcome of a lost call;
@@ -145,7 +145,7 @@
 	c.CallWithin = cmp.Or(c.CallWithin, 30*time.Second)
 	c.SettleWithin = cmp.Or(c.SettleWithin, 2*time.Second)
 	c.SettleEvery = cmp.Or(c.SettleEvery, time.Second)
-	c.SettleSilence = cmp.Or(c.SettleSilence, 6*time.Second)
+	c.SettleTimeout = cmp.Or(c.SettleTimeout, 6*time.Second)
 	c.SettleFor = cmp.Or(c.SettleFor, time.Minute)
 	c.StatusWithin = cmp.Or(c.StatusWithin, 2*time.Second)
 	c.StatusEvery = cmp.Or(c.StatusEvery, 100*time.Millisecond)
--- a/internal/reducer/entry/settle.go
+++ b/internal/reducer/entry/settle.go
@@ -83,7 +83,7 @@
 	}
 	r.outcome.tries++
 	s.emit(AskSettle{Settle: *r.outcome.settle})
-	s.setAlarm(r, alarmSettle, s.config.SettleSilence)
+	s.setAlarm(r, alarmSettle, s.config.SettleTimeout)
 }
 
 // abandonSettlement stops settling a record after SettleFor. The component that
