--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -145,7 +145,7 @@
 		}
 		e.state = entry.New(entry.Config{
 			Name: e.name, FailureDomain: e.domain, Seed: seed + uint64(i), Route: v.Route,
-			Probes: v.Probes, DecodeProbes: v.DecodeProbes, AskAtOnce: v.AskAtOnce, AdmitAll: v.AdmitAll,
+			Probes: v.Probes, DecodeProbes: v.DecodeProbes, ProbeInParallel: v.AskAtOnce, AdmitAll: v.AdmitAll,
 		})
 		w.entries = append(w.entries, e)
 		w.toEntry(e, entry.ServersChanged{At: w.clock.now, Servers: servers, Whole: true})
--- a/internal/reducer/entry/config.go
+++ b/internal/reducer/entry/config.go
@@ -29,10 +29,10 @@
 	// DecodeProbes is the largest number of decode gates that are probed; zero
 	// means 2.
 	DecodeProbes int
-	// AskAtOnce probes all candidates at the same time. If it is false, the
+	// ProbeInParallel probes all candidates at the same time. If it is false, the
 	// next candidate is probed only if the one before can't serve at once or
 	// does not answer.
-	AskAtOnce bool
+	ProbeInParallel bool
 	// FirstWithin is the target of the time to the first token for requests
 	// that carry none; zero means 1.2s.
 	FirstWithin time.Duration
--- a/internal/reducer/entry/reserve.go
+++ b/internal/reducer/entry/reserve.go
@@ -99,7 +99,7 @@
 		reserve: reserve,
 	}
 	s.probeNext(r, g)
-	for len(g.untried) > 0 && (s.config.AskAtOnce || !reserve.Hold) {
+	for len(g.untried) > 0 && (s.config.ProbeInParallel || !reserve.Hold) {
 		s.probeNext(r, g)
 	}
 	return g
@@ -194,7 +194,7 @@
 	p.offer = &m
 	p.server.queued, p.server.queuedAt = m.Queued, s.now
 	switch {
-	case m.Granted && !s.config.AskAtOnce && (len(g.untried) == 0 || !p.linkBusy()):
+	case m.Granted && !s.config.ProbeInParallel && (len(g.untried) == 0 || !p.linkBusy()):
 		s.chooseOffer(p.request, g)
 	case len(g.untried) > 0 && (p.linkBusy() || m.StartIn > minWaitToProbe):
 		s.probeNext(p.request, g)
--- a/internal/reducer/entry/script_test.go
+++ b/internal/reducer/entry/script_test.go
@@ -57,7 +57,7 @@
 			c.Probes, _ = strconv.Atoi(value)
 			c.DecodeProbes = c.Probes
 		case "atOnce":
-			c.AskAtOnce = true
+			c.ProbeInParallel = true
 		case "waiting":
 			c.MaxWaiting, _ = strconv.Atoi(value)
 		case "requests":
