--- a/internal/reducer/entry/event.go
+++ b/internal/reducer/entry/event.go
@@ -63,9 +63,9 @@
 	Request Request
 }
 
-// CallerGone reports that the last caller that followed a request left before
+// CallerLeft reports that the last caller that followed a request left before
 // the end of its answer.
-type CallerGone struct {
+type CallerLeft struct {
 	At        time.Time
 	RequestID string
 }
@@ -122,7 +122,7 @@
 type Ticked struct{ At time.Time }
 
 func (e Arrived) when() time.Time        { return e.At }
-func (e CallerGone) when() time.Time     { return e.At }
+func (e CallerLeft) when() time.Time     { return e.At }
 func (e Claimed) when() time.Time        { return e.At }
 func (e Settled) when() time.Time        { return e.At }
 func (e Received) when() time.Time       { return e.At }
--- a/internal/reducer/entry/property_test.go
+++ b/internal/reducer/entry/property_test.go
@@ -112,7 +112,7 @@
 	}
 	id := fmt.Sprintf("r%d", 1+w.number(w.next-1))
 	w.callers[id].left = true
-	w.reduce(CallerGone{At: w.now, RequestID: id}, t)
+	w.reduce(CallerLeft{At: w.now, RequestID: id}, t)
 }
 
 // restartAny loses every session of one server.
--- a/internal/reducer/entry/reduce.go
+++ b/internal/reducer/entry/reduce.go
@@ -25,7 +25,7 @@
 	switch e := e.(type) {
 	case Arrived:
 		s.handleArrived(e.Request)
-	case CallerGone:
+	case CallerLeft:
 		s.handleCallerLeft(e.RequestID)
 	case Claimed:
 		s.handleClaimed(e)
--- a/internal/reducer/entry/script_test.go
+++ b/internal/reducer/entry/script_test.go
@@ -182,7 +182,7 @@
 	case "arrive":
 		return Arrived{At: w.now, Request: w.request(a)}
 	case "callerLeft":
-		return CallerGone{At: w.now, RequestID: a.at(0)}
+		return CallerLeft{At: w.now, RequestID: a.at(0)}
 	case "stop":
 		return Stopping{At: w.now}
 	case "claimed":
--- a/internal/reducer/once/once_test.go
+++ b/internal/reducer/once/once_test.go
@@ -119,7 +119,7 @@
 	id := ids[f.draw("caller", len(ids))]
 	p := f.alive[id]
 	delete(f.alive, id)
-	f.entry(p, entry.CallerGone{At: f.now, RequestID: id})
+	f.entry(p, entry.CallerLeft{At: f.now, RequestID: id})
 }
 
 func (f *fleet) cutAny() {
--- a/internal/role/entryfollow.go
+++ b/internal/role/entryfollow.go
@@ -156,7 +156,7 @@
 	log.join()
 	whole := readLog(ctx, log, put)
 	if log.leave() && !whole {
-		e.loop.Post(entry.CallerGone{At: time.Now(), RequestID: log.id()})
+		e.loop.Post(entry.CallerLeft{At: time.Now(), RequestID: log.id()})
 		e.forget(log.id(), log)
 	}
 	return whole
