--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -240,7 +240,7 @@
 
 func (w *world) performEntry(e *entryNode, effect entry.Effect) {
 	switch f := effect.(type) {
-	case entry.AskClaim:
+	case entry.SendClaim:
 		w.clock.after(time.Duration(w.scenario.RecordDelay), func() {
 			answer := message.ClaimAnswer{Outcome: message.ClaimOwned, RequestID: f.Claim.RequestID, Attempt: 1}
 			w.toEntry(e, entry.Claimed{At: w.clock.now, RequestID: f.Claim.RequestID, Answer: answer})
--- a/internal/reducer/entry/bench_test.go
+++ b/internal/reducer/entry/bench_test.go
@@ -102,7 +102,7 @@
 
 func (d *driver) perform(e Effect) {
 	switch e := e.(type) {
-	case AskClaim:
+	case SendClaim:
 		d.add(Claimed{At: d.now, RequestID: e.Claim.RequestID, Answer: message.ClaimAnswer{Outcome: message.ClaimOwned}})
 	case AskSettle:
 		d.add(Settled{At: d.now, RequestID: e.Settle.RequestID, Attempt: e.Settle.Attempt, State: e.Settle.State, Accepted: true})
--- a/internal/reducer/entry/claim.go
+++ b/internal/reducer/entry/claim.go
@@ -25,7 +25,7 @@
 			Identity: r.Call.Identity,
 		}
 	}
-	s.emit(AskClaim{Claim: c})
+	s.emit(SendClaim{Claim: c})
 	s.setAlarm(r, alarmClaim, s.config.ClaimWithin)
 }
 
--- a/internal/reducer/entry/effect.go
+++ b/internal/reducer/entry/effect.go
@@ -9,8 +9,8 @@
 // in order, and none of them blocks the reducer.
 type Effect interface{ entryEffect() }
 
-// AskClaim sends a claim to the control VMs; Claimed follows.
-type AskClaim struct{ Claim message.Claim }
+// SendClaim sends a claim to the control VMs; Claimed follows.
+type SendClaim struct{ Claim message.Claim }
 
 // AskSettle sends the next state of a record to the control VMs; Settled
 // follows.
@@ -101,7 +101,7 @@
 // Drained reports that a stopping entry has no request left.
 type Drained struct{}
 
-func (AskClaim) entryEffect()      {}
+func (SendClaim) entryEffect()     {}
 func (AskSettle) entryEffect()     {}
 func (OpenSession) entryEffect()   {}
 func (Send) entryEffect()          {}
--- a/internal/reducer/entry/retry_storm_test.go
+++ b/internal/reducer/entry/retry_storm_test.go
@@ -34,7 +34,7 @@
 
 func (s *simulation) perform(e Effect) {
 	switch e := e.(type) {
-	case AskClaim:
+	case SendClaim:
 		s.queue = append(s.queue, Claimed{
 			At: s.now, RequestID: e.Claim.RequestID,
 			Answer: message.ClaimAnswer{Outcome: message.ClaimOwned},
--- a/internal/reducer/entry/script_test.go
+++ b/internal/reducer/entry/script_test.go
@@ -321,7 +321,7 @@
 // printEffect prints an effect that scripts check; measurements are left out.
 func printEffect(e Effect) string {
 	switch e := e.(type) {
-	case AskClaim:
+	case SendClaim:
 		return "claim " + e.Claim.RequestID
 	case AskSettle:
 		return "settle " + e.Settle.RequestID + " " + printSettle(e.Settle)
--- a/internal/reducer/entry/world_test.go
+++ b/internal/reducer/entry/world_test.go
@@ -105,7 +105,7 @@
 
 func (w *world) perform(e Effect, t *rapid.T) {
 	switch e := e.(type) {
-	case AskClaim:
+	case SendClaim:
 		w.claim(e.Claim, t)
 	case AskSettle:
 		w.settle(e.Settle, t)
--- a/internal/reducer/fleet/fleet_test.go
+++ b/internal/reducer/fleet/fleet_test.go
@@ -211,7 +211,7 @@
 func (e *simEntry) perform(effect entry.Effect) {
 	f := e.fleet
 	switch x := effect.(type) {
-	case entry.AskClaim:
+	case entry.SendClaim:
 		f.after(recordDelay, func() {
 			e.reduce(entry.Claimed{At: f.now, RequestID: x.Claim.RequestID, Answer: message.ClaimAnswer{
 				Outcome: message.ClaimOwned, RequestID: x.Claim.RequestID, Attempt: 1,
--- a/internal/reducer/once/fleet_test.go
+++ b/internal/reducer/once/fleet_test.go
@@ -126,7 +126,7 @@
 	}
 	for _, effect := range entry.Reduce(p.state, e) {
 		switch x := effect.(type) {
-		case entry.AskClaim:
+		case entry.SendClaim:
 			f.commands = append(f.commands, command{p: p, command: record.Command{Claim: []message.Claim{x.Claim}}})
 		case entry.AskSettle:
 			f.commands = append(f.commands, command{p: p, command: record.Command{Settle: []message.Settle{x.Settle}}})
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -247,7 +247,7 @@
 // performEntry carries an effect towards control VMs and gates out.
 func (e *Entry) performEntry(effect entry.Effect) {
 	switch f := effect.(type) {
-	case entry.AskClaim:
+	case entry.SendClaim:
 		go e.claim(f.Claim)
 	case entry.AskSettle:
 		go e.settle(f.Settle)
