--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -245,7 +245,7 @@
 			answer := message.ClaimAnswer{Outcome: message.ClaimOwned, RequestID: f.Claim.RequestID, Attempt: 1}
 			w.toEntry(e, entry.Claimed{At: w.clock.now, RequestID: f.Claim.RequestID, Answer: answer})
 		})
-	case entry.AskSettle:
+	case entry.SendSettle:
 		w.clock.after(time.Duration(w.scenario.RecordDelay), func() {
 			w.toEntry(e, entry.Settled{
 				At: w.clock.now, RequestID: f.Settle.RequestID, Attempt: f.Settle.Attempt, State: f.Settle.State, Accepted: true,
--- a/internal/reducer/entry/bench_test.go
+++ b/internal/reducer/entry/bench_test.go
@@ -104,7 +104,7 @@
 	switch e := e.(type) {
 	case SendClaim:
 		d.add(Claimed{At: d.now, RequestID: e.Claim.RequestID, Answer: message.ClaimAnswer{Outcome: message.ClaimOwned}})
-	case AskSettle:
+	case SendSettle:
 		d.add(Settled{At: d.now, RequestID: e.Settle.RequestID, Attempt: e.Settle.Attempt, State: e.Settle.State, Accepted: true})
 	case OpenSession:
 		offer := message.Offer{Attempt: e.Session.Attempt, Granted: true, LeaseFor: 3 * time.Second}
--- a/internal/reducer/entry/effect.go
+++ b/internal/reducer/entry/effect.go
@@ -12,9 +12,9 @@
 // SendClaim sends a claim to the control VMs; Claimed follows.
 type SendClaim struct{ Claim message.Claim }
 
-// AskSettle sends the next state of a record to the control VMs; Settled
+// SendSettle sends the next state of a record to the control VMs; Settled
 // follows.
-type AskSettle struct{ Settle message.Settle }
+type SendSettle struct{ Settle message.Settle }
 
 // OpenSession opens a session with a gate and sends the reservation, or the
 // status query instead if Status is set.
@@ -102,7 +102,7 @@
 type Drained struct{}
 
 func (SendClaim) entryEffect()     {}
-func (AskSettle) entryEffect()     {}
+func (SendSettle) entryEffect()    {}
 func (OpenSession) entryEffect()   {}
 func (Send) entryEffect()          {}
 func (CloseSession) entryEffect()  {}
--- a/internal/reducer/entry/retry_storm_test.go
+++ b/internal/reducer/entry/retry_storm_test.go
@@ -39,7 +39,7 @@
 			At: s.now, RequestID: e.Claim.RequestID,
 			Answer: message.ClaimAnswer{Outcome: message.ClaimOwned},
 		})
-	case AskSettle:
+	case SendSettle:
 		s.queue = append(s.queue, Settled{
 			At: s.now, RequestID: e.Settle.RequestID, Attempt: e.Settle.Attempt, State: e.Settle.State, Accepted: true,
 		})
--- a/internal/reducer/entry/script_test.go
+++ b/internal/reducer/entry/script_test.go
@@ -323,7 +323,7 @@
 	switch e := e.(type) {
 	case SendClaim:
 		return "claim " + e.Claim.RequestID
-	case AskSettle:
+	case SendSettle:
 		return "settle " + e.Settle.RequestID + " " + printSettle(e.Settle)
 	case OpenSession:
 		return "open " + printKey(e.Session) + printOpen(e)
--- a/internal/reducer/entry/settle.go
+++ b/internal/reducer/entry/settle.go
@@ -82,7 +82,7 @@
 		return
 	}
 	r.outcome.tries++
-	s.emit(AskSettle{Settle: *r.outcome.settle})
+	s.emit(SendSettle{Settle: *r.outcome.settle})
 	s.setAlarm(r, alarmSettle, s.config.SettleTimeout)
 }
 
--- a/internal/reducer/entry/world_test.go
+++ b/internal/reducer/entry/world_test.go
@@ -107,7 +107,7 @@
 	switch e := e.(type) {
 	case SendClaim:
 		w.claim(e.Claim, t)
-	case AskSettle:
+	case SendSettle:
 		w.settle(e.Settle, t)
 	case OpenSession:
 		w.open(e, t)
--- a/internal/reducer/fleet/fleet_test.go
+++ b/internal/reducer/fleet/fleet_test.go
@@ -217,7 +217,7 @@
 				Outcome: message.ClaimOwned, RequestID: x.Claim.RequestID, Attempt: 1,
 			}})
 		})
-	case entry.AskSettle:
+	case entry.SendSettle:
 		f.after(recordDelay, func() {
 			e.reduce(entry.Settled{
 				At: f.now, RequestID: x.Settle.RequestID, Attempt: x.Settle.Attempt,
--- a/internal/reducer/once/fleet_test.go
+++ b/internal/reducer/once/fleet_test.go
@@ -128,7 +128,7 @@
 		switch x := effect.(type) {
 		case entry.SendClaim:
 			f.commands = append(f.commands, command{p: p, command: record.Command{Claim: []message.Claim{x.Claim}}})
-		case entry.AskSettle:
+		case entry.SendSettle:
 			f.commands = append(f.commands, command{p: p, command: record.Command{Settle: []message.Settle{x.Settle}}})
 			if x.Settle.State != message.RecordRunning {
 				delete(p.held, x.Settle.RequestID)
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -249,7 +249,7 @@
 	switch f := effect.(type) {
 	case entry.SendClaim:
 		go e.claim(f.Claim)
-	case entry.AskSettle:
+	case entry.SendSettle:
 		go e.settle(f.Settle)
 	case entry.OpenSession:
 		e.open(f)
