--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -148,7 +148,7 @@
 			Probes: v.Probes, DecodeProbes: v.DecodeProbes, ProbeInParallel: v.AskAtOnce, AdmitAll: v.AdmitAll,
 		})
 		w.entries = append(w.entries, e)
-		w.toEntry(e, entry.ServersChanged{At: w.clock.now, Servers: servers, Whole: true})
+		w.toEntry(e, entry.ServersChanged{At: w.clock.now, Servers: servers, Complete: true})
 		w.every(entry.TickEvery, func() { w.toEntry(e, entry.Ticked{At: w.clock.now}) })
 	}
 }
--- a/internal/reducer/entry/bench_test.go
+++ b/internal/reducer/entry/bench_test.go
@@ -48,7 +48,7 @@
 
 func fleetState(n int, route policy.Name) *State {
 	s := New(Config{Name: "entry-017", FailureDomain: "domain-1", Seed: 1, Route: route})
-	Reduce(s, ServersChanged{At: scriptStart, Whole: true, Servers: fleet(n)})
+	Reduce(s, ServersChanged{At: scriptStart, Complete: true, Servers: fleet(n)})
 	return s
 }
 
--- a/internal/reducer/entry/event.go
+++ b/internal/reducer/entry/event.go
@@ -111,8 +111,8 @@
 type ServersChanged struct {
 	At      time.Time
 	Servers []oriolebend.Server
-	// Whole is true if Servers is the complete membership.
-	Whole bool
+	// Complete is true if Servers is the complete membership.
+	Complete bool
 }
 
 // Stopping reports that the entry was asked to stop gracefully.
--- a/internal/reducer/entry/retry_storm_test.go
+++ b/internal/reducer/entry/retry_storm_test.go
@@ -89,7 +89,7 @@
 
 func newSimulation(c Config) *simulation {
 	s := &simulation{state: New(c), now: scriptStart, problems: map[oriolebend.Reason]int{}}
-	s.reduce(ServersChanged{At: s.now, Whole: true, Servers: scriptServers("p1", "p2", "d1", "d2")})
+	s.reduce(ServersChanged{At: s.now, Complete: true, Servers: scriptServers("p1", "p2", "d1", "d2")})
 	return s
 }
 
--- a/internal/reducer/entry/script_test.go
+++ b/internal/reducer/entry/script_test.go
@@ -75,7 +75,7 @@
 	}
 	w.now = scriptStart
 	w.state = New(c)
-	Reduce(w.state, ServersChanged{At: w.now, Whole: true, Servers: scriptServers(names...)})
+	Reduce(w.state, ServersChanged{At: w.now, Complete: true, Servers: scriptServers(names...)})
 }
 
 func scriptServers(names ...string) []oriolebend.Server {
--- a/internal/reducer/entry/servers.go
+++ b/internal/reducer/entry/servers.go
@@ -113,7 +113,7 @@
 }
 
 func (s *State) handleServersChanged(e ServersChanged) {
-	if e.Whole {
+	if e.Complete {
 		s.removeServersExcept(e.Servers)
 	}
 	for _, v := range e.Servers {
--- a/internal/reducer/entry/world_test.go
+++ b/internal/reducer/entry/world_test.go
@@ -90,7 +90,7 @@
 		callers: map[string]*fakeCaller{}, executions: map[string]int{}, ran: map[string]bool{},
 	}
 	w.reduce(ServersChanged{
-		At: w.now, Whole: true,
+		At: w.now, Complete: true,
 		Servers: scriptServers("p1", "p2", "p3", "d1", "d2", "d3", "s1", "s2"),
 	}, nil)
 	return w
--- a/internal/reducer/fleet/fleet_test.go
+++ b/internal/reducer/fleet/fleet_test.go
@@ -109,7 +109,7 @@
 		c.Seed = seed + uint64(i)
 		e := &simEntry{fleet: f, name: c.Name, domain: c.FailureDomain, state: entry.New(c), sessions: map[entry.SessionKey]*simSession{}}
 		f.entries = append(f.entries, e)
-		e.reduce(entry.ServersChanged{At: f.now, Whole: true, Servers: f.servers()})
+		e.reduce(entry.ServersChanged{At: f.now, Complete: true, Servers: f.servers()})
 		f.every(entry.TickEvery, func() { e.reduce(entry.Ticked{At: f.now}) })
 	}
 	return f
--- a/internal/reducer/once/fleet_test.go
+++ b/internal/reducer/once/fleet_test.go
@@ -109,7 +109,7 @@
 			State: oriolebend.ServerServing, Incarnation: 1,
 		})
 	}
-	f.entry(p, entry.ServersChanged{At: f.now, Servers: servers, Whole: true})
+	f.entry(p, entry.ServersChanged{At: f.now, Servers: servers, Complete: true})
 	return p
 }
 
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -167,7 +167,7 @@
 		}
 	}
 	e.mu.Unlock()
-	e.loop.Post(entry.ServersChanged{At: time.Now(), Servers: servers, Whole: whole})
+	e.loop.Post(entry.ServersChanged{At: time.Now(), Servers: servers, Complete: whole})
 }
 
 // Models implements caller.Router.
