--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -258,7 +258,7 @@
 	case entry.CloseSession:
 		w.closeSession(e, f.Session)
 	case entry.Count:
-		w.counts[f.What+" "+string(f.Reason)]++
+		w.counts[f.Name+" "+string(f.Reason)]++
 	default:
 		w.performAnswer(effect)
 	}
--- a/internal/reducer/entry/decode.go
+++ b/internal/reducer/entry/decode.go
@@ -306,7 +306,7 @@
 func (s *State) handlePart(p *probe, m message.Part) {
 	r, g := p.request, p.round
 	if g != r.decode || g.sent.IsZero() || m.Attempt != p.key.Attempt {
-		s.emit(Count{What: "outdatedMessage"})
+		s.emit(Count{Name: "outdatedMessage"})
 		return
 	}
 	s.completeTransfer(r)
--- a/internal/reducer/entry/effect.go
+++ b/internal/reducer/entry/effect.go
@@ -83,7 +83,7 @@
 
 // Count adds one to a counter of refusals, retries or losses.
 type Count struct {
-	What         string
+	Name         string
 	Reason       oriolebend.Reason
 	Organisation string
 	// Attempt is the attempt that is counted, for logs; its number is zero
--- a/internal/reducer/entry/reduce.go
+++ b/internal/reducer/entry/reduce.go
@@ -55,7 +55,7 @@
 func (s *State) handleReceived(e Received) {
 	p := s.sessions[e.Session]
 	if p == nil {
-		s.emit(Count{What: "outdatedMessage"})
+		s.emit(Count{Name: "outdatedMessage"})
 		return
 	}
 	switch m := e.Message.(type) {
--- a/internal/reducer/entry/script_test.go
+++ b/internal/reducer/entry/script_test.go
@@ -345,7 +345,7 @@
 		return fmt.Sprintf("problem %s %s ran=%s after=%s",
 			e.RequestID, e.Problem.Reason, e.Problem.Ran, e.Problem.RetryAfter)
 	case Count:
-		return strings.TrimSpace("count " + e.What + " " + string(e.Reason))
+		return strings.TrimSpace("count " + e.Name + " " + string(e.Reason))
 	case Drained:
 		return "drained"
 	default:
--- a/internal/reducer/entry/state.go
+++ b/internal/reducer/entry/state.go
@@ -190,7 +190,7 @@
 
 func (s *State) count(what string, reason oriolebend.Reason, r *request) {
 	s.emit(Count{
-		What: what, Reason: reason, Organisation: r.Scope.Organisation,
+		Name: what, Reason: reason, Organisation: r.Scope.Organisation,
 		Attempt: message.Attempt{RequestID: r.ID, Number: r.attempt},
 	})
 }
--- a/internal/reducer/fleet/fleet_test.go
+++ b/internal/reducer/fleet/fleet_test.go
@@ -233,7 +233,7 @@
 	case entry.CloseSession:
 		e.close(x.Session)
 	case entry.Count:
-		f.counts[x.What+" "+string(x.Reason)]++
+		f.counts[x.Name+" "+string(x.Reason)]++
 	default:
 		e.answer(effect)
 	}
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -258,7 +258,7 @@
 	case entry.CloseSession:
 		e.closeSession(f.Session)
 	case entry.Count:
-		e.config.Observer.Count(f.What, f.Reason, f.Organisation)
+		e.config.Observer.Count(f.Name, f.Reason, f.Organisation)
 		e.log(f)
 	case entry.Observe:
 		e.config.Observer.Observe(f.What, f.Urgency, f.Value)
@@ -273,10 +273,10 @@
 // towards its caller.
 func (e *Entry) log(f entry.Count) {
 	level := slog.LevelDebug
-	if f.What == "retry" || f.What == "outcomeLost" {
+	if f.Name == "retry" || f.Name == "outcomeLost" {
 		level = slog.LevelInfo
 	}
-	e.config.Logger.Log(e.ctx, level, f.What, logging.Attempt(f.Attempt), logging.Reason(f.Reason))
+	e.config.Logger.Log(e.ctx, level, f.Name, logging.Attempt(f.Attempt), logging.Reason(f.Reason))
 }
 
 // performAnswer carries the effects towards callers out.
