--- a/internal/reducer/entry/effect.go
+++ b/internal/reducer/entry/effect.go
@@ -93,7 +93,7 @@
 
 // Observe records a measurement of one request, in seconds or as a ratio.
 type Observe struct {
-	What    string
+	Name    string
 	Urgency oriolebend.Urgency
 	Value   float64
 }
--- a/internal/reducer/entry/state.go
+++ b/internal/reducer/entry/state.go
@@ -196,7 +196,7 @@
 }
 
 func (s *State) observe(what string, r *request, value float64) {
-	s.emit(Observe{What: what, Urgency: r.Urgency, Value: value})
+	s.emit(Observe{Name: what, Urgency: r.Urgency, Value: value})
 }
 
 // removeRequest removes a request from the state and closes its sessions.
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -261,7 +261,7 @@
 		e.config.Observer.Count(f.Name, f.Reason, f.Organisation)
 		e.log(f)
 	case entry.Observe:
-		e.config.Observer.Observe(f.What, f.Urgency, f.Value)
+		e.config.Observer.Observe(f.Name, f.Urgency, f.Value)
 	case entry.Drained:
 		e.drainedOnce.Do(func() { close(e.drained) })
 	default:
