--- a/internal/reducer/entry/config.go
+++ b/internal/reducer/entry/config.go
@@ -91,7 +91,7 @@
 	// settled; zero means 2s.
 	SettleWithin time.Duration
 	// SettleEvery is the pause between two tries to settle a record, and
-	// SettleSilence the timeout of one try; zero means 1s and 6s.
+	// SettleTimeout the timeout of one try; zero means 1s and 6s.
 	SettleEvery   time.Duration
 	SettleTimeout time.Duration
 	// SettleFor is how long the entry tries to settle a record; zero means 1m.
--- a/internal/reducer/entry/settle.go
+++ b/internal/reducer/entry/settle.go
@@ -87,7 +87,7 @@
 }
 
 // abandonSettlement stops settling a record after SettleFor. The component that
-// carries out AskSettle keeps sending the last settlement until a quorum
+// carries out SendSettle keeps sending the last settlement until a quorum
 // accepts it.
 func (s *State) abandonSettlement(r *request) {
 	s.count("settleLost", oriolebend.ReasonControlAway, r)
--- a/internal/reducer/entry/state.go
+++ b/internal/reducer/entry/state.go
@@ -188,15 +188,15 @@
 
 func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
 
-func (s *State) count(what string, reason oriolebend.Reason, r *request) {
+func (s *State) count(name string, reason oriolebend.Reason, r *request) {
 	s.emit(Count{
-		Name: what, Reason: reason, Organisation: r.Scope.Organisation,
+		Name: name, Reason: reason, Organisation: r.Scope.Organisation,
 		Attempt: message.Attempt{RequestID: r.ID, Number: r.attempt},
 	})
 }
 
-func (s *State) observe(what string, r *request, value float64) {
-	s.emit(Observe{Name: what, Urgency: r.Urgency, Value: value})
+func (s *State) observe(name string, r *request, value float64) {
+	s.emit(Observe{Name: name, Urgency: r.Urgency, Value: value})
 }
 
 // removeRequest removes a request from the state and closes its sessions.
