--- a/internal/reducer/entry/config.go
+++ b/internal/reducer/entry/config.go
@@ -123,7 +123,7 @@
 	Burst float64
 }
 
-func (c Config) filled() Config {
+func (c Config) withDefaults() Config {
 	c.Owner = cmp.Or(c.Owner, c.Name)
 	c.Route = cmp.Or(c.Route, policy.Reserve)
 	c.Probes = cmp.Or(c.Probes, 2)
--- a/internal/reducer/entry/predict_test.go
+++ b/internal/reducer/entry/predict_test.go
@@ -24,7 +24,7 @@
 		at = at.Add(time.Second)
 		old.lane.served.add(at)
 	}
-	is.Equal(old.lane.admissionDelay(old, at.Add(time.Minute)), time.Duration(0)) // no request waits
+	is.Equal(old.lane.admissionDelay(old, at.Add(time.Minute)), time.Duration(0)) // the rate is low, but no request waits
 	old.unstarted = old.lane.patient.PushBack(old)
 	is.Equal(old.lane.admissionDelay(old, at), time.Duration(0))
 	for range 30 { // at one a second, 30 requests take half a minute
--- a/internal/reducer/entry/script_test.go
+++ b/internal/reducer/entry/script_test.go
@@ -154,18 +154,18 @@
 	return false
 }
 
-func (w words) number(name string, otherwise int) int {
+func (w words) number(name string, fallback int) int {
 	n, err := strconv.Atoi(w.named[name])
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return n
 }
 
-func (w words) duration(name string, otherwise time.Duration) time.Duration {
+func (w words) duration(name string, fallback time.Duration) time.Duration {
 	d, err := time.ParseDuration(w.named[name])
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return d
 }
--- a/internal/reducer/entry/state.go
+++ b/internal/reducer/entry/state.go
@@ -48,7 +48,7 @@
 
 // New returns the state of an entry that has no servers yet.
 func New(c Config) *State {
-	c = c.filled()
+	c = c.withDefaults()
 	return &State{
 		config:   c,
 		rng:      rand.New(rand.NewPCG(c.Seed, 0x6f72696f6c65)),
--- a/internal/reducer/entry/world_test.go
+++ b/internal/reducer/entry/world_test.go
@@ -71,8 +71,8 @@
 
 const worldTokens = 6
 
-// completeOutput returns what every engine generates for a prompt.
-func completeOutput() string { return outputFrom(0, worldTokens) }
+// fullOutput returns what every engine generates for a prompt.
+func fullOutput() string { return outputFrom(0, worldTokens) }
 
 func outputFrom(offset, tokens int) string {
 	text := ""
@@ -144,7 +144,7 @@
 	}
 	c.tokens += e.Tokens
 	c.text.WriteString(e.Text)
-	if !strings.HasPrefix(completeOutput(), c.text.String()) {
+	if !strings.HasPrefix(fullOutput(), c.text.String()) {
 		t.Fatalf("%s: unexpected output %q", e.RequestID, c.text.String())
 	}
 }
@@ -157,7 +157,7 @@
 	}
 	w.checkNotRun(id, e, t)
 	if end, whole := e.(AnswerEnd); whole {
-		if end.Tokens != worldTokens || c.text.String() != completeOutput() {
+		if end.Tokens != worldTokens || c.text.String() != fullOutput() {
 			t.Fatalf("%s: ended with %q", id, c.text.String())
 		}
 	}
@@ -433,8 +433,8 @@
 	}
 }
 
-// execute runs a call at the service. It fails the test if the call already
-// ran, or if its caller received "not run".
+// execute runs a call at the service. It fails the test if a call that may run
+// once has already run, or if the caller received "not run".
 func (w *world) execute(g *fakeSession, call *message.Call, t *rapid.T) {
 	w.executions[call.Identity]++
 	c := w.callers[w.recordsByID[g.key.Attempt.RequestID].ownerID]
--- a/internal/reducer/limit/limit.go
+++ b/internal/reducer/limit/limit.go
@@ -37,20 +37,20 @@
 
 // NewConcurrency returns a limit at its start value.
 func NewConcurrency(c Config) *Concurrency {
-	fill(&c.Start, 64)
-	fill(&c.Min, 4)
-	fill(&c.Max, 1024)
-	fill(&c.Grow, 0.5)
-	fill(&c.Backoff, 0.85)
+	setDefault(&c.Start, 64)
+	setDefault(&c.Min, 4)
+	setDefault(&c.Max, 1024)
+	setDefault(&c.Grow, 0.5)
+	setDefault(&c.Backoff, 0.85)
 	if c.Every == 0 {
 		c.Every = 500 * time.Millisecond
 	}
 	return &Concurrency{config: c, limit: min(c.Start, c.Max)}
 }
 
-func fill(value *float64, zeroMeans float64) {
+func setDefault(value *float64, defaultValue float64) {
 	if *value == 0 {
-		*value = zeroMeans
+		*value = defaultValue
 	}
 }
 
--- a/internal/reducer/limit/limit_test.go
+++ b/internal/reducer/limit/limit_test.go
@@ -28,11 +28,11 @@
 		now = now.Add(time.Hour)
 		c.Refused(now)
 	}
-	is.Equal(c.Limit(), 4.0) // work always goes on
+	is.Equal(c.Limit(), 4.0) // the minimum: work always continues
 	for range 200 {
 		c.Succeeded()
 	}
-	is.True(c.Limit() > 40 && c.Limit() < 41) // 20 run: it holds nothing back
+	is.True(c.Limit() > 40 && c.Limit() < 41) // with 20 running the limit holds nothing back
 	for range 20 {
 		c.Release()
 	}
