--- a/internal/reducer/entry/call.go
+++ b/internal/reducer/entry/call.go
@@ -192,10 +192,10 @@
 const statusCallRunning = 409
 
 // handleStatusAnswer takes the outcome from the service's answer to a status
-// query. A call that still runs is queried again at the same server, since its
-// outcome will be known. Any other answer but a success leaves the outcome
-// unknown: a service that does not know the operation may still receive the
-// call, if that is on its way.
+// query. A call that still runs is queried again, since its outcome will be
+// known; the same server is queried unless an earlier query failed. Any other
+// answer but a success leaves the outcome unknown: a service that does not know
+// the operation may still receive the call, if that is on its way.
 func (s *State) handleStatusAnswer(r *request, m message.CallAnswer) {
 	if m.Status == statusCallRunning {
 		s.closeRound(r, r.call)
