--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -145,10 +145,10 @@
 		}
 		e.state = entry.New(entry.Config{
 			Name: e.name, FailureDomain: e.domain, Seed: seed + uint64(i), Route: v.Route,
-			Probes: v.Probes, DecodeProbes: v.DecodeProbes, AskAtOnce: v.AskAtOnce, AdmitAll: v.AdmitAll,
+			Probes: v.Probes, DecodeProbes: v.DecodeProbes, ProbeInParallel: v.AskAtOnce, AdmitAll: v.AdmitAll,
 		})
 		w.entries = append(w.entries, e)
-		w.toEntry(e, entry.ServersChanged{At: w.clock.now, Servers: servers, Whole: true})
+		w.toEntry(e, entry.ServersChanged{At: w.clock.now, Servers: servers, Complete: true})
 		w.every(entry.TickEvery, func() { w.toEntry(e, entry.Ticked{At: w.clock.now}) })
 	}
 }
@@ -240,12 +240,12 @@
 
 func (w *world) performEntry(e *entryNode, effect entry.Effect) {
 	switch f := effect.(type) {
-	case entry.AskClaim:
+	case entry.SendClaim:
 		w.clock.after(time.Duration(w.scenario.RecordDelay), func() {
 			answer := message.ClaimAnswer{Outcome: message.ClaimOwned, RequestID: f.Claim.RequestID, Attempt: 1}
 			w.toEntry(e, entry.Claimed{At: w.clock.now, RequestID: f.Claim.RequestID, Answer: answer})
 		})
-	case entry.AskSettle:
+	case entry.SendSettle:
 		w.clock.after(time.Duration(w.scenario.RecordDelay), func() {
 			w.toEntry(e, entry.Settled{
 				At: w.clock.now, RequestID: f.Settle.RequestID, Attempt: f.Settle.Attempt, State: f.Settle.State, Accepted: true,
@@ -258,7 +258,7 @@
 	case entry.CloseSession:
 		w.closeSession(e, f.Session)
 	case entry.Count:
-		w.counts[f.What+" "+string(f.Reason)]++
+		w.counts[f.Name+" "+string(f.Reason)]++
 	default:
 		w.performAnswer(effect)
 	}
--- a/internal/reducer/entry/script_test.go
+++ b/internal/reducer/entry/script_test.go
@@ -13,8 +13,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TestScripts runs the scripts of testdata. Each line of a script is one
-// event; what is printed are its effects. A session is written
+// TestScripts runs the scripts of testdata. Each line of a script is one event;
+// the output shows its effects. A session is written
 // request/attempt/phase/server, a part @offset+tokens "text".
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -35,14 +35,14 @@
 
 var scriptStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// script runs events on one state.
+// script applies events to one state.
 type script struct {
 	state *State
 	now   time.Time
 }
 
-// reset makes a new state. The first letter of a server's name tells its role:
-// prefill, decode or service.
+// reset makes a new state. The first letter of a server's name stands for its
+// role: prefill, decode or service.
 func (w *script) reset(t *testing.T, d *datadriven.TestData) {
 	c := Config{Name: "e1", Seed: 1, FailureDomain: "a"}
 	names := []string{"p1", "d1", "s1"}
@@ -57,7 +57,7 @@
 			c.Probes, _ = strconv.Atoi(value)
 			c.DecodeProbes = c.Probes
 		case "atOnce":
-			c.AskAtOnce = true
+			c.ProbeInParallel = true
 		case "waiting":
 			c.MaxWaiting, _ = strconv.Atoi(value)
 		case "requests":
@@ -75,7 +75,7 @@
 	}
 	w.now = scriptStart
 	w.state = New(c)
-	Reduce(w.state, ServersChanged{At: w.now, Whole: true, Servers: scriptServers(names...)})
+	Reduce(w.state, ServersChanged{At: w.now, Complete: true, Servers: scriptServers(names...)})
 }
 
 func scriptServers(names ...string) []oriolebend.Server {
@@ -99,7 +99,7 @@
 	return servers
 }
 
-// run carries out one line and prints its effects.
+// run applies the event of one line and prints its effects.
 func (w *script) run(t *testing.T, line string, out *strings.Builder) {
 	words := strings.Fields(line)
 	if len(words) == 0 || strings.HasPrefix(line, "#") {
@@ -119,8 +119,8 @@
 	}
 }
 
-// words are the arguments of one line: those with a "=" by name, the others
-// by place.
+// words are the arguments of one line: those with a "=" by name, the others by
+// position.
 type words struct {
 	placed []string
 	named  map[string]string
@@ -154,18 +154,18 @@
 	return false
 }
 
-func (w words) number(name string, otherwise int) int {
+func (w words) number(name string, fallback int) int {
 	n, err := strconv.Atoi(w.named[name])
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return n
 }
 
-func (w words) duration(name string, otherwise time.Duration) time.Duration {
+func (w words) duration(name string, fallback time.Duration) time.Duration {
 	d, err := time.ParseDuration(w.named[name])
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return d
 }
@@ -181,8 +181,8 @@
 		return Ticked{At: w.now}
 	case "arrive":
 		return Arrived{At: w.now, Request: w.request(a)}
-	case "gone":
-		return CallerGone{At: w.now, RequestID: a.at(0)}
+	case "callerLeft":
+		return CallerLeft{At: w.now, RequestID: a.at(0)}
 	case "stop":
 		return Stopping{At: w.now}
 	case "claimed":
@@ -232,7 +232,7 @@
 
 func (w *script) claimed(a words) Event {
 	e := Claimed{At: w.now, RequestID: a.at(0)}
-	if a.at(1) == "away" {
+	if a.at(1) == "noQuorum" {
 		e.Problem = &oriolebend.Problem{Reason: oriolebend.ReasonControlAway}
 		return e
 	}
@@ -252,7 +252,7 @@
 
 func (w *script) settled(a words) Event {
 	e := Settled{At: w.now, RequestID: a.at(0), Attempt: uint32(a.number("attempt", 1)), State: message.RecordState(a.at(1)), Accepted: !a.has("rejected")}
-	if a.at(1) == "away" {
+	if a.at(1) == "noQuorum" {
 		e.Problem = &oriolebend.Problem{Reason: oriolebend.ReasonControlAway}
 	}
 	return e
@@ -318,15 +318,15 @@
 	return fmt.Sprintf("%s/%d/%s/%s", k.Attempt.RequestID, k.Attempt.Number, k.Phase, k.Server)
 }
 
-// printEffect prints what a script looks at; measures are left out.
+// printEffect prints an effect that scripts check; measurements are left out.
 func printEffect(e Effect) string {
 	switch e := e.(type) {
-	case AskClaim:
+	case SendClaim:
 		return "claim " + e.Claim.RequestID
-	case AskSettle:
+	case SendSettle:
 		return "settle " + e.Settle.RequestID + " " + printSettle(e.Settle)
 	case OpenSession:
-		return "open " + printKey(e.Session) + printFirst(e)
+		return "open " + printKey(e.Session) + printOpen(e)
 	case Send:
 		return "send " + printKey(e.Session) + " " + printMessage(e.Message)
 	case CloseSession:
@@ -345,7 +345,7 @@
 		return fmt.Sprintf("problem %s %s ran=%s after=%s",
 			e.RequestID, e.Problem.Reason, e.Problem.Ran, e.Problem.RetryAfter)
 	case Count:
-		return strings.TrimSpace("count " + e.What + " " + string(e.Reason))
+		return strings.TrimSpace("count " + e.Name + " " + string(e.Reason))
 	case Drained:
 		return "drained"
 	default:
@@ -364,8 +364,8 @@
 	return text
 }
 
-// printFirst prints what a session begins with.
-func printFirst(e OpenSession) string {
+// printOpen prints the first message of a session.
+func printOpen(e OpenSession) string {
 	if e.Status != nil {
 		return " status " + e.Status.Identity
 	}
--- a/internal/reducer/fleet/fleet_test.go
+++ b/internal/reducer/fleet/fleet_test.go
@@ -109,7 +109,7 @@
 		c.Seed = seed + uint64(i)
 		e := &simEntry{fleet: f, name: c.Name, domain: c.FailureDomain, state: entry.New(c), sessions: map[entry.SessionKey]*simSession{}}
 		f.entries = append(f.entries, e)
-		e.reduce(entry.ServersChanged{At: f.now, Whole: true, Servers: f.servers()})
+		e.reduce(entry.ServersChanged{At: f.now, Complete: true, Servers: f.servers()})
 		f.every(entry.TickEvery, func() { e.reduce(entry.Ticked{At: f.now}) })
 	}
 	return f
@@ -211,13 +211,13 @@
 func (e *simEntry) perform(effect entry.Effect) {
 	f := e.fleet
 	switch x := effect.(type) {
-	case entry.AskClaim:
+	case entry.SendClaim:
 		f.after(recordDelay, func() {
 			e.reduce(entry.Claimed{At: f.now, RequestID: x.Claim.RequestID, Answer: message.ClaimAnswer{
 				Outcome: message.ClaimOwned, RequestID: x.Claim.RequestID, Attempt: 1,
 			}})
 		})
-	case entry.AskSettle:
+	case entry.SendSettle:
 		f.after(recordDelay, func() {
 			e.reduce(entry.Settled{
 				At: f.now, RequestID: x.Settle.RequestID, Attempt: x.Settle.Attempt,
@@ -233,7 +233,7 @@
 	case entry.CloseSession:
 		e.close(x.Session)
 	case entry.Count:
-		f.counts[x.What+" "+string(x.Reason)]++
+		f.counts[x.Name+" "+string(x.Reason)]++
 	default:
 		e.answer(effect)
 	}
--- a/internal/reducer/limit/limit_test.go
+++ b/internal/reducer/limit/limit_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// The limit shrinks to what the servers carry, once for each period, and grows
-// back while it is what holds work back.
+// The limit shrinks to the work that the servers carry, once in each period,
+// and grows again while it holds work back.
 func TestConcurrencyAdapts(t *testing.T) {
 	is := is.New(t)
 	c := NewConcurrency(Config{Start: 40})
@@ -28,11 +28,11 @@
 		now = now.Add(time.Hour)
 		c.Refused(now)
 	}
-	is.Equal(c.Limit(), 4.0) // work always goes on
+	is.Equal(c.Limit(), 4.0) // the minimum: work always continues
 	for range 200 {
 		c.Succeeded()
 	}
-	is.True(c.Limit() > 40 && c.Limit() < 41) // 20 run: it holds nothing back
+	is.True(c.Limit() > 40 && c.Limit() < 41) // with 20 running the limit holds nothing back
 	for range 20 {
 		c.Release()
 	}
--- a/internal/reducer/once/fleet_test.go
+++ b/internal/reducer/once/fleet_test.go
@@ -109,7 +109,7 @@
 			State: oriolebend.ServerServing, Incarnation: 1,
 		})
 	}
-	f.entry(p, entry.ServersChanged{At: f.now, Servers: servers, Whole: true})
+	f.entry(p, entry.ServersChanged{At: f.now, Servers: servers, Complete: true})
 	return p
 }
 
@@ -126,9 +126,9 @@
 	}
 	for _, effect := range entry.Reduce(p.state, e) {
 		switch x := effect.(type) {
-		case entry.AskClaim:
+		case entry.SendClaim:
 			f.commands = append(f.commands, command{p: p, command: record.Command{Claim: []message.Claim{x.Claim}}})
-		case entry.AskSettle:
+		case entry.SendSettle:
 			f.commands = append(f.commands, command{p: p, command: record.Command{Settle: []message.Settle{x.Settle}}})
 			if x.Settle.State != message.RecordRunning {
 				delete(p.held, x.Settle.RequestID)
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -167,7 +167,7 @@
 		}
 	}
 	e.mu.Unlock()
-	e.loop.Post(entry.ServersChanged{At: time.Now(), Servers: servers, Whole: whole})
+	e.loop.Post(entry.ServersChanged{At: time.Now(), Servers: servers, Complete: whole})
 }
 
 // Models implements caller.Router.
@@ -247,9 +247,9 @@
 // performEntry carries an effect towards control VMs and gates out.
 func (e *Entry) performEntry(effect entry.Effect) {
 	switch f := effect.(type) {
-	case entry.AskClaim:
+	case entry.SendClaim:
 		go e.claim(f.Claim)
-	case entry.AskSettle:
+	case entry.SendSettle:
 		go e.settle(f.Settle)
 	case entry.OpenSession:
 		e.open(f)
@@ -258,10 +258,10 @@
 	case entry.CloseSession:
 		e.closeSession(f.Session)
 	case entry.Count:
-		e.config.Observer.Count(f.What, f.Reason, f.Organisation)
+		e.config.Observer.Count(f.Name, f.Reason, f.Organisation)
 		e.log(f)
 	case entry.Observe:
-		e.config.Observer.Observe(f.What, f.Urgency, f.Value)
+		e.config.Observer.Observe(f.Name, f.Urgency, f.Value)
 	case entry.Drained:
 		e.drainedOnce.Do(func() { close(e.drained) })
 	default:
@@ -273,10 +273,10 @@
 // towards its caller.
 func (e *Entry) log(f entry.Count) {
 	level := slog.LevelDebug
-	if f.What == "retry" || f.What == "outcomeLost" {
+	if f.Name == "retry" || f.Name == "outcomeLost" {
 		level = slog.LevelInfo
 	}
-	e.config.Logger.Log(e.ctx, level, f.What, logging.Attempt(f.Attempt), logging.Reason(f.Reason))
+	e.config.Logger.Log(e.ctx, level, f.Name, logging.Attempt(f.Attempt), logging.Reason(f.Reason))
 }
 
 // performAnswer carries the effects towards callers out.
