--- a/internal/reducer/agreement/commit_test.go
+++ b/internal/reducer/agreement/commit_test.go
@@ -8,10 +8,9 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// Symptom: an applied command is replaced by another. Sequence: a leader of
-// term 3 copies an entry of term 1 to a quorum and takes it for committed;
-// then a member with a longer term, whose log differs, is elected. Cause: an
-// entry of an earlier term is committed by counting alone.
+// TestEarlierTermIsNotCommittedByCounting guards against an applied command that is replaced by
+// another. A leader of term 3 copies an entry of term 1 to a quorum and commits it by counting
+// alone; then a member whose log differs and ends with a higher term is elected.
 func TestEarlierTermIsNotCommittedByCounting(t *testing.T) {
 	is := is.New(t)
 	founders := []message.Member{{Name: "a", Voter: true}, {Name: "b", Voter: true}, {Name: "c", Voter: true}}
--- a/internal/reducer/agreement/config.go
+++ b/internal/reducer/agreement/config.go
@@ -6,7 +6,7 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// Defaults of Config.
+// Default values of the fields of Config.
 const (
 	DefaultHeartbeatTicks    = 2
 	DefaultElectionTicks     = 12
@@ -22,57 +22,58 @@
 	DefaultTailBytes         = 16 << 20
 )
 
-// Bounds of a group's size.
+// Limits of the size of a group.
 const (
-	// MinVoters is what a removal must leave in a group that has as many.
+	// MinVoters is the number of voters that a removal must leave in a group that has at least as
+	// many.
 	MinVoters = 3
-	// MaxMembers bounds the VMs of a group, catching-up ones included: six that
-	// stay, and room for those that replace two of them before the old ones are
+	// MaxMembers is the maximum number of members of a group, non-voting ones included: six
+	// permanent ones, and two replacements that join before the members that they replace are
 	// removed.
 	MaxMembers = 8
 )
 
 // Config configures a member's reducer. Name is required.
 type Config struct {
-	// Name is this member.
+	// Name is the name of this member.
 	Name string
-	// Group names the group; messages of other groups are ignored.
+	// Group identifies the group; messages of other groups are ignored.
 	Group string
-	// Founders are the members of a group that has no log yet.
+	// Founders are the initial members of a group that has no log yet.
 	Founders []message.Member
-	// Seed makes the election timing of members differ.
+	// Seed seeds the random part of the election timing, so that it differs between members.
 	Seed uint64
-	// Start tells this start of the member from its others; zero has it wait for leases that
-	// it may have granted before, whatever the others say.
+	// Start identifies this incarnation of the member. If it is zero, the member waits for leases
+	// that it may have granted before its start, whatever the other members report.
 	Start uint64
-	// HeartbeatTicks is the time between two heartbeats of a leader.
+	// HeartbeatTicks is the interval between two heartbeats of a leader.
 	HeartbeatTicks uint64
-	// ElectionTicks is how long a member waits for its leader: it grants no
-	// vote before, and stands for election after this and as much again at
-	// random.
+	// ElectionTicks is the election timeout. A member grants no vote until this long after the
+	// last message from its leader, and stands for election after this and a random time of up to
+	// as much again.
 	ElectionTicks uint64
-	// PreVoteTicks is how long a member that would stand for election waits before it
-	// asks again whether it would win; as much again at random.
+	// PreVoteTicks is the delay before a pre-candidate requests pre-votes again; a random time of
+	// up to as much again is added.
 	PreVoteTicks uint64
-	// LeaseTicks is how long a leader goes on leading after the last round
-	// that a quorum answered. It must be less than ElectionTicks; the
-	// difference covers clocks of unequal rate.
+	// LeaseTicks is how long a leader keeps leading after the last round that a quorum answered.
+	// It must be less than ElectionTicks; the difference covers clocks that run at different
+	// rates.
 	LeaseTicks uint64
-	// MaxUnapplied and MaxUnappliedBytes bound what is appended and not yet
-	// applied; further proposals are refused.
+	// MaxUnapplied and MaxUnappliedBytes bound the entries that are appended and not yet applied;
+	// further proposals are refused.
 	MaxUnapplied      uint64
 	MaxUnappliedBytes int
-	// MaxCommandBytes bounds one command.
+	// MaxCommandBytes bounds the size of one command.
 	MaxCommandBytes int
 	// AppendBytes and ChunkBytes bound the payload of one message.
 	AppendBytes int
 	ChunkBytes  int
-	// WindowEntries bounds the entries under way to one member.
+	// WindowEntries bounds the entries in flight to one member.
 	WindowEntries uint64
-	// TailEntries is how many entries stay before a snapshot, for members
-	// that lag a little.
+	// TailEntries is the number of entries before a snapshot that are kept, for members that lag
+	// slightly.
 	TailEntries uint64
-	// TailBytes bounds the size of those entries.
+	// TailBytes bounds the total size of the entries kept before a snapshot.
 	TailBytes int
 }
 
--- a/internal/reducer/agreement/effect.go
+++ b/internal/reducer/agreement/effect.go
@@ -7,82 +7,81 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Effect is something that the member is to do; effects are carried out in
-// order and none of them blocks the reducer.
+// Effect is an action for the runtime to carry out. The runtime carries out effects in order, and
+// none of them blocks the reducer.
 type Effect interface{ agreementEffect() }
 
-// Send sends a message to another member; it may be lost.
+// Send sends a message to another member. The message may be lost.
 type Send struct {
 	To      message.Member
 	Message message.Message
 }
 
-// SendChunk sends a part of the snapshot at Chunk.Index: the runtime fills in
-// up to Bytes of Data from Chunk.Offset on, and Last. If that snapshot is no
-// longer held nothing is sent.
+// SendChunk sends a part of the snapshot at Chunk.Index. The runtime sets Chunk.Last and fills in
+// up to Bytes of Data from Chunk.Offset on. If that snapshot is no longer stored, nothing is
+// sent.
 type SendChunk struct {
 	To    message.Member
 	Chunk message.Chunk
 	Bytes int
 }
 
-// HardState is what a member must never forget, besides its log.
+// HardState is the state, besides the log, that a member must persist.
 type HardState struct {
 	Term uint64 `cbor:"term"`
-	// Vote is whom the member voted for, or follows, in this term.
+	// Vote is the member that this member voted for, or follows, in this term.
 	Vote string `cbor:"vote,omitempty"`
-	// RecoverTo is set while a member that started with an empty folder is
-	// still to receive what it may have accepted before: until its log reaches
-	// this index it grants no vote.
+	// RecoverTo is set while a member that started with an empty data folder lacks entries that
+	// it may have accepted before: it grants no vote until its log reaches this index.
 	RecoverTo uint64 `cbor:"recoverTo,omitempty"`
 }
 
-// SnapshotMeta says what a snapshot contains.
+// SnapshotMeta describes a snapshot: the last entry that it covers and the members at that entry.
 type SnapshotMeta struct {
 	Index   uint64           `cbor:"index"`
 	Term    uint64           `cbor:"term"`
 	Members []message.Member `cbor:"members"`
 }
 
-// Snapshot is a whole snapshot.
+// Snapshot is a complete snapshot.
 type Snapshot struct {
 	Meta SnapshotMeta
 	Data []byte
 }
 
-// Persist makes changes durable, in order of Sequence; Persisted follows once
-// they are synced. Within one, the snapshot comes first.
+// Persist makes changes durable, in the order of Sequence; Persisted follows once they are
+// synced. The snapshot of a Persist is written before its entries.
 type Persist struct {
 	Sequence uint64
 	Hard     *HardState
-	// Entries replace all entries from the first one's index on.
+	// Entries replace all entries from the index of the first one on.
 	Entries []message.LogEntry
 	// Snapshot replaces the whole log.
 	Snapshot *Snapshot
 }
 
-// Compact allows the log to drop entries up to Through.
+// Compact allows the log to drop the entries up to and including Through.
 type Compact struct{ Through uint64 }
 
-// Apply feeds committed entries to the machine; Applied follows.
+// Apply passes committed entries to the state machine; Applied follows.
 type Apply struct{ Entries []Committed }
 
-// Committed is one entry to apply, with the ID of the proposal or change that
-// waits for it here, or zero.
+// Committed is one entry to apply. ID is that of the proposal or membership change that waits for
+// the entry on this member, or zero.
 type Committed struct {
 	Entry message.LogEntry
 	ID    uint64
 }
 
-// Restore replaces the machine's state by a snapshot; Applied follows.
+// Restore replaces the state of the state machine by a snapshot; Applied follows.
 type Restore struct{ Snapshot Snapshot }
 
-// Confirmed answers ConfirmAsked: this member led after the question, and has
-// applied all that was accepted before it.
+// Confirmed answers ConfirmRequested: this member was still the leader after the request, and has
+// applied all entries that were accepted before it.
 type Confirmed struct{ ID uint64 }
 
-// Refused answers a proposal, change or confirmation that was not carried out
-// or, with Ran "unknown", may still be.
+// Refused answers a proposal, membership change or confirmation that was not carried out or, if
+// Ran is "unknown", may still be.
 type Refused struct {
 	ID         uint64
 	Reason     oriolebend.Reason
@@ -91,14 +90,14 @@
 	RetryAfter time.Duration
 }
 
-// Led tells of a new role, term or leader.
+// LeadershipChanged reports a new role, term or leader.
 type Led struct {
 	Role   Role
 	Term   uint64
 	Leader message.Member
 }
 
-// Fatal stops the process: going on would break what was promised.
+// Fatal stops the process, because continuing would violate a guarantee of the agreement.
 type Fatal struct{ Detail string }
 
 func (Send) agreementEffect()      {}
--- a/internal/reducer/agreement/election.go
+++ b/internal/reducer/agreement/election.go
@@ -2,19 +2,20 @@
 
 import "github.com/oriolebend/oriolebend/internal/message"
 
-// ticked passes time: a leader begins a round, others may stand for election.
-func (s *State) ticked() {
+// handleTick starts a new round on a leader that is due for one; on another member it may start a
+// pre-vote or an election.
+func (s *State) handleTick() {
 	if s.Role == Leader {
-		s.leaderTicked()
+		s.tickLeader()
 		return
 	}
-	s.restartTicked()
+	s.tickRestart()
 	if s.now < s.electionDue {
 		return
 	}
 	s.resetElection()
 	if s.mayCampaign() {
-		s.preCampaign()
+		s.startPreVote()
 	}
 	if s.Role == PreCandidate {
 		s.electionDue = s.now + s.Config.PreVoteTicks + s.random.Uint64N(s.Config.PreVoteTicks)
@@ -29,41 +30,42 @@
 	s.electionDue = s.now + s.Config.ElectionTicks + s.random.Uint64N(s.Config.ElectionTicks)
 }
 
-// loyal tells whether the member holds to a leader, or to a vote just given.
+// inLease reports whether a leader may still hold a lease that this member has granted, or
+// whether this member has just granted a vote.
 //
-// Were it to vote at once for whoever asks, a leader that is cut off from the
-// asker only could be replaced while its lease still runs, and two members
-// would answer as leader at the same time.
-func (s *State) loyal() bool {
-	return s.Role == Leader || s.now < s.heard+s.Config.ElectionTicks
+// If it voted at once for any candidate, a leader that is cut off from that candidate only could
+// be replaced while its lease still runs, and two members would answer as leader at the same
+// time.
+func (s *State) inLease() bool {
+	return s.Role == Leader || s.now < s.lastContact+s.Config.ElectionTicks
 }
 
-// follow becomes a follower in a term; the leader may not be known yet.
-func (s *State) follow(term uint64, leader string) {
+// becomeFollower makes the member a follower in a term; the leader may not be known yet.
+func (s *State) becomeFollower(term uint64, leader string) {
 	wasLeader := s.Role == Leader
 	if term > s.Hard.Term {
 		s.Hard.Term = term
 		s.Hard.Vote = ""
-		s.changeHard()
+		s.markHardStateDirty()
 	}
 	s.Role = Follower
 	s.Leader = leader
 	s.election = election{}
 	if wasLeader {
-		s.abandonLeadership()
+		s.endLeadership()
 		s.resetElection()
 	}
 }
 
-// preCampaign asks whether an election would be won, without a new term. It is asked
-// again soon: after a power loss of everything members come back over half a second, and
-// each votes only when a lease that it may have granted before is over. Who asked a
-// moment too early, and again only after the time of an election, left the group without
-// a leader for 170 ms longer than need be, in which no request is answered.
+// startPreVote asks the voters whether this member would win an election, without starting a new
+// term. A pre-candidate asks again after PreVoteTicks: after a power loss of all members they
+// restart over half a second, and each votes only when a lease that it may have granted has
+// expired. Retrying only after an election timeout left the group without a leader, and all
+// requests unanswered, for 170 ms longer than necessary.
 //
-// A member that was cut off and counted its term up would depose a healthy
-// leader on its return; the question changes nothing at the others.
-func (s *State) preCampaign() {
+// A member that was cut off and had increased its term would depose a healthy leader on its
+// return; a pre-vote changes nothing on the other members.
+func (s *State) startPreVote() {
 	s.Role = PreCandidate
 	s.Leader = ""
 	s.election = election{votes: map[string]bool{s.Config.Name: true}, began: s.now}
@@ -71,43 +73,44 @@
 		s.campaign(message.Vote{})
 		return
 	}
-	part := s.part()
-	part.Term++
-	s.askVotes(message.Vote{Agreement: part, Pre: true}, afterNothing)
+	header := s.header()
+	header.Term++
+	s.requestVotes(message.Vote{Agreement: header, Pre: true}, afterNothing)
 }
 
-// campaign stands for election in a new term; the vote tells why receivers need not wait.
+// campaign stands for election in a new term. The fields that the caller set in vote tell the
+// receivers why they need not wait for a lease.
 func (s *State) campaign(vote message.Vote) {
 	s.restart.fresh = false
 	s.Role = Candidate
 	s.Leader = ""
 	s.Hard.Term++
 	s.Hard.Vote = s.Config.Name
-	s.changeHard()
+	s.markHardStateDirty()
 	s.resetElection()
 	s.election = election{
-		votes:    map[string]bool{},
-		began:    s.now,
-		transfer: vote.Transfer,
-		ownVote:  s.saving.sequence + 1,
+		votes:           map[string]bool{},
+		began:           s.now,
+		transfer:        vote.Transfer,
+		ownVoteSequence: s.saving.sequence + 1,
 	}
-	vote.Agreement = s.part()
-	s.askVotes(vote, afterHard)
+	vote.Agreement = s.header()
+	s.requestVotes(vote, afterHardState)
 }
 
-func (s *State) askVotes(vote message.Vote, what after) {
+func (s *State) requestVotes(vote message.Vote, condition sendCondition) {
 	vote.LastIndex = s.log.last()
 	vote.LastTerm = s.log.lastTerm()
 	for _, m := range s.Members {
 		if m.Voter && m.Name != s.Config.Name {
-			s.send(m.Name, vote, what)
+			s.send(m.Name, vote, condition)
 		}
 	}
 }
 
-// ownVoteSaved counts the vote for oneself once it is synced.
-func (s *State) ownVoteSaved() {
-	if s.Role != Candidate || s.saving.done < s.election.ownVote {
+// countOwnVote counts the vote for this member itself once it is synced.
+func (s *State) countOwnVote() {
+	if s.Role != Candidate || s.saving.done < s.election.ownVoteSequence {
 		return
 	}
 	s.election.votes[s.Config.Name] = true
@@ -126,12 +129,11 @@
 	}
 }
 
-// elected tells whether the votes suffice. A group that is still being founded
-// needs them all.
+// elected reports whether the votes suffice. A group that is still being founded needs the votes
+// of all voters.
 //
-// Two members that both lost their folders could otherwise found a new, empty
-// group and overwrite the log of the third. With every vote needed, the third
-// refuses them.
+// Otherwise two members that both lost their data folders could found a new, empty group and
+// overwrite the log of the third. Since every vote is needed, the third can refuse them.
 func (s *State) elected() bool {
 	granted := 0
 	for _, m := range s.Members {
@@ -145,30 +147,29 @@
 	return granted >= s.quorum()
 }
 
-// preVoteAsked answers whether a vote would be given.
-func (s *State) preVoteAsked(m message.Vote) {
-	answer := message.VoteAnswer{Agreement: s.part(), Pre: true}
+// handlePreVote answers whether this member would grant its vote.
+func (s *State) handlePreVote(m message.Vote) {
+	answer := message.VoteAnswer{Agreement: s.header(), Pre: true}
 	if m.Term > s.Hard.Term {
-		answer.Start, answer.MembersIndex = s.startOf(), s.MembersIndex
+		answer.Start, answer.MembersIndex = s.freshStart(), s.MembersIndex
 		answer.Would = answer.Start != 0 && s.electable(m)
-		answer.Granted = !s.loyal() && s.electable(m)
+		answer.Granted = !s.inLease() && s.electable(m)
 	}
 	if answer.Granted || answer.Start != 0 {
 		answer.Term = m.Term
 	}
-	s.send(m.From, answer, afterHard)
+	s.send(m.From, answer, afterHardState)
 }
 
-// electable tells whether the candidate's log holds all that this member may
-// have accepted.
+// electable reports whether the candidate's log holds all entries that this member may have
+// accepted.
 func (s *State) electable(m message.Vote) bool {
 	if s.recovering() {
 		return false
 	}
 	if s.empty() && m.LastIndex > foundingIndex {
-		// This member's folder is new while the group is older: it may have
-		// lost entries that it accepted, and a candidate that never had them
-		// would pass its check.
+		// This member has no log while the group is older: it may have lost entries that it
+		// accepted, and a candidate that never had them would pass the check below.
 		return false
 	}
 	if m.LastTerm != s.log.lastTerm() {
@@ -177,42 +178,43 @@
 	return m.LastIndex >= s.log.last()
 }
 
-func (s *State) voteAsked(m message.Vote) {
+func (s *State) handleVote(m message.Vote) {
 	if m.Pre {
-		s.preVoteAsked(m)
+		s.handlePreVote(m)
 		return
 	}
-	answer := message.VoteAnswer{Agreement: s.part()}
+	answer := message.VoteAnswer{Agreement: s.header()}
 	free := s.Hard.Vote == "" || s.Hard.Vote == m.From
 	if s.mayVote(m) && free && s.electable(m) {
 		answer.Granted = true
 		s.restart.fresh = false
-		s.heard = s.now
+		s.lastContact = s.now
 		s.resetElection()
 		if s.Hard.Vote != m.From {
 			s.Hard.Vote = m.From
-			s.changeHard()
+			s.markHardStateDirty()
 		}
 	}
-	s.send(m.From, answer, afterHard)
+	s.send(m.From, answer, afterHardState)
 }
 
 func (s *State) mayVote(m message.Vote) bool {
 	idle := s.Role == Follower || s.Role == PreCandidate
-	return idle && s.Leader == "" && (m.Transfer || !s.loyal() || s.waived(m))
+	return idle && s.Leader == "" && (m.Transfer || !s.inLease() || s.leaseWaived(m))
 }
 
-// preVoteAnswered takes in a vote that would be given, and that another voter has just started.
-func (s *State) preVoteAnswered(m message.VoteAnswer) {
+// handlePreVoteAnswer counts a granted pre-vote, and records a voter that is fresh after a
+// restart.
+func (s *State) handlePreVoteAnswer(m message.VoteAnswer) {
 	if m.Granted {
-		s.preVoteGranted(m)
+		s.countPreVote(m)
 	}
 	if m.Start != 0 {
-		s.startTold(m)
+		s.handleFreshVoter(m)
 	}
 }
 
-func (s *State) preVoteGranted(m message.VoteAnswer) {
+func (s *State) countPreVote(m message.VoteAnswer) {
 	if s.Role != PreCandidate || m.Term != s.Hard.Term+1 {
 		return
 	}
@@ -220,7 +222,7 @@
 	s.countVotes()
 }
 
-func (s *State) voteAnswered(m message.VoteAnswer) {
+func (s *State) handleVoteAnswer(m message.VoteAnswer) {
 	if s.Role != Candidate || m.Pre || !m.Granted {
 		return
 	}
@@ -228,8 +230,8 @@
 	s.countVotes()
 }
 
-// campaignAsked stands for election at once, since the leader is stopping.
-func (s *State) campaignAsked() {
+// handleCampaign stands for election at once, because the leader is stopping.
+func (s *State) handleCampaign() {
 	if s.Role == Follower && s.mayCampaign() {
 		s.campaign(message.Vote{Transfer: true})
 	}
--- a/internal/reducer/agreement/election_test.go
+++ b/internal/reducer/agreement/election_test.go
@@ -10,13 +10,13 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// Symptom: after a power loss of everything no request is answered for 0.9 s, a third of
-// which the group spends without a leader although a majority could elect one. Sequence:
-// the five members come back over 0.4 s, each waits for a lease that it may have granted;
-// the first of them ask for votes while the others still wait, and are refused. Cause: who
-// was refused asked again only after the time of an election.
+// TestLeaderSoonAfterAPowerLoss guards against a group that has no leader although a majority
+// could elect one, in which time no request is answered. Five members restart over 0.4 s after a
+// power loss, and each waits for a lease that it may have granted. The first ones request
+// pre-votes while the others still wait, and are refused; a refused member must ask again before
+// a whole election timeout has passed.
 //
-// Counted is from when the third member may vote. A tick is 25 ms.
+// The time counts from when the third member may vote. A tick is 25 ms.
 func TestLeaderSoonAfterAPowerLoss(t *testing.T) {
 	is := is.New(t)
 	var late []uint64
@@ -30,19 +30,20 @@
 	is.True(late[180] <= 9)
 }
 
-// Symptom: after all processes were killed no request is answered for 0.5 s, 0.3 s of which
-// the group spends without a leader although every member is back. Sequence: each waits for a
-// lease that it may have granted before it started; the holder of the lease has started anew
-// itself. Cause: nobody asks whether a lease can run at all.
+// TestLeaderAtOnceWhenAllHaveRestarted guards against a group that has no leader for 0.3 s
+// although every member is back. After all processes were killed, each member waits for a lease
+// that it may have granted before it restarted, while the holder of the lease has restarted too.
+// The members must find out that no lease can be in force.
 //
-// Counted is from when the last of the five started, unless the others led before.
-func TestLeaderAtOnceWhenAllHaveStartedAnew(t *testing.T) {
+// The time counts from when the last of the five has started, or is zero if a leader was elected
+// before.
+func TestLeaderAtOnceWhenAllHaveRestarted(t *testing.T) {
 	is := is.New(t)
 	var late []uint64
 	for seed := range uint64(200) {
-		starts, led := losePower(t, seed, tellingStarts)
+		starts, led := losePower(t, seed, withStarts)
 		late = append(late, max(led, starts[4])-starts[4])
-		is.True(led <= starts[2]+2*DefaultElectionTicks+9) // never later than without
+		is.True(led <= starts[2]+2*DefaultElectionTicks+9) // never later than without the exchange of starts
 	}
 	slices.Sort(late)
 	t.Logf("ticks until a leader leads: median %d, nine in ten %d, all %d", late[100], late[180], late[199])
@@ -50,8 +51,8 @@
 	is.True(late[180] <= 4)
 }
 
-// losePower kills a group of five, starts it over 0.4 s, and returns when each started, in
-// order, and when a leader led.
+// losePower kills a group of five and restarts it over 0.4 s. It returns the sorted start times
+// of the members, and when a leader led.
 func losePower(t *testing.T, seed uint64, options ...func(*sim)) ([]uint64, uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -78,11 +79,12 @@
 	return starts, s.now
 }
 
-// Guards against two leaders, as a candidate stands on what a voter told of an earlier start:
-// between that and now the voter has elected another one, and has forgotten it.
+// TestWaivedLeaseIsOfThisStartOnly guards against two leaders: a candidate relies on a start that
+// a voter reported before its latest restart, while the voter has elected another leader in
+// between and has forgotten it.
 func TestWaivedLeaseIsOfThisStartOnly(t *testing.T) {
 	is := is.New(t)
-	s := newSim([]string{"a", "b", "c"}, 3, Config{}, tellingStarts)
+	s := newSim([]string{"a", "b", "c"}, 3, Config{}, withStarts)
 	s.run(60)
 	for _, v := range s.vms {
 		s.crash(v, 0)
@@ -100,7 +102,7 @@
 	s.start(b)
 	term := b.state.Hard.Term
 	s.feed(b, Received{s.now, vote})
-	is.Equal(b.state.Hard.Term, term) // as if it had not come
+	is.Equal(b.state.Hard.Term, term) // the vote request was ignored
 	vote.Starts["b"] = b.state.Config.Start
 	s.feed(b, Received{s.now, vote})
 	is.Equal(b.state.Hard.Vote, "a")
--- a/internal/reducer/agreement/event.go
+++ b/internal/reducer/agreement/event.go
@@ -2,52 +2,50 @@
 
 import "github.com/oriolebend/oriolebend/internal/message"
 
-// Event is something that happened to a member. Tick is when, counted by the
-// member's own steady clock since its start; a process that was paused sees
-// it jump.
+// Event is an input of Reduce. Tick is the time of the event, counted by the steady clock of this
+// member since its start; after a pause of the process the tick jumps ahead.
 type Event interface{ tick() uint64 }
 
-// Ticked passes time.
+// Ticked reports that time has passed.
 type Ticked struct{ Tick uint64 }
 
-// Received is a message of another member.
+// Received is a message from another member.
 type Received struct {
 	Tick    uint64
 	Message message.Message
 }
 
-// Proposed asks to append commands, in order.
+// Proposed requests that commands be appended, in order.
 type Proposed struct {
 	Tick      uint64
 	Proposals []Proposal
 }
 
-// Proposal is one command to append. ID comes back with the outcome; it is
-// not zero and never used again.
+// Proposal is one command to append. Apply or Refused returns its ID, which must be nonzero and
+// unique.
 type Proposal struct {
 	ID      uint64
 	Command []byte
 }
 
-// ConfirmAsked asks to confirm that this member leads; Confirmed or Refused
-// follows with the same ID.
+// ConfirmRequested requests a confirmation that this member leads; Confirmed or Refused follows
+// with the same ID.
 type ConfirmAsked struct {
 	Tick uint64
 	ID   uint64
 }
 
-// ChangeAction says what a change of members does.
+// ChangeAction is the kind of a membership change.
 type ChangeAction string
 
 const (
-	// ChangeAdd adds a member, which votes once it has caught up.
+	// ChangeAdd adds a non-voting member, which becomes a voter once it has caught up.
 	ChangeAdd ChangeAction = "add"
 	// ChangeRemove removes a member.
 	ChangeRemove ChangeAction = "remove"
 )
 
-// ChangeAsked asks to change the members; Apply or Refused follows with the
-// same ID.
+// ChangeRequested requests a membership change; Apply or Refused follows with the same ID.
 type ChangeAsked struct {
 	Tick   uint64
 	ID     uint64
@@ -55,30 +53,30 @@
 	Member message.Member
 }
 
-// TransferAsked asks a leader to hand over to another member; it takes no
-// more proposals until that has happened or failed.
+// TransferRequested asks a leader to transfer leadership to another member; the leader refuses
+// proposals until the transfer has succeeded or failed.
 type TransferAsked struct{ Tick uint64 }
 
-// Persisted tells that all Persist effects up to Sequence are synced.
+// Persisted reports that all Persist effects up to Sequence are synced.
 type Persisted struct {
 	Tick     uint64
 	Sequence uint64
 }
 
-// Applied tells that the machine has applied all entries up to Index.
+// Applied reports that the state machine has applied all entries up to Index.
 type Applied struct {
 	Tick  uint64
 	Index uint64
 }
 
-// SnapshotMade tells that a snapshot of the machine at Index is durable.
+// SnapshotMade reports that a snapshot of the state machine at Index is durable.
 type SnapshotMade struct {
 	Tick uint64
 	Meta SnapshotMeta
 }
 
-// Regrouped gives a member with an empty folder another group: the one of a
-// later generation that it is to join.
+// GroupChanged assigns a member without entries or a snapshot to another group: a later
+// generation, which it is to join.
 type Regrouped struct {
 	Tick  uint64
 	Group string
--- a/internal/reducer/agreement/follow.go
+++ b/internal/reducer/agreement/follower.go
@@ -6,12 +6,12 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// appendReceived takes a leader's entries.
-func (s *State) appendReceived(m message.Append) {
-	if !s.obey(m.From) {
+// handleAppend handles entries or a heartbeat from a leader.
+func (s *State) handleAppend(m message.Append) {
+	if !s.acceptLeader(m.From) {
 		return
 	}
-	answer := message.AppendAnswer{Agreement: s.part(), PrevIndex: m.PrevIndex, Round: m.Round}
+	answer := message.AppendAnswer{Agreement: s.header(), PrevIndex: m.PrevIndex, Round: m.Round}
 	answer.Recovering = s.recovering()
 	if m.PrevIndex < s.Commit {
 		answer.Accepted = true
@@ -20,13 +20,13 @@
 		return
 	}
 	if term, ok := s.log.term(m.PrevIndex); !ok || term != m.PrevTerm {
-		answer.HintIndex, answer.HintTerm = s.hint(m.PrevIndex, m.PrevTerm)
-		s.send(m.From, answer, afterHard)
+		answer.HintIndex, answer.HintTerm = s.conflictHint(m.PrevIndex, m.PrevTerm)
+		s.send(m.From, answer, afterHardState)
 		return
 	}
 	s.beginRecovery(m.Last, len(m.Entries) > 0)
-	s.easeRecovery(m.Last)
-	if !s.take(m.Entries) {
+	s.lowerRecovery(m.Last)
+	if !s.storeEntries(m.Entries) {
 		return
 	}
 	answer.Recovering = s.recovering()
@@ -34,54 +34,52 @@
 	answer.Match = m.PrevIndex + uint64(len(m.Entries))
 	s.Commit = max(s.Commit, min(m.Commit, answer.Match))
 	if len(m.Entries) == 0 {
-		// A heartbeat is answered at once, for what is durable by now: were it to
-		// wait for the log, a slow disk here would cost the leader its lease.
+		// A heartbeat is answered at once, with the last index that is already durable: if the
+		// answer waited for the log, a slow disk here would make the lease of the leader expire.
 		answer.Match = min(answer.Match, s.Synced)
-		s.send(m.From, answer, afterHard)
+		s.send(m.From, answer, afterHardState)
 		return
 	}
 	s.send(m.From, answer, afterAll)
 }
 
-// obey accepts the sender as the leader of the present term.
-func (s *State) obey(leader string) bool {
+// acceptLeader accepts the sender as the leader of the current term.
+func (s *State) acceptLeader(leader string) bool {
 	if s.Role == Leader {
 		s.emit(Fatal{Detail: fmt.Sprintf("two leaders in term %d: %s and %s",
 			s.Hard.Term, s.Config.Name, leader)})
 		return false
 	}
-	s.follow(s.Hard.Term, leader)
+	s.becomeFollower(s.Hard.Term, leader)
 	s.restart.fresh = false
-	s.heard = s.now
+	s.lastContact = s.now
 	s.resetElection()
 	if s.Hard.Vote == "" {
 		s.Hard.Vote = leader
-		s.changeHard()
+		s.markHardStateDirty()
 	}
 	return true
 }
 
-// beginRecovery notes how far a member with a new folder must catch up before
-// it votes.
+// beginRecovery records the index that a member with an empty log must reach before it votes.
 //
-// A member that lost its folder may have been the second holder of a committed
-// entry. If it voted before it holds the entry again, a candidate without the
-// entry could win, and the entry would be lost though only one member at a
-// time had failed.
+// A member that lost its data folder may have been the second of two members that held a
+// committed entry. If it voted before it holds the entry again, a candidate without the entry
+// could win, and the entry would be lost although only one member at a time had failed.
 func (s *State) beginRecovery(leaderLast uint64, growing bool) {
 	if !s.empty() || !growing || leaderLast <= foundingIndex {
 		return
 	}
 	s.Hard.RecoverTo = leaderLast
-	s.changeHard()
+	s.markHardStateDirty()
 }
 
-// easeRecovery follows a leader whose log is shorter than the one that the
-// recovery began with: a leader's log holds all that is committed.
-func (s *State) easeRecovery(leaderLast uint64) {
+// lowerRecovery lowers the recovery index to the end of the log of a leader with a shorter log
+// than the one at which the recovery began: the log of a leader holds all committed entries.
+func (s *State) lowerRecovery(leaderLast uint64) {
 	if s.Hard.RecoverTo > leaderLast {
 		s.Hard.RecoverTo = leaderLast
-		s.changeHard()
+		s.markHardStateDirty()
 	}
 }
 
@@ -89,12 +87,12 @@
 func (s *State) endRecovery() {
 	if s.Hard.RecoverTo != 0 && !s.recovering() {
 		s.Hard.RecoverTo = 0
-		s.changeHard()
+		s.markHardStateDirty()
 	}
 }
 
-// take appends what is new of the entries and replaces what differs.
-func (s *State) take(entries []message.LogEntry) bool {
+// storeEntries appends the entries that the log lacks and replaces those that differ.
+func (s *State) storeEntries(entries []message.LogEntry) bool {
 	for i, e := range entries {
 		term, ok := s.log.term(e.Index)
 		if ok && term == e.Term {
@@ -115,9 +113,9 @@
 	return true
 }
 
-// hint returns the last index at or before prev whose term is not higher than
-// prevTerm, and that term.
-func (s *State) hint(prev, prevTerm uint64) (index, term uint64) {
+// conflictHint returns the last index at or before prev whose term is not higher than prevTerm,
+// and that term.
+func (s *State) conflictHint(prev, prevTerm uint64) (index, term uint64) {
 	index = min(prev, s.log.last())
 	for index > s.log.base {
 		term, _ = s.log.term(index)
--- a/internal/reducer/agreement/fuzz_test.go
+++ b/internal/reducer/agreement/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// decode reads a message the way that a stream does: by its kind.
+// decode decodes a message of the given kind, as the stream layer does.
 func decode(kind message.Kind, data []byte) (message.Message, error) {
 	switch kind {
 	case message.KindAppend:
@@ -33,8 +33,9 @@
 	return m, err
 }
 
-// Symptom: a member dies of a message. Sequence: a damaged or hostile message
-// of a known member arrives in any role. Cause: an index that is trusted.
+// FuzzMessages guards against a member that crashes, or stores entries at wrong indexes, because
+// it trusts an index in a damaged or hostile message of a known member. The message is received
+// by members in each role.
 func FuzzMessages(f *testing.F) {
 	part := message.Agreement{Group: "g", Term: 1, From: "b"}
 	entry := message.LogEntry{Index: 9, Term: 1, Type: message.EntryCommand, Command: []byte("x")}
@@ -70,7 +71,7 @@
 			Reduce(v.state, Ticked{s.now + 1})
 			Reduce(v.state, Received{s.now + 1, m})
 			if last := v.state.Last(); last > v.state.log.base && v.state.log.at(last).Index != last {
-				t.Fatalf("entry %d is in the place of %d", v.state.log.at(last).Index, last)
+				t.Fatalf("entry %d is stored at index %d", v.state.log.at(last).Index, last)
 			}
 		}
 	})
--- a/internal/reducer/agreement/leader.go
+++ b/internal/reducer/agreement/leader.go
@@ -7,40 +7,42 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// leadership is what only a leader knows; it is empty in other roles.
+// leadership is the state that only a leader has; it is empty in other roles.
 type leadership struct {
 	progress map[string]*progress
-	// firstIndex is the last index of the log when the term began; once more
-	// than that is committed, Commit is current.
-	firstIndex uint64
+	// lastBeforeTerm is the last index of the log at the start of the term. Commit is current
+	// once it is greater.
+	lastBeforeTerm uint64
 	// round is the newest round of messages.
 	round message.Round
-	// heartbeatDue is the tick of the next round.
+	// heartbeatDue is the tick at which the next round starts.
 	heartbeatDue uint64
-	// waiting holds the proposals and changes that were appended here.
+	// waiting maps the index of an entry to the ID of the proposal or membership change that this
+	// leader appended there.
 	waiting map[uint64]uint64
 	reads   []read
-	// transferTo is the member that leadership is being handed to, until
+	// transferTo is the member that leadership is being transferred to, until the tick
 	// transferEnd.
 	transferTo  string
 	transferEnd uint64
 }
 
-// progress is how far one other member is.
+// progress is the replication state of one other member.
 type progress struct {
-	// match is the last index that it has synced, next the one to send.
+	// match is the last index that the member has synced, next the index of the next entry to
+	// send.
 	match, next uint64
-	// matchRound is the round that the last accepted answer belongs to.
+	// matchRound is the round of the last accepted answer.
 	matchRound uint64
-	// probing is true while it is not known where its log meets the leader's;
-	// then nothing is sent ahead of an answer.
+	// probing is true while the last index at which the logs of the member and the leader agree
+	// is unknown; entries are then sent only after the previous ones are answered.
 	probing bool
-	// ackRound and ackTick are the newest round that it answered.
+	// ackRound is the newest round that the member answered, ackTick the start of that round.
 	ackRound, ackTick uint64
 	acked             bool
 	// recovering is true while the member grants no vote.
 	recovering bool
-	// chunk is the snapshot under way to it, if any.
+	// chunk is the snapshot transfer in progress to the member, if any.
 	chunk *chunkProgress
 }
 
@@ -48,16 +50,16 @@
 	s.Role = Leader
 	s.Leader = s.Config.Name
 	s.lead = leadership{
-		progress:     map[string]*progress{},
-		firstIndex:   s.log.last(),
-		waiting:      map[uint64]uint64{},
-		heartbeatDue: s.now,
+		progress:       map[string]*progress{},
+		lastBeforeTerm: s.log.last(),
+		waiting:        map[uint64]uint64{},
+		heartbeatDue:   s.now,
 	}
 	s.trackMembers()
 	for name := range s.election.votes {
 		if p := s.lead.progress[name]; p != nil {
-			// A vote keeps its giver from electing another for a while, just as
-			// an answered round does.
+			// A member that granted a vote grants no other for ElectionTicks, just as one that
+			// answered a round.
 			p.acked, p.ackTick = true, s.election.began
 		}
 	}
@@ -68,12 +70,12 @@
 	case !s.founding():
 		s.appendNew(message.LogEntry{Type: message.EntryNone})
 	}
-	s.leaderTicked()
+	s.tickLeader()
 }
 
-// found ends the founding of a group: once every founder has synced the first
-// entry, none of them is taken for one that lost its folder.
-func (s *State) found() {
+// finishFounding ends the founding of a group: once every founder has synced the founding entry,
+// none of them can be mistaken for a member that lost its data folder.
+func (s *State) finishFounding() {
 	if !s.founding() || s.Synced < foundingIndex {
 		return
 	}
@@ -86,7 +88,7 @@
 	s.appendNew(message.LogEntry{Type: message.EntryNone})
 }
 
-// appendNew appends one entry of the present term and returns its index.
+// appendNew appends one entry of the current term and returns its index.
 func (s *State) appendNew(e message.LogEntry) uint64 {
 	e.Index = s.log.last() + 1
 	e.Term = s.Hard.Term
@@ -97,7 +99,7 @@
 	return e.Index
 }
 
-// trackMembers keeps a progress for each other member and for no one else.
+// trackMembers makes progress hold exactly the other members of the group.
 func (s *State) trackMembers() {
 	for name := range s.lead.progress {
 		if _, ok := s.Member(name); !ok {
@@ -111,21 +113,21 @@
 	}
 }
 
-// settled tells whether Commit is known to be current: something of this term
-// is committed.
-func (s *State) settled() bool {
-	return s.Role == Leader && s.Commit > s.lead.firstIndex && s.Commit > foundingIndex
+// commitIsCurrent reports whether Commit is known to be current: an entry of this term is
+// committed.
+func (s *State) commitIsCurrent() bool {
+	return s.Role == Leader && s.Commit > s.lead.lastBeforeTerm && s.Commit > foundingIndex
 }
 
-func (s *State) leaderTicked() {
-	s.endTransferLate()
+func (s *State) tickLeader() {
+	s.expireTransfer()
 	if s.now < s.lead.heartbeatDue {
 		return
 	}
 	s.beginRound()
 }
 
-// beginRound sends every member a message of a new round.
+// beginRound starts a new round and sends its message to every other member.
 func (s *State) beginRound() {
 	s.lead.heartbeatDue = s.now + s.Config.HeartbeatTicks
 	s.lead.round.Number++
@@ -138,8 +140,8 @@
 	s.answerReads()
 }
 
-// nth returns the value that a quorum of the voters has reached.
-func (s *State) nth(own uint64, of func(*progress) uint64) uint64 {
+// quorumValue returns the highest value that a quorum of the voters has reached.
+func (s *State) quorumValue(own uint64, value func(*progress) uint64) uint64 {
 	var values []uint64
 	for _, m := range s.Members {
 		if !m.Voter {
@@ -149,7 +151,7 @@
 			values = append(values, own)
 			continue
 		}
-		values = append(values, of(s.lead.progress[m.Name]))
+		values = append(values, value(s.lead.progress[m.Name]))
 	}
 	if len(values) == 0 {
 		return 0
@@ -158,36 +160,34 @@
 	return values[len(values)-s.quorum()]
 }
 
-// checkLease makes a leader step down that no quorum answers.
+// checkLease makes a leader step down if no quorum has answered within LeaseTicks.
 //
-// A leader that is cut off would otherwise go on answering as leader, next to
-// the one that the others elect: callers would be told of a leader that can
-// accept nothing. Followers wait for ElectionTicks before they elect, which is
-// longer.
+// Otherwise a leader that is cut off would keep answering as leader beside the one that the other
+// members elect, and callers would be directed to a leader that can accept nothing. Followers
+// wait for ElectionTicks, which is longer, before they elect another.
 func (s *State) checkLease() {
 	if s.Role != Leader {
 		return
 	}
 	if s.now >= s.LeaseEnd() {
-		s.follow(s.Hard.Term, "")
+		s.becomeFollower(s.Hard.Term, "")
 	}
 }
 
-// LeaseEnd returns, on a leader, the tick at which it stops leading unless a
-// quorum answers before.
+// LeaseEnd returns, on a leader, the tick at which it steps down unless a quorum answers before.
 func (s *State) LeaseEnd() uint64 {
-	since := s.nth(s.now, func(p *progress) uint64 { return p.ackTick })
+	since := s.quorumValue(s.now, func(p *progress) uint64 { return p.ackTick })
 	return since + s.Config.LeaseTicks
 }
 
-// advanceCommit commits what a quorum has synced.
+// advanceCommit commits the entries that a quorum has synced.
 func (s *State) advanceCommit() {
-	index := s.nth(s.Synced, func(p *progress) uint64 { return p.match })
+	index := s.quorumValue(s.Synced, func(p *progress) uint64 { return p.match })
 	if index <= s.Commit {
 		return
 	}
-	// An entry of an earlier term may be replaced though a quorum holds it;
-	// it is committed along with the first one of this term.
+	// An entry of an earlier term may still be replaced although a quorum holds it; it is
+	// committed along with the first entry of this term.
 	if term, ok := s.log.term(index); !ok || term != s.Hard.Term {
 		return
 	}
@@ -195,8 +195,8 @@
 	s.answerReads()
 }
 
-// abandonLeadership answers all that waits for this leader.
-func (s *State) abandonLeadership() {
+// endLeadership refuses all requests that wait for this leader.
+func (s *State) endLeadership() {
 	for _, index := range sortedKeys(s.lead.waiting) {
 		s.emit(Refused{
 			ID:     s.lead.waiting[index],
--- a/internal/reducer/agreement/log.go
+++ b/internal/reducer/agreement/log.go
@@ -2,9 +2,8 @@
 
 import "github.com/oriolebend/oriolebend/internal/message"
 
-// entryLog is the part of the log that is held in memory: the entries after
-// base. Slices of it may be shared with messages, so it never writes to an
-// element that it has handed out.
+// entryLog is the part of the log that is held in memory: the entries after base. Messages may
+// share slices of it, so it never overwrites an element that it has returned.
 type entryLog struct {
 	base     uint64
 	baseTerm uint64
@@ -18,7 +17,7 @@
 	return term
 }
 
-// term returns the term of an entry; it is false if the entry is not held.
+// term returns the term of an entry, and false if the entry is not held.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.base {
 		return l.baseTerm, true
@@ -33,8 +32,8 @@
 	return l.entries[index-l.base-1]
 }
 
-// slice returns the entries from index on, as many as fit into bytes but at
-// least one.
+// slice returns the entries from index from on, as many as fit into the given number of bytes but
+// at least one.
 func (l *entryLog) slice(from uint64, bytes int) []message.LogEntry {
 	rest := l.entries[from-l.base-1:]
 	size := 0
@@ -51,13 +50,13 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// truncate drops the entries from index on.
+// truncate drops the entries from index from on.
 func (l *entryLog) truncate(from uint64) {
 	keep := from - l.base - 1
 	l.entries = l.entries[:keep:keep]
 }
 
-// compact drops the entries up to and with through.
+// compact drops the entries up to and including through.
 func (l *entryLog) compact(through uint64) {
 	if through <= l.base {
 		return
@@ -68,7 +67,7 @@
 	l.base, l.baseTerm = through, term
 }
 
-// entryOverheadBytes is what an entry costs besides its command.
+// entryOverheadBytes is the size that an entry counts for besides its command.
 const entryOverheadBytes = 48
 
 func entryBytes(e message.LogEntry) int {
--- a/internal/reducer/agreement/members.go
+++ b/internal/reducer/agreement/members.go
@@ -7,7 +7,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// adoptMembers finds the members that the log and snapshot tell of.
+// adoptMembers sets the members from the last EntryMembers in the log, else from the snapshot,
+// else from the founders.
 func (s *State) adoptMembers() {
 	for i := s.log.last(); i > s.log.base; i-- {
 		e := s.log.at(i)
@@ -23,14 +24,14 @@
 	s.Members, s.MembersIndex = s.Config.Founders, 0
 }
 
-// changeAsked appends a change of members, one at a time.
-func (s *State) changeAsked(e ChangeAsked) {
+// handleChange appends a membership change, or refuses it.
+func (s *State) handleChange(e ChangeAsked) {
 	if s.Role != Leader {
 		s.refuseNotLeader(e.ID)
 		return
 	}
 	if e.Action == ChangeRemove && e.Member.Name == s.Config.Name && s.voters() > 1 {
-		s.removeLater(e.ID)
+		s.transferBeforeRemoval(e.ID)
 		return
 	}
 	if refused, ok := s.checkChange(e); !ok {
@@ -39,18 +40,17 @@
 		s.emit(refused)
 		return
 	}
-	members := s.changed(e)
+	members := s.membersAfter(e)
 	index := s.appendNew(message.LogEntry{Type: message.EntryMembers, Members: members})
 	s.lead.waiting[index] = e.ID
 }
 
-// removeLater hands leadership over, so that the next leader can remove this
-// member.
+// transferBeforeRemoval transfers leadership, so that the next leader can remove this member.
 //
-// A leader that removed itself and died before the others had the entry would
-// leave a group that can elect nobody: it holds the longest log and may no
-// longer stand, the others may stand and lack the entry.
-func (s *State) removeLater(id uint64) {
+// If a leader removed itself and crashed before the others had the entry, the group could not
+// elect a leader: this member would have the longest log and could no longer stand for election,
+// and the others could stand but would lack the entry.
+func (s *State) transferBeforeRemoval(id uint64) {
 	s.emit(Refused{
 		ID:         id,
 		Reason:     oriolebend.ReasonNotLeader,
@@ -58,12 +58,12 @@
 		Detail:     "this control VM hands leadership over before it is removed",
 		RetryAfter: retryLeader,
 	})
-	s.transferAsked()
+	s.handleTransfer()
 }
 
-// changed returns the members after a change. A change that is in force
-// already leaves them as they are, so that it can be asked again.
-func (s *State) changed(e ChangeAsked) []message.Member {
+// membersAfter returns the members after a change. A change that is already in force leaves them
+// as they are, so that a request can be repeated.
+func (s *State) membersAfter(e ChangeAsked) []message.Member {
 	members := slices.Clone(s.Members)
 	at := slices.IndexFunc(members, func(m message.Member) bool { return m.Name == e.Member.Name })
 	switch {
@@ -79,11 +79,12 @@
 	return members
 }
 
-// checkChange tells why a change can't be made now.
+// checkChange returns the reason why a change is not possible now, and false, or true if it is
+// possible.
 func (s *State) checkChange(e ChangeAsked) (Refused, bool) {
 	_, exists := s.Member(e.Member.Name)
 	switch {
-	case !s.settled() || s.MembersIndex > s.Commit:
+	case !s.commitIsCurrent() || s.MembersIndex > s.Commit:
 		return Refused{
 			Reason:     oriolebend.ReasonRevisionRace,
 			Detail:     "another change of members is under way",
@@ -105,8 +106,8 @@
 	return Refused{Reason: oriolebend.ReasonInvalidResource, Detail: detail}
 }
 
-// removable tells whether the group can lose a member: what is left must have
-// a quorum that answers now, or nothing could be agreed ever again.
+// removable reports whether the group can lose a member: the remaining voters must include a
+// quorum that answers now, or nothing could ever be agreed again.
 func (s *State) removable(name string) bool {
 	if !s.isVoter(name) {
 		return true
@@ -117,14 +118,14 @@
 	}
 	active := 0
 	for _, m := range s.Members {
-		if m.Voter && m.Name != name && s.mayElect(m.Name) {
+		if m.Voter && m.Name != name && s.mayGrantVotes(m.Name) {
 			active++
 		}
 	}
 	return active >= left/2+1
 }
 
-// Active tells, on a leader, whether a member answered within the lease.
+// Active reports, on a leader, whether a member has answered within the lease.
 func (s *State) Active(name string) bool {
 	if name == s.Config.Name {
 		return true
@@ -133,8 +134,8 @@
 	return p != nil && p.acked && s.now < p.ackTick+s.Config.LeaseTicks
 }
 
-// mayElect tells whether a member answers and grants votes.
-func (s *State) mayElect(name string) bool {
+// mayGrantVotes reports whether a member answers and grants votes.
+func (s *State) mayGrantVotes(name string) bool {
 	p := s.lead.progress[name]
 	return s.Active(name) && (p == nil || !p.recovering)
 }
@@ -150,15 +151,15 @@
 	return 0
 }
 
-// promote lets a member vote that has caught up: it has synced all that is
-// committed, and would grant votes itself. A voter that grants none could be
-// the one that the next election needs.
+// promote makes a member a voter once it has caught up: it has synced all committed entries, and
+// would grant votes itself. A voter that grants none could be the one that the next election
+// needs.
 //
-// Were it to vote from the start, the loss of one more member while it still
-// catches up would leave the group without a quorum that holds the log.
+// If a new member voted from the start, the loss of one more member while it catches up would
+// leave the group without a quorum that holds the log.
 func (s *State) promote(name string, p *progress) {
 	m, ok := s.Member(name)
-	if !ok || m.Voter || !s.settled() || s.MembersIndex > s.Commit || p.match < s.Commit {
+	if !ok || m.Voter || !s.commitIsCurrent() || s.MembersIndex > s.Commit || p.match < s.Commit {
 		return
 	}
 	if p.recovering {
--- a/internal/reducer/agreement/propose.go
+++ b/internal/reducer/agreement/propose.go
@@ -7,16 +7,16 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Times after which a refused caller may come back.
+// Delays after which a refused caller may retry.
 const (
-	// retryFull is for a full queue of proposals.
+	// retryFull applies when the queue of proposals is full.
 	retryFull = 100 * time.Millisecond
-	// retryLeader is for a group that has no leader here.
+	// retryLeader applies when this member is not a leader that accepts requests.
 	retryLeader = 500 * time.Millisecond
 )
 
-// proposed appends the commands that there is room for.
-func (s *State) proposed(proposals []Proposal) {
+// handleProposals appends the commands that are admitted.
+func (s *State) handleProposals(proposals []Proposal) {
 	var entries []message.LogEntry
 	index := s.log.last()
 	bytes := s.unappliedBytes()
@@ -35,7 +35,7 @@
 	s.appendEntries(entries...)
 }
 
-// admit refuses a proposal that can't be appended now.
+// admit reports whether a proposal can be appended now, and refuses it if not.
 func (s *State) admit(p Proposal, unapplied uint64, bytes int) bool {
 	refused := Refused{ID: p.ID, Ran: oriolebend.RanNo}
 	switch {
@@ -82,8 +82,8 @@
 	})
 }
 
-// applied notes how far the machine is.
-func (s *State) applied(index uint64) {
+// handleApplied records the last index that the state machine has applied.
+func (s *State) handleApplied(index uint64) {
 	s.Applied = max(s.Applied, index)
 	s.answerReads()
 }
--- a/internal/reducer/agreement/random_test.go
+++ b/internal/reducer/agreement/random_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// Each run of the tests tries shards times randomChecks random interleavings.
+// Each run of the tests checks shards times randomChecks random interleavings.
 const (
 	shards       = 4
 	randomChecks = "500"
@@ -35,10 +35,9 @@
 	}
 }
 
-// Symptom: an accepted command is gone, or two VMs differ. Sequence: any
-// order of lost, doubled and overtaking messages, crashes that lose or keep
-// unsynced writes, lost folders, pauses, snapshots and changes of members.
-// Cause: whichever rule of the agreement an interleaving breaks.
+// TestRandomInterleavings guards against accepted commands that are lost and members that differ.
+// It tries random orders of lost, duplicated and reordered messages, crashes that lose or keep
+// unsynced writes, lost data folders, pauses, snapshots and membership changes.
 func TestRandomInterleavings(t *testing.T) {
 	for shard := range shards {
 		t.Run(strconv.Itoa(shard), func(t *testing.T) {
@@ -48,14 +47,14 @@
 	}
 }
 
-// interleave tries one interleaving. The shard is mixed into the seed, since
-// all shards draw the same from rapid.
+// interleave runs one random interleaving. The shard is mixed into the seed, because all shards
+// draw the same values from rapid.
 func interleave(t *rapid.T, shard int) {
 	names := []string{"a", "b", "c", "d", "e"}
 	seed := rapid.SliceOfN(rapid.Byte(), chachaSeedBytes, chachaSeedBytes).Draw(t, "seed")
 	seed[0] ^= byte(shard)
 	d := dice{rand.New(rand.NewChaCha8([chachaSeedBytes]byte(seed)))}
-	s := newSim(names, []int{1, 3, 3, 3, 5}[d.IntN(5)], smallConfig(), func(s *sim) { s.tellStarts = shard%2 == 1 })
+	s := newSim(names, []int{1, 3, 3, 3, 5}[d.IntN(5)], smallConfig(), func(s *sim) { s.exchangeStarts = shard%2 == 1 })
 	s.run(40)
 	weights := drawWeights(d)
 	for range rapid.IntRange(50, 400).Draw(t, "steps") {
@@ -67,8 +66,8 @@
 	s.recoverAll(t)
 }
 
-// recoverAll heals everything and checks that the group works again and holds
-// all that was told.
+// recoverAll heals all links, starts all members, and checks that the group works again and holds
+// every entry that was confirmed.
 func (s *sim) recoverAll(t *rapid.T) {
 	s.cut = map[[2]string]bool{}
 	for _, v := range s.vms {
@@ -79,32 +78,32 @@
 	s.run(150)
 	leader := s.leader()
 	if s.failure != "" || leader == nil {
-		t.Fatalf("after healing: led %t, %s%s", leader != nil, s.failure, s.status())
+		t.Fatalf("after healing: has leader %t, %s%s", leader != nil, s.failure, s.status())
 	}
 	s.propose(leader, 1)
 	s.confirm(leader)
 	s.run(20)
 	if s.failure != "" || leader.index < s.acked || leader.index != leader.state.Last() {
-		t.Fatalf("after healing: applied %d of %d, told %d: %s",
+		t.Fatalf("after healing: applied %d of %d, confirmed %d: %s",
 			leader.index, leader.state.Last(), s.acked, s.failure)
 	}
 }
 
-// dice draws the interleaving. The seed comes from rapid; the draws do not,
-// since rapid prefers small numbers, which would make most actions rare.
+// dice draws the interleaving. The seed comes from rapid; the draws do not, because rapid prefers
+// small numbers, which would make most actions rare.
 type dice struct{ *rand.Rand }
 
 const chachaSeedBytes = 32
 
-// one is true once in n times.
-func (d dice) one(n int) bool { return d.IntN(n) == 0 }
+// oneIn returns true once in n draws on average.
+func (d dice) oneIn(n int) bool { return d.IntN(n) == 0 }
 
-// action is one kind of step; weights give each run a taste of its own.
+// action is one kind of step. Each run draws its own weights of the actions.
 type action int
 
 const (
-	actPass action = iota
-	actWire
+	actAdvance action = iota
+	actDeliver
 	actSync
 	actPropose
 	actConfirm
@@ -113,7 +112,7 @@
 	actTransfer
 	actChange
 	actCut
-	actQuiet
+	actRun
 	actions
 )
 
@@ -125,7 +124,7 @@
 			drawn = append(drawn, action(a))
 		}
 	}
-	return append(drawn, actPass, actWire, actSync, actPropose)
+	return append(drawn, actAdvance, actDeliver, actSync, actPropose)
 }
 
 func (s *sim) step(d dice, weights []action) {
@@ -135,10 +134,10 @@
 		return
 	}
 	switch weights[d.IntN(len(weights))] {
-	case actPass:
-		s.pass(d)
-	case actWire:
-		s.wire(d)
+	case actAdvance:
+		s.advanceTime(d)
+	case actDeliver:
+		s.deliverSome(d)
 	case actSync:
 		s.sync(v, 1+d.IntN(4))
 	case actPropose:
@@ -152,36 +151,36 @@
 	case actTransfer:
 		s.feed(v, TransferAsked{s.now})
 	case actChange:
-		s.changeSome(d, v)
+		s.changeMembers(d, v)
 	case actCut:
 		s.toggleCut(d, v)
-	case actQuiet:
+	case actRun:
 		s.run(1 + d.IntN(15))
 	}
 }
 
-// pass lets time go on; members that see no tick are paused.
-func (s *sim) pass(d dice) {
+// advanceTime advances the clock; members that receive no tick are paused.
+func (s *sim) advanceTime(d dice) {
 	s.now += []uint64{1, 1, 1, 3, 14}[d.IntN(5)]
 	for _, v := range s.vms {
-		if !d.one(5) {
+		if !d.oneIn(5) {
 			s.feed(v, Ticked{s.now})
 		}
 	}
 }
 
-func (s *sim) wire(d dice) {
+func (s *sim) deliverSome(d dice) {
 	for range 1 + d.IntN(8) {
-		if len(s.wires) == 0 {
+		if len(s.inFlight) == 0 {
 			return
 		}
-		i := d.IntN(len(s.wires))
+		i := d.IntN(len(s.inFlight))
 		switch d.IntN(20) {
 		case 0:
-			s.wires = append(s.wires, s.wires[i])
+			s.inFlight = append(s.inFlight, s.inFlight[i])
 			s.deliver(i)
 		case 1:
-			s.wires = slices.Delete(s.wires, i, i+1)
+			s.inFlight = slices.Delete(s.inFlight, i, i+1)
 		case 2, 3, 4:
 			s.deliver(i)
 		default:
@@ -195,29 +194,29 @@
 		s.start(v)
 		return
 	}
-	if d.one(3) && s.mayWipe(v) {
+	if d.oneIn(3) && s.mayWipe(v) {
 		s.wipe(v)
 		return
 	}
 	s.crash(v, d.IntN(4))
 }
 
-// mayWipe allows one lost folder at a time: the second only after the first
-// has healed, in groups that bear one.
+// mayWipe allows one lost data folder at a time, and only in groups that tolerate one: the second
+// only after the first member has recovered.
 func (s *sim) mayWipe(lost *vm) bool {
 	if len(s.config.Founders) < MinVoters {
 		return false
 	}
 	for _, v := range s.vms {
-		if v != lost && s.known(v.name) && !v.healthy() {
+		if v != lost && s.isMember(v.name) && !v.healthy() {
 			return false
 		}
 	}
 	return true
 }
 
-// known tells whether any VM takes the name for a member.
-func (s *sim) known(name string) bool {
+// isMember reports whether any VM has the name among its members.
+func (s *sim) isMember(name string) bool {
 	for _, v := range s.vms {
 		if v.state == nil {
 			continue
@@ -229,7 +228,7 @@
 	return false
 }
 
-func (s *sim) changeSome(d dice, v *vm) {
+func (s *sim) changeMembers(d dice, v *vm) {
 	other := s.vms[d.IntN(len(s.vms))]
 	if other.state == nil {
 		s.start(other)
--- a/internal/reducer/agreement/read.go
+++ b/internal/reducer/agreement/read.go
@@ -1,22 +1,21 @@
 package agreement
 
-// read is a confirmation that waits.
+// read is a pending confirmation of leadership.
 type read struct {
 	id uint64
-	// round must be answered by a quorum first, zero as long as none has begun
-	// for it.
+	// round must be answered by a quorum first. It is zero until a round is assigned.
 	round uint64
-	// index must be applied first; it is set along with round.
+	// index must be applied first. It is set along with round.
 	index uint64
 }
 
-// confirmAsked begins to confirm that this member leads.
+// handleConfirm begins to confirm that this member leads.
 //
-// The lease alone is not trusted for reads: a VM that was paused as a whole
-// wakes up with a clock that did not run, and would answer from a state that
-// another leader has long changed. A round that is answered after the question
-// shows that no other leader was elected before it.
-func (s *State) confirmAsked(id uint64) {
+// The lease alone does not suffice for reads: a VM that was paused as a whole resumes with a
+// clock that did not run, and would answer from a state that another leader has long changed. A
+// round that a quorum answers after the request shows that no other leader was elected before the
+// request.
+func (s *State) handleConfirm(id uint64) {
 	if s.Role != Leader {
 		s.refuseNotLeader(id)
 		return
@@ -25,11 +24,10 @@
 	s.answerReads()
 }
 
-// answerReads answers the confirmations that are due, and begins a round for
-// those that have none. One round is under way at a time; questions that come
-// meanwhile share the next one.
+// answerReads answers the confirmations that are due, and begins a round for those that have
+// none. One round is in progress at a time; requests that arrive meanwhile share the next one.
 func (s *State) answerReads() {
-	if s.Role != Leader || len(s.lead.reads) == 0 || !s.settled() {
+	if s.Role != Leader || len(s.lead.reads) == 0 || !s.commitIsCurrent() {
 		return
 	}
 	confirmed := s.confirmedRound()
@@ -41,7 +39,7 @@
 }
 
 func (s *State) confirmedRound() uint64 {
-	return s.nth(s.lead.round.Number, func(p *progress) uint64 { return p.ackRound })
+	return s.quorumValue(s.lead.round.Number, func(p *progress) uint64 { return p.ackRound })
 }
 
 func (s *State) finishReads(confirmed uint64) {
@@ -56,8 +54,8 @@
 	s.lead.reads = rest
 }
 
-// assignReads gives the next round to reads that have none; it is false if
-// there are none or a round is still under way for others.
+// assignReads assigns the next round to the reads that have none. It returns false if there are
+// none, or if a round for earlier reads is still in progress.
 func (s *State) assignReads(confirmed uint64) bool {
 	waiting := false
 	for _, r := range s.lead.reads {
--- a/internal/reducer/agreement/reduce.go
+++ b/internal/reducer/agreement/reduce.go
@@ -2,54 +2,54 @@
 
 import "github.com/oriolebend/oriolebend/internal/message"
 
-// Reduce carries one event into the state and returns what is to be done.
+// Reduce applies one event to the state and returns the effects to carry out.
 func Reduce(s *State, e Event) []Effect {
 	s.effects = nil
 	s.now = max(s.now, e.tick())
 	s.checkLease()
 	switch e := e.(type) {
 	case Ticked:
-		s.ticked()
+		s.handleTick()
 	case Received:
-		s.received(e.Message)
+		s.handleMessage(e.Message)
 	case Proposed:
-		s.proposed(e.Proposals)
+		s.handleProposals(e.Proposals)
 	case ConfirmAsked:
-		s.confirmAsked(e.ID)
+		s.handleConfirm(e.ID)
 	case ChangeAsked:
-		s.changeAsked(e)
+		s.handleChange(e)
 	case TransferAsked:
-		s.transferAsked()
+		s.handleTransfer()
 	case Persisted:
-		s.persisted(e.Sequence)
+		s.handlePersisted(e.Sequence)
 	case Applied:
-		s.applied(e.Index)
+		s.handleApplied(e.Index)
 	case SnapshotMade:
-		s.snapshotMade(e.Meta)
+		s.handleSnapshotMade(e.Meta)
 	case Regrouped:
 		if s.empty() {
 			s.Config.Group = e.Group
 		}
 	}
-	s.settle()
+	s.finishEvent()
 	return s.effects
 }
 
 func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
 
-// settle emits what follows from the event as a whole.
-func (s *State) settle() {
+// finishEvent emits the effects that follow from the event as a whole.
+func (s *State) finishEvent() {
 	if s.Role == Leader {
-		s.broadcastNew()
+		s.sendNewEntries()
 	}
 	s.save()
-	s.hand()
+	s.applyCommitted()
 	s.continueTransfer()
-	s.report()
+	s.reportLeadership()
 }
 
-// hand gives out what is committed and durable here.
-func (s *State) hand() {
+// applyCommitted passes the entries that are committed and durable here to the state machine.
+func (s *State) applyCommitted() {
 	until := min(s.Commit, s.Synced)
 	if until <= s.Handed {
 		return
@@ -63,8 +63,8 @@
 	s.emit(Apply{Entries: entries})
 }
 
-// report tells of a new role, term or leader once.
-func (s *State) report() {
+// reportLeadership emits a LeadershipChanged when the role, term or leader has changed.
+func (s *State) reportLeadership() {
 	leader, _ := s.Member(s.Leader)
 	now := Led{Role: s.Role, Term: s.Hard.Term, Leader: leader}
 	if now == s.reported {
@@ -74,77 +74,77 @@
 	s.emit(now)
 }
 
-func (s *State) received(m message.Message) {
-	part, ok := message.AgreementPart(m)
-	if !ok || part.Group != s.Config.Group || part.From == s.Config.Name {
+func (s *State) handleMessage(m message.Message) {
+	header, ok := message.AgreementPart(m)
+	if !ok || header.Group != s.Config.Group || header.From == s.Config.Name {
 		return
 	}
 	if !wellFormed(m) {
 		return
 	}
-	if part.Term > s.Hard.Term && !s.meetHigherTerm(m, part) {
+	if header.Term > s.Hard.Term && !s.handleHigherTerm(m, header) {
 		return
 	}
-	if part.Term < s.Hard.Term {
-		s.answerLowerTerm(m, part)
+	if header.Term < s.Hard.Term {
+		s.rejectLowerTerm(m, header)
 		return
 	}
 	switch m := m.(type) {
 	case message.Append:
-		s.appendReceived(m)
+		s.handleAppend(m)
 	case message.AppendAnswer:
-		s.appendAnswered(m)
+		s.handleAppendAnswer(m)
 	case message.Vote:
-		s.voteAsked(m)
+		s.handleVote(m)
 	case message.VoteAnswer:
-		s.voteAnswered(m)
+		s.handleVoteAnswer(m)
 	case message.Chunk:
-		s.chunkReceived(m)
+		s.handleChunk(m)
 	case message.ChunkAnswer:
-		s.chunkAnswered(m)
+		s.handleChunkAnswer(m)
 	case message.Campaign:
-		s.campaignAsked()
+		s.handleCampaign()
 	}
 }
 
-// meetHigherTerm takes the higher term over, unless the message does not
-// justify that; it is true if the message is to be handled further.
-func (s *State) meetHigherTerm(m message.Message, part message.Agreement) bool {
+// handleHigherTerm adopts the higher term of a message, unless the message does not justify that.
+// It reports whether the message is to be handled further.
+func (s *State) handleHigherTerm(m message.Message, header message.Agreement) bool {
 	switch m := m.(type) {
 	case message.Vote:
 		if m.Pre {
-			s.preVoteAsked(m)
+			s.handlePreVote(m)
 			return false
 		}
-		if s.loyal() && !m.Transfer && !s.waived(m) {
+		if s.inLease() && !m.Transfer && !s.leaseWaived(m) {
 			return false
 		}
 	case message.VoteAnswer:
 		if m.Pre && (m.Granted || m.Start != 0) {
-			s.preVoteAnswered(m)
+			s.handlePreVoteAnswer(m)
 			return false
 		}
 	}
-	s.follow(part.Term, "")
+	s.becomeFollower(header.Term, "")
 	return true
 }
 
-// answerLowerTerm tells an outdated leader or candidate of the newer term.
+// rejectLowerTerm informs an outdated leader or candidate of the newer term.
 //
-// Without it a member that holds a higher term than the leader would ignore
-// its entries for ever: the leader would never learn why, and the group would
-// run with one member fewer.
-func (s *State) answerLowerTerm(m message.Message, part message.Agreement) {
+// Without this answer a member with a higher term than the leader would ignore its entries
+// forever: the leader would never learn the reason, and the group would run with one member
+// fewer.
+func (s *State) rejectLowerTerm(m message.Message, header message.Agreement) {
 	switch m := m.(type) {
 	case message.Append:
-		s.send(part.From, message.AppendAnswer{Agreement: s.part(), Round: m.Round}, afterHard)
+		s.send(header.From, message.AppendAnswer{Agreement: s.header(), Round: m.Round}, afterHardState)
 	case message.Chunk:
-		s.send(part.From, message.AppendAnswer{Agreement: s.part(), Round: m.Round}, afterHard)
+		s.send(header.From, message.AppendAnswer{Agreement: s.header(), Round: m.Round}, afterHardState)
 	case message.Vote:
-		s.send(part.From, message.VoteAnswer{Agreement: s.part(), Pre: m.Pre}, afterHard)
+		s.send(header.From, message.VoteAnswer{Agreement: s.header(), Pre: m.Pre}, afterHardState)
 	}
 }
 
-func (s *State) part() message.Agreement {
+func (s *State) header() message.Agreement {
 	return message.Agreement{Group: s.Config.Group, Term: s.Hard.Term, From: s.Config.Name}
 }
--- a/internal/reducer/agreement/replicate.go
+++ b/internal/reducer/agreement/replicate.go
@@ -2,8 +2,8 @@
 
 import "github.com/oriolebend/oriolebend/internal/message"
 
-// broadcastNew sends each member the entries that it can take now.
-func (s *State) broadcastNew() {
+// sendNewEntries sends to each member the entries that its window has room for.
+func (s *State) sendNewEntries() {
 	for _, m := range s.Members {
 		p := s.lead.progress[m.Name]
 		if p == nil || p.probing || p.chunk != nil {
@@ -17,8 +17,8 @@
 	}
 }
 
-// sendRound sends the message of a new round: the next entries to a member
-// that is being probed, else none.
+// sendRound sends the message of a new round: the next entries to a member that is being probed,
+// a heartbeat to any other.
 func (s *State) sendRound(m message.Member) {
 	p := s.lead.progress[m.Name]
 	switch {
@@ -37,8 +37,8 @@
 	}
 }
 
-// sendEntries sends entries from p.next on, or a snapshot if they are no
-// longer held; it is true if p.next moved on.
+// sendEntries sends the entries from p.next on, or a snapshot if they are no longer held. It
+// reports whether p.next has advanced.
 func (s *State) sendEntries(m message.Member, p *progress) bool {
 	term, ok := s.log.term(p.next - 1)
 	if !ok {
@@ -59,7 +59,7 @@
 
 func (s *State) newAppend(prev, prevTerm uint64, entries []message.LogEntry) message.Append {
 	return message.Append{
-		Agreement: s.part(),
+		Agreement: s.header(),
 		PrevIndex: prev,
 		PrevTerm:  prevTerm,
 		Entries:   entries,
@@ -69,21 +69,21 @@
 	}
 }
 
-func (s *State) appendAnswered(m message.AppendAnswer) {
+func (s *State) handleAppendAnswer(m message.AppendAnswer) {
 	p := s.lead.progress[m.From]
 	if s.Role != Leader || p == nil {
 		return
 	}
-	s.acknowledged(p, m.Round)
+	s.recordAck(p, m.Round)
 	if m.Accepted {
-		s.accepted(m, p)
+		s.handleAccepted(m, p)
 		return
 	}
-	s.rejected(m, p)
+	s.handleRejected(m, p)
 }
 
-// acknowledged notes that a member follows this leader since the round.
-func (s *State) acknowledged(p *progress, round message.Round) {
+// recordAck records the newest round that a member has answered.
+func (s *State) recordAck(p *progress, round message.Round) {
 	if !p.acked || round.Number > p.ackRound {
 		p.acked = true
 		p.ackRound = round.Number
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s *State) accepted(m message.AppendAnswer, p *progress) {
+func (s *State) handleAccepted(m message.AppendAnswer, p *progress) {
 	p.recovering = m.Recovering
 	p.matchRound = max(p.matchRound, m.Round.Number)
 	if m.Match > s.log.last() {
@@ -105,12 +105,12 @@
 	p.chunk = nil
 	p.probing = p.probing && m.Match+1 < p.next
 	p.next = max(p.next, p.match+1)
-	s.matchMoved(m.From, p)
+	s.matchAdvanced(m.From, p)
 }
 
-// matchMoved follows up on a member's new match.
-func (s *State) matchMoved(name string, p *progress) {
-	s.found()
+// matchAdvanced handles a new match of a member.
+func (s *State) matchAdvanced(name string, p *progress) {
+	s.finishFounding()
 	s.advanceCommit()
 	if s.Role != Leader {
 		return
@@ -118,16 +118,16 @@
 	s.promote(name, p)
 }
 
-// rejected steps back to where the member's log may meet the leader's.
-func (s *State) rejected(m message.AppendAnswer, p *progress) {
+// handleRejected steps back to the last index at which the log of the member may agree with the
+// leader's.
+func (s *State) handleRejected(m message.AppendAnswer, p *progress) {
 	if p.chunk != nil {
 		return
 	}
-	hint := s.meetingPoint(min(m.HintIndex, s.log.last()), m.HintTerm)
+	hint := s.lastPossibleMatch(min(m.HintIndex, s.log.last()), m.HintTerm)
 	if m.HintIndex < p.match && m.Round.Number > p.matchRound {
-		// The member no longer holds what it had accepted: its folder is new.
-		// Waiting for it to grow past the old match would leave it behind for
-		// ever.
+		// The member no longer holds entries that it had accepted: its data folder is new. If the
+		// leader waited for it to grow past the old match, the member would stay behind forever.
 		p.match = 0
 	} else if m.PrevIndex <= p.match || (p.probing && m.PrevIndex != p.next-1) {
 		return
@@ -138,9 +138,9 @@
 	s.sendEntries(member, p)
 }
 
-// meetingPoint returns the last index, at or before the hint, whose term is
-// not higher than the hint's: a whole term is stepped over at once.
-func (s *State) meetingPoint(index, term uint64) uint64 {
+// lastPossibleMatch returns the last index, at or before index, whose term is not higher than the
+// given term. Each call steps over whole terms.
+func (s *State) lastPossibleMatch(index, term uint64) uint64 {
 	for index > s.log.base {
 		own, _ := s.log.term(index)
 		if own <= term {
--- a/internal/reducer/agreement/restart.go
+++ b/internal/reducer/agreement/restart.go
@@ -2,56 +2,56 @@
 
 import "github.com/oriolebend/oriolebend/internal/message"
 
-// restart is what a member that has just started knows of the others' starts.
+// restart tracks which voters, like this member, have just restarted.
 //
-// A member that starts again may have granted a lease a moment before it ended, and gives no
-// vote until that is over. Where every voter has started again no lease can run: its holder
-// has forgotten that it led. After a power loss of everything the group is without a leader
-// for the time of a lease less, in which no request is answered.
+// A member that restarts may have granted a lease just before it crashed, and grants no vote
+// until that lease has expired. If every voter has restarted, no lease can be in force, because
+// its holder has lost its leadership too. After a power loss of all members, detecting this
+// shortens the time without a leader, in which no request is answered, by the length of a lease.
 type restart struct {
-	// fresh is set until the member follows, votes or stands for election.
+	// fresh is true until the member follows a leader, grants a vote or stands for election.
 	fresh bool
-	// askDue is when the others are asked next.
+	// askDue is the tick at which the other voters are asked next.
 	askDue uint64
-	// told holds the answers of the voters that are fresh too.
-	told map[string]message.VoteAnswer
-	// standDue is when the member stands for election, once all voters are fresh; zero
-	// before that.
+	// answers holds the answers of the voters that are fresh too.
+	answers map[string]message.VoteAnswer
+	// standDue is the tick at which the member stands for election. It is zero until all voters
+	// are known to be fresh.
 	standDue uint64
 }
 
-// restartTicked asks the other voters whether they have just started too, and stands for
-// election once all have.
-func (s *State) restartTicked() {
-	if !s.restart.fresh || !s.loyal() || !s.mayCampaign() {
+// tickRestart asks the other voters whether they are fresh too, and stands for election once all
+// are.
+func (s *State) tickRestart() {
+	if !s.restart.fresh || !s.inLease() || !s.mayCampaign() {
 		return
 	}
 	if s.restart.standDue != 0 && s.now >= s.restart.standDue {
-		s.stand()
+		s.standAfterRestart()
 		return
 	}
 	if s.now >= s.restart.askDue {
 		s.restart.askDue = s.now + s.Config.PreVoteTicks
-		part := s.part()
-		part.Term++
-		s.askVotes(message.Vote{Agreement: part, Pre: true}, afterNothing)
+		header := s.header()
+		header.Term++
+		s.requestVotes(message.Vote{Agreement: header, Pre: true}, afterNothing)
 	}
 }
 
-// startTold takes in that another voter is fresh. The members that the two know must be the
-// same: a voter that one of them does not know of might lead.
-func (s *State) startTold(m message.VoteAnswer) {
+// handleFreshVoter records the answer of another voter that is fresh. Both must know the same
+// members: a voter that is missing from the members of one of them might lead.
+func (s *State) handleFreshVoter(m message.VoteAnswer) {
 	if !s.restart.fresh || m.Term != s.Hard.Term+1 || m.MembersIndex != s.MembersIndex {
 		return
 	}
-	if s.restart.told == nil {
-		s.restart.told = map[string]message.VoteAnswer{}
+	if s.restart.answers == nil {
+		s.restart.answers = map[string]message.VoteAnswer{}
 	}
-	s.restart.told[m.From] = m
+	s.restart.answers[m.From] = m
 	if s.restart.standDue == 0 && s.allFresh() {
-		// One after the other, so that votes are not split.
+		// The voters stand one after another, so that votes are not split.
 		s.restart.standDue = s.now + s.rank()*s.Config.PreVoteTicks
-		s.restartTicked()
+		s.tickRestart()
 	}
 }
 
@@ -63,8 +63,8 @@
 		if !m.Voter || m.Name == s.Config.Name {
 			continue
 		}
-		answer, told := s.restart.told[m.Name]
-		if !told {
+		answer, answered := s.restart.answers[m.Name]
+		if !answered {
 			return false
 		}
 		if answer.Would {
@@ -77,7 +77,7 @@
 	return would >= s.quorum()
 }
 
-// rank is the member's place among the voters by their names.
+// rank is the position of the member among the voters, ordered by name.
 func (s *State) rank() uint64 {
 	rank := uint64(0)
 	for _, m := range s.Members {
@@ -88,27 +88,27 @@
 	return rank
 }
 
-// stand stands for election without waiting for a lease.
-func (s *State) stand() {
+// standAfterRestart stands for election without waiting for a lease.
+func (s *State) standAfterRestart() {
 	starts := map[string]uint64{}
-	for name, answer := range s.restart.told {
+	for name, answer := range s.restart.answers {
 		starts[name] = answer.Start
 	}
 	s.campaign(message.Vote{Starts: starts})
 }
 
-// startOf is the start of a member that is fresh, zero of one that is not.
-func (s *State) startOf() uint64 {
+// freshStart returns Config.Start if the member is fresh, else zero.
+func (s *State) freshStart() uint64 {
 	if !s.restart.fresh {
 		return 0
 	}
 	return s.Config.Start
 }
 
-// waived reports whether a vote need not wait for a lease that this member may have granted
-// before it started. A candidate that learnt of an earlier start of this member knows nothing
-// of what happened since.
-func (s *State) waived(m message.Vote) bool {
-	start := s.startOf()
+// leaseWaived reports whether a vote need not wait for a lease that this member may have granted
+// before it restarted. A candidate that received an earlier Start of this member knows nothing of
+// what happened since then.
+func (s *State) leaseWaived(m message.Vote) bool {
+	start := s.freshStart()
 	return start != 0 && m.Starts[s.Config.Name] == start
 }
--- a/internal/reducer/agreement/saving.go
+++ b/internal/reducer/agreement/saving.go
@@ -2,40 +2,39 @@
 
 import "github.com/oriolebend/oriolebend/internal/message"
 
-// after says what must be durable before a message may leave.
-type after string
+// sendCondition is the state that must be durable before a message may be sent.
+type sendCondition string
 
 const (
 	// afterNothing is for messages that promise nothing.
-	afterNothing after = "nothing"
-	// afterHard waits for the term and vote.
-	afterHard after = "hard"
+	afterNothing sendCondition = "nothing"
+	// afterHardState waits for the term and vote.
+	afterHardState sendCondition = "hard"
 	// afterAll waits for the log as well.
-	afterAll after = "all"
+	afterAll sendCondition = "all"
 )
 
-// saving tracks what is not durable yet, and the messages that wait for it.
+// saving tracks the changes that are not durable yet, and the messages that wait for them.
 //
-// A vote that is told before it is synced can be forgotten in a crash and
-// given a second time: two leaders in one term, noticed as two members that
-// apply different commands at one index. Holding the message back until
-// Persisted makes the forgotten vote one that nobody has seen.
+// A vote that is sent before it is synced can be forgotten in a crash and granted a second time.
+// That would give two leaders in one term, and members that apply different commands at one
+// index. Since the message is held until Persisted, no other member has seen a vote that is
+// forgotten.
 type saving struct {
 	sequence     uint64
 	hardSequence uint64
 	done         uint64
 
 	hardDirty bool
-	// dirtyFrom is the first entry to write, zero if there is none.
+	// dirtyFrom is the index of the first entry to write, zero if there is none.
 	dirtyFrom uint64
 	snapshot  *Snapshot
 
-	// logs tells, for each Persist on its way, how far the log is durable
-	// after it.
+	// logs holds, for each Persist in progress, the last index that is durable after it.
 	logs []savedLog
-	// fresh are the messages of the present event, held those of earlier ones.
-	fresh []heldMessage
-	held  []heldMessage
+	// current are the messages of the current event, held those of earlier ones.
+	current []heldMessage
+	held    []heldMessage
 }
 
 type savedLog struct {
@@ -44,37 +43,37 @@
 }
 
 type heldMessage struct {
-	sequence uint64
-	send     Send
-	what     after
+	sequence  uint64
+	send      Send
+	condition sendCondition
 }
 
-// send lets a message leave once what it promises is durable.
-func (s *State) send(to string, m message.Message, what after) {
+// send emits a message as soon as its condition is met.
+func (s *State) send(to string, m message.Message, condition sendCondition) {
 	member, ok := s.Member(to)
 	if !ok {
-		// A member that this one does not know (any more) is still answered:
-		// the runtime may know its address.
+		// A member that is not, or no longer, in Members is still answered: the runtime may know
+		// its address.
 		member = message.Member{Name: to}
 	}
 	send := Send{To: member, Message: m}
-	if what == afterNothing {
+	if condition == afterNothing {
 		s.emit(send)
 		return
 	}
-	s.saving.fresh = append(s.saving.fresh, heldMessage{send: send, what: what})
+	s.saving.current = append(s.saving.current, heldMessage{send: send, condition: condition})
 }
 
-// changeHard marks the term, vote or recovery as changed.
-func (s *State) changeHard() { s.saving.hardDirty = true }
+// markHardStateDirty marks the hard state as changed.
+func (s *State) markHardStateDirty() { s.saving.hardDirty = true }
 
-// appendEntries adds entries to the log, to be written.
+// appendEntries adds entries to the log and marks them to be written.
 func (s *State) appendEntries(entries ...message.LogEntry) {
 	if len(entries) == 0 {
 		return
 	}
 	s.log.append(entries...)
-	s.markDirty(entries[0].Index)
+	s.markLogDirty(entries[0].Index)
 	for _, e := range entries {
 		if e.Type == message.EntryMembers {
 			s.Members, s.MembersIndex = e.Members, e.Index
@@ -82,39 +81,38 @@
 	}
 }
 
-// truncateLog drops the entries from index on; others follow at once.
+// truncateLog drops the entries from index from on; the caller appends others at once.
 func (s *State) truncateLog(from uint64) {
 	s.log.truncate(from)
 	s.Synced = min(s.Synced, from-1)
 	for i := range s.saving.logs {
 		s.saving.logs[i].last = min(s.saving.logs[i].last, from-1)
 	}
-	s.markDirty(from)
+	s.markLogDirty(from)
 	if s.MembersIndex >= from {
 		s.adoptMembers()
 	}
 }
 
-func (s *State) markDirty(from uint64) {
+func (s *State) markLogDirty(from uint64) {
 	if s.saving.dirtyFrom == 0 || from < s.saving.dirtyFrom {
 		s.saving.dirtyFrom = from
 	}
 }
 
-// save emits one Persist for all that the event changed, and lets messages go
-// that need not wait.
+// save emits one Persist for all changes of the event, and sends the messages that need not wait.
 func (s *State) save() {
 	v := &s.saving
 	if v.hardDirty || v.dirtyFrom != 0 || v.snapshot != nil {
 		v.sequence++
 		s.emit(s.persist())
 	}
-	for _, h := range v.fresh {
-		h.sequence = v.needed(h.what)
+	for _, h := range v.current {
+		h.sequence = v.requiredSequence(h.condition)
 		v.held = append(v.held, h)
 	}
-	v.fresh = nil
-	s.release()
+	v.current = nil
+	s.sendReady()
 }
 
 func (s *State) persist() Persist {
@@ -135,16 +133,16 @@
 
 const maxInt = int(^uint(0) >> 1)
 
-// needed returns the Persist that a message must wait for.
-func (v *saving) needed(what after) uint64 {
-	if what == afterHard {
+// requiredSequence returns the sequence of the Persist that a message must wait for.
+func (v *saving) requiredSequence(condition sendCondition) uint64 {
+	if condition == afterHardState {
 		return v.hardSequence
 	}
 	return v.sequence
 }
 
-// release lets go of the messages whose promise is durable, in order.
-func (s *State) release() {
+// sendReady sends the held messages whose condition is met, in order.
+func (s *State) sendReady() {
 	v := &s.saving
 	var rest []heldMessage
 	for _, h := range v.held {
@@ -157,7 +155,7 @@
 	v.held = rest
 }
 
-func (s *State) persisted(sequence uint64) {
+func (s *State) handlePersisted(sequence uint64) {
 	v := &s.saving
 	v.done = max(v.done, sequence)
 	for len(v.logs) > 0 && v.logs[0].sequence <= sequence {
@@ -165,9 +163,9 @@
 		v.logs = v.logs[1:]
 	}
 	s.endRecovery()
-	s.ownVoteSaved()
+	s.countOwnVote()
 	if s.Role == Leader {
-		s.found()
+		s.finishFounding()
 		s.advanceCommit()
 	}
 }
--- a/internal/reducer/agreement/script_test.go
+++ b/internal/reducer/agreement/script_test.go
@@ -11,16 +11,16 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScripts runs the scenarios in testdata: each file opens with the
-// failure's symptom, sequence and cause. Commands:
+// TestScripts runs the scenarios in testdata. Each file begins with the failure that it guards
+// against and how that comes about. Commands:
 //
 //	group names=(a,b,c) founders=3
 //	do          one action a line: run TICKS, propose VM N, sync VM N,
 //	            confirm VM, cut A B, heal, crash VM [WRITTEN], start VM,
 //	            wipe VM, hold VM, release VM, snapshot VM, transfer VM,
-//	            add VM NAME, remove VM NAME, and on the oldest message between
-//	            two: deliver, drop, double, delay FROM TO
-//	status      all members, and what was refused
+//	            add VM NAME, remove VM NAME, and on the oldest message from
+//	            one VM to another: deliver, drop, double, delay FROM TO
+//	status      the state of all members, and the refusals since the last report
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var s *sim
@@ -98,13 +98,13 @@
 	case "remove":
 		s.change(vm(), ChangeRemove, words[2])
 	default:
-		s.actOnWire(t, words)
+		s.actOnMessage(t, words)
 	}
 }
 
-// actOnWire acts on the oldest message between two members.
-func (s *sim) actOnWire(t *testing.T, words []string) {
-	at := slices.IndexFunc(s.wires, func(w wire) bool { return w.from == words[1] && w.to == words[2] })
+// actOnMessage acts on the oldest message from one member to another.
+func (s *sim) actOnMessage(t *testing.T, words []string) {
+	at := slices.IndexFunc(s.inFlight, func(w envelope) bool { return w.from == words[1] && w.to == words[2] })
 	if at < 0 {
 		t.Fatalf("no message from %s to %s", words[1], words[2])
 	}
@@ -112,11 +112,11 @@
 	case "deliver":
 		s.deliver(at)
 	case "drop":
-		s.wires = slices.Delete(s.wires, at, at+1)
+		s.inFlight = slices.Delete(s.inFlight, at, at+1)
 	case "double":
-		s.wires = append(s.wires, s.wires[at])
+		s.inFlight = append(s.inFlight, s.inFlight[at])
 	case "delay":
-		s.wires = append(slices.Delete(s.wires, at, at+1), s.wires[at])
+		s.inFlight = append(slices.Delete(s.inFlight, at, at+1), s.inFlight[at])
 	default:
 		t.Fatalf("unknown action %v", words)
 	}
--- a/internal/reducer/agreement/sim_test.go
+++ b/internal/reducer/agreement/sim_test.go
@@ -10,30 +10,31 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// sim runs a group by hand: messages wait to be delivered, writes wait to be
-// synced, and every promise is checked after each event.
+// sim simulates a group: messages wait to be delivered and writes wait to be synced until a test
+// lets them, and every guarantee is checked after each event.
 type sim struct {
-	config  Config
-	vms     []*vm
-	now     uint64
-	wires   []wire
-	cut     map[[2]string]bool
-	leaders map[uint64]string
-	// agreed holds the hash of the log up to each index.
+	config   Config
+	vms      []*vm
+	now      uint64
+	inFlight []envelope
+	cut      map[[2]string]bool
+	leaders  map[uint64]string
+	// agreed maps each applied index to the hash of the log up to it.
 	agreed map[uint64]uint64
-	// acked is the highest index whose proposer was told, or that a confirmed
-	// read has seen.
+	// acked is the highest index that was confirmed to a proposer, or that a confirmed read has
+	// seen.
 	acked  uint64
 	nextID uint64
-	// tellStarts has members tell each other that they have just started, numbered by starts.
-	tellStarts bool
-	starts     uint64
-	reads      map[uint64]uint64
-	refused    map[string]int
-	failure    string
+	// exchangeStarts numbers the incarnations of the members by starts, so that members report to
+	// each other that they have just restarted. If it is false, Config.Start is zero.
+	exchangeStarts bool
+	starts         uint64
+	reads          map[uint64]uint64
+	refused        map[string]int
+	failure        string
 }
 
-type wire struct {
+type envelope struct {
 	from, to string
 	m        message.Message
 }
@@ -71,8 +72,8 @@
 	return s
 }
 
-// tellingStarts has members tell each other that they have just started.
-func tellingStarts(s *sim) { s.tellStarts = true }
+// withStarts makes the members report to each other that they have just restarted.
+func withStarts(s *sim) { s.exchangeStarts = true }
 
 func (s *sim) fail(format string, args ...any) {
 	if s.failure == "" {
@@ -89,7 +90,7 @@
 	config := s.config
 	config.Name = v.name
 	config.Seed = uint64(v.name[0])<<32 + s.now
-	if s.tellStarts {
+	if s.exchangeStarts {
 		s.starts++
 		config.Start = s.starts
 	}
@@ -104,14 +105,14 @@
 	v.state = New(config, restored, s.now)
 }
 
-// crash loses what was not written; written tells how much was, though no
-// sync had confirmed it.
+// crash loses the writes that are not synced, except for the first ones in number written, which
+// reached the disk though their sync was never reported.
 func (s *sim) crash(v *vm, written int) {
 	for _, p := range v.pending[:min(written, len(v.pending))] {
 		v.write(p)
 	}
 	v.alive, v.pending = false, nil
-	s.wires = slices.DeleteFunc(s.wires, func(w wire) bool { return w.from == v.name })
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(w envelope) bool { return w.from == v.name })
 }
 
 func (s *sim) wipe(v *vm) {
@@ -124,15 +125,15 @@
 		return
 	}
 	for _, effect := range Reduce(v.state, e) {
-		s.carry(v, effect)
+		s.carryOut(v, effect)
 	}
 	s.checkLeaders()
 }
 
-func (s *sim) carry(v *vm, effect Effect) {
+func (s *sim) carryOut(v *vm, effect Effect) {
 	switch e := effect.(type) {
 	case Send:
-		s.wires = append(s.wires, wire{v.name, e.To.Name, e.Message})
+		s.inFlight = append(s.inFlight, envelope{v.name, e.To.Name, e.Message})
 	case SendChunk:
 		s.sendChunk(v, e)
 	case Persist:
@@ -148,24 +149,24 @@
 		s.feed(v, Applied{s.now, v.index})
 	case Confirmed:
 		if v.index < s.reads[e.ID] {
-			s.fail("%s confirmed a read at %d, %d was told before", v.name, v.index, s.reads[e.ID])
+			s.fail("%s confirmed a read at index %d after index %d had been confirmed", v.name, v.index, s.reads[e.ID])
 		}
 		s.acked = max(s.acked, v.index)
 	case Refused:
 		s.refused[string(e.Reason)+" "+string(e.Ran)]++
 	case Led:
-		s.led(v, e)
+		s.recordLeader(v, e)
 	case Fatal:
 		s.fail("%s: fatal: %s", v.name, e.Detail)
 	}
 }
 
-func (s *sim) led(v *vm, e Led) {
+func (s *sim) recordLeader(v *vm, e Led) {
 	if e.Role != Leader {
 		return
 	}
 	if other, ok := s.leaders[e.Term]; ok && other != v.name {
-		s.fail("term %d has the leaders %s and %s", e.Term, other, v.name)
+		s.fail("term %d has two leaders, %s and %s", e.Term, other, v.name)
 	}
 	s.leaders[e.Term] = v.name
 }
@@ -181,7 +182,7 @@
 			continue
 		}
 		if leading != "" {
-			s.fail("%s and %s answer as leader at tick %d", leading, v.name, s.now)
+			s.fail("%s and %s both lead at tick %d", leading, v.name, s.now)
 		}
 		leading = v.name
 	}
@@ -190,7 +191,7 @@
 func (s *sim) apply(v *vm, e Apply) {
 	for _, c := range e.Entries {
 		if c.Entry.Index != v.index+1 {
-			s.fail("%s applies %d after %d", v.name, c.Entry.Index, v.index)
+			s.fail("%s applied entry %d after entry %d", v.name, c.Entry.Index, v.index)
 		}
 		h := fnv.New64a()
 		fmt.Fprint(h, v.hash, c.Entry.Term, c.Entry.Type, string(c.Entry.Command), c.Entry.Members)
@@ -205,7 +206,7 @@
 
 func (s *sim) checkHash(v *vm) {
 	if agreed, ok := s.agreed[v.index]; ok && agreed != v.hash {
-		s.fail("%s differs from what was agreed up to %d", v.name, v.index)
+		s.fail("%s differs from the agreed log up to index %d", v.name, v.index)
 	}
 	s.agreed[v.index] = v.hash
 }
@@ -228,7 +229,7 @@
 		rest := stored.Data[e.Chunk.Offset:]
 		e.Chunk.Data = rest[:min(len(rest), e.Bytes)]
 		e.Chunk.Last = len(e.Chunk.Data) == len(rest)
-		s.wires = append(s.wires, wire{v.name, e.To.Name, e.Chunk})
+		s.inFlight = append(s.inFlight, envelope{v.name, e.To.Name, e.Chunk})
 	}
 }
 
@@ -277,7 +278,7 @@
 	s.feed(v, SnapshotMade{s.now, meta})
 }
 
-// membersAt returns the members in force at an index that is held.
+// membersAt returns the members in force at an index that the log holds.
 func (s *State) membersAt(index uint64) []message.Member {
 	for i := index; i > s.log.base; i-- {
 		if e := s.log.at(i); e.Type == message.EntryMembers {
@@ -291,8 +292,8 @@
 }
 
 func (s *sim) deliver(i int) {
-	w := s.wires[i]
-	s.wires = slices.Delete(s.wires, i, i+1)
+	w := s.inFlight[i]
+	s.inFlight = slices.Delete(s.inFlight, i, i+1)
 	if s.cut[[2]string{w.from, w.to}] {
 		return
 	}
@@ -322,7 +323,8 @@
 	s.feed(v, ChangeAsked{s.now, s.nextID, action, message.Member{Name: name, Address: name}})
 }
 
-// run passes ticks in which every message arrives and every write is synced.
+// run advances the clock tick by tick; every message is delivered and every write is synced,
+// except on members with noSync.
 func (s *sim) run(ticks int) {
 	for range ticks {
 		s.now++
@@ -330,7 +332,7 @@
 			s.feed(v, Ticked{s.now})
 		}
 		for range 6 {
-			for n := len(s.wires); n > 0; n-- {
+			for n := len(s.inFlight); n > 0; n-- {
 				s.deliver(0)
 			}
 			for _, v := range s.vms {
@@ -351,13 +353,14 @@
 	return nil
 }
 
-// healthy tells whether a member holds all that it ever promised.
+// healthy reports whether the durable state of a member holds all entries that it may have
+// accepted.
 func (v *vm) healthy() bool {
 	d := v.durable
 	return d.Hard.RecoverTo == 0 && (d.Snapshot.Index > 1 || len(d.Entries) > 1)
 }
 
-// status describes all members, one a line.
+// status describes the state of all members, one a line.
 func (s *sim) status() string {
 	var text strings.Builder
 	for _, v := range s.vms {
--- a/internal/reducer/agreement/snapshot.go
+++ b/internal/reducer/agreement/snapshot.go
@@ -2,26 +2,27 @@
 
 import "github.com/oriolebend/oriolebend/internal/message"
 
-// chunkProgress is a snapshot under way to one member.
+// chunkProgress is the progress of a snapshot transfer to one member. sent is the tick at which
+// the last chunk was sent.
 type chunkProgress struct {
 	meta   SnapshotMeta
 	offset int64
 	sent   uint64
 }
 
-// incoming is a snapshot that is arriving, in parts.
+// incoming is a snapshot that is being received in chunks.
 type incoming struct {
 	index, term uint64
 	data        []byte
 }
 
-// snapshotMade notes a new own snapshot and drops entries before it.
-func (s *State) snapshotMade(meta SnapshotMeta) {
+// handleSnapshotMade records a new snapshot of this member and compacts the log.
+func (s *State) handleSnapshotMade(meta SnapshotMeta) {
 	if meta.Index <= s.Snapshot.Index || meta.Index > s.Handed {
 		return
 	}
 	s.previous, s.Snapshot = s.Snapshot, meta
-	through := s.compactable()
+	through := s.lastCompactable()
 	if through <= s.log.base {
 		return
 	}
@@ -29,12 +30,12 @@
 	s.emit(Compact{Through: through})
 }
 
-// compactable returns the last entry that need not be held any more.
+// lastCompactable returns the index of the last entry that may be dropped.
 //
-// The entries after a snapshot that is on its way are held: they follow it, and
-// a member that got it after they were dropped would need the next snapshot,
-// for ever if snapshots are made faster than sent.
-func (s *State) compactable() uint64 {
+// The entries after a snapshot that is being sent are kept, because the receiver needs them next.
+// If they were dropped, it would need the next snapshot, and it would never catch up if snapshots
+// are made faster than sent.
+func (s *State) lastCompactable() uint64 {
 	through := s.Snapshot.Index
 	for kept, bytes := uint64(0), 0; through > s.log.base; through-- {
 		kept++
@@ -52,13 +53,12 @@
 	return through
 }
 
-// sendable tells whether the disk still holds a snapshot.
+// sendable reports whether a snapshot is still stored on disk.
 func (s *State) sendable(meta SnapshotMeta) bool {
 	return meta.Index == s.Snapshot.Index || meta.Index == s.previous.Index
 }
 
-// beginChunks starts to send the newest snapshot to a member whose next entry
-// is no longer held.
+// beginChunks starts to send the newest snapshot to a member whose next entry is no longer held.
 func (s *State) beginChunks(m message.Member, p *progress) {
 	p.chunk = &chunkProgress{meta: s.Snapshot}
 	s.sendChunk(m, p)
@@ -69,7 +69,7 @@
 	s.emit(SendChunk{
 		To: m,
 		Chunk: message.Chunk{
-			Agreement: s.part(),
+			Agreement: s.header(),
 			Index:     p.chunk.meta.Index,
 			IndexTerm: p.chunk.meta.Term,
 			Members:   p.chunk.meta.Members,
@@ -81,8 +81,8 @@
 	})
 }
 
-// retryChunk sends a chunk again that was not answered, or begins anew if that
-// snapshot is no longer held.
+// retryChunk sends a chunk again that was not answered within ElectionTicks, or restarts the
+// transfer if that snapshot is no longer stored.
 func (s *State) retryChunk(m message.Member, p *progress) {
 	if s.now < p.chunk.sent+s.Config.ElectionTicks {
 		return
@@ -93,12 +93,12 @@
 	s.sendChunk(m, p)
 }
 
-func (s *State) chunkAnswered(m message.ChunkAnswer) {
+func (s *State) handleChunkAnswer(m message.ChunkAnswer) {
 	p := s.lead.progress[m.From]
 	if s.Role != Leader || p == nil {
 		return
 	}
-	s.acknowledged(p, m.Round)
+	s.recordAck(p, m.Round)
 	if p.chunk == nil || p.chunk.meta.Index != m.Index {
 		return
 	}
@@ -108,11 +108,11 @@
 		p.matchRound = max(p.matchRound, m.Round.Number)
 		p.next = p.match + 1
 		p.probing = true
-		s.matchMoved(m.From, p)
+		s.matchAdvanced(m.From, p)
 		return
 	}
 	if m.Offset == p.chunk.offset {
-		// A doubled answer; following it would double every further chunk.
+		// This is a duplicate answer; a chunk sent for it would duplicate every further chunk.
 		return
 	}
 	p.chunk.offset = m.Offset
@@ -123,15 +123,15 @@
 	s.sendChunk(member, p)
 }
 
-// chunkReceived takes a part of a leader's snapshot.
-func (s *State) chunkReceived(m message.Chunk) {
-	if !s.obey(m.From) {
+// handleChunk handles a part of a leader's snapshot.
+func (s *State) handleChunk(m message.Chunk) {
+	if !s.acceptLeader(m.From) {
 		return
 	}
-	answer := message.ChunkAnswer{Agreement: s.part(), Index: m.Index, Round: m.Round}
+	answer := message.ChunkAnswer{Agreement: s.header(), Index: m.Index, Round: m.Round}
 	if term, ok := s.log.term(m.Index); m.Index <= s.Commit || (ok && term == m.IndexTerm) {
-		// The entries after it may count for a quorum already; replacing the
-		// log by the snapshot would lose them.
+		// The entries after the snapshot may already count for a quorum; replacing the log by the
+		// snapshot would lose them.
 		s.Commit = max(s.Commit, m.Index)
 		answer.Done = true
 		s.send(m.From, answer, afterAll)
@@ -144,7 +144,7 @@
 	if m.Offset == int64(len(in.data)) {
 		in.data = append(in.data, m.Data...)
 		if m.Last {
-			s.install(m)
+			s.installSnapshot(m)
 			answer.Done = true
 		}
 	}
@@ -152,8 +152,8 @@
 	s.send(m.From, answer, afterAll)
 }
 
-// install replaces log and machine by a complete snapshot.
-func (s *State) install(m message.Chunk) {
+// installSnapshot replaces the log and the state machine by a complete snapshot.
+func (s *State) installSnapshot(m message.Chunk) {
 	snapshot := Snapshot{
 		Meta: SnapshotMeta{Index: m.Index, Term: m.IndexTerm, Members: m.Members},
 		Data: s.incoming.data,
--- a/internal/reducer/agreement/state.go
+++ b/internal/reducer/agreement/state.go
@@ -1,12 +1,14 @@
-// Package agreement is the reducer of one member of an agreement group: a log
-// that is agreed by a quorum of the members, in the manner of Raft. It is
-// pure: no clock, socket, disk or unseeded randomness.
+// Package agreement implements the reducer of one member of an agreement group,
+// which replicates a log to a quorum of its members in the manner of Raft. The
+// reducer is pure: it uses no clock, socket, disk or unseeded randomness.
 //
-// What it holds to: a vote or an acceptance is told only after it is synced;
-// one leader a term; an entry that a quorum has synced is never lost or
-// moved; a leader that no quorum answers stops leading before another can be
-// elected; a member that lost its folder grants no vote until it has received
-// again whatever it may have accepted.
+// It guarantees:
+//   - A vote or an acceptance is sent only after it is synced.
+//   - A term has at most one leader.
+//   - An entry that a quorum has synced is never lost or moved.
+//   - A leader that no quorum answers steps down before another can be elected.
+//   - A member that lost its data folder grants no vote until it has received
+//     again every entry that it may have accepted.
 package agreement
 
 import (
@@ -15,42 +17,41 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// Role is what a member does in its term.
+// Role is the role of a member in its term.
 type Role string
 
 const (
-	// Follower takes entries from a leader.
+	// Follower accepts entries from a leader.
 	Follower Role = "follower"
-	// PreCandidate asks whether it would be elected.
+	// PreCandidate asks the voters whether they would elect it (pre-vote).
 	PreCandidate Role = "preCandidate"
 	// Candidate stands for election.
 	Candidate Role = "candidate"
-	// Leader appends entries.
+	// Leader appends entries and replicates them.
 	Leader Role = "leader"
 )
 
-// Restored is what a member finds on its disk at start.
+// Restored is the persisted state that a member loads at start.
 type Restored struct {
 	Hard     HardState
 	Snapshot SnapshotMeta
-	// Entries follow each other; they may begin before the snapshot's index.
+	// Entries have consecutive indexes; the first may precede the index of the snapshot.
 	Entries []message.LogEntry
 }
 
-// State is all that a member knows. Only Reduce changes it.
+// State is the complete state of a member. Only Reduce changes it.
 type State struct {
 	Config Config
 	Role   Role
 	Hard   HardState
-	// Leader is the leader of the term, empty if not known.
+	// Leader is the leader of the term, empty if unknown.
 	Leader string
-	// Members are those of the last members entry, committed or not, at
-	// MembersIndex.
+	// Members are those of the last EntryMembers in the log, committed or not, at MembersIndex.
 	Members      []message.Member
 	MembersIndex uint64
-	// Synced is the last index that is durable here, Commit the last that is
-	// known to be committed, Handed the last given out to be applied and
-	// Applied the last that the machine has applied.
+	// Synced is the last index that is durable here, Commit the last that is known to be
+	// committed, Applying the last that was passed to the state machine and Applied the last that
+	// the state machine has applied.
 	Synced, Commit, Handed, Applied uint64
 	Snapshot                        SnapshotMeta
 
@@ -58,16 +59,16 @@
 	now    uint64
 	random *rand.Rand
 
-	// heard is when a leader was last heard of, or a vote given; the member
-	// gives no vote for ElectionTicks from then.
-	heard       uint64
+	// lastContact is the tick of the last message from a leader, or of the last vote granted; for
+	// ElectionTicks from then this member grants no vote.
+	lastContact uint64
 	electionDue uint64
-	// election holds the answers to a campaign.
+	// election is the campaign in progress.
 	election election
 	restart  restart
 	lead     leadership
 	incoming incoming
-	// previous is the snapshot before the newest, which the disk still holds.
+	// previous is the snapshot before the newest; it is still stored on disk.
 	previous SnapshotMeta
 	saving   saving
 
@@ -75,27 +76,28 @@
 	reported Led
 }
 
-// election is a campaign in progress.
+// election is the state of a campaign and of the votes that it has received.
 type election struct {
 	votes    map[string]bool
 	began    uint64
 	transfer bool
-	// ownVote is the Persist sequence of the vote for oneself.
-	ownVote uint64
+	// ownVoteSequence is the sequence of the Persist that carries the vote for this member
+	// itself.
+	ownVoteSequence uint64
 }
 
-// New returns the state of a member that starts at the tick.
+// New returns the state of a member that starts at the given tick.
 func New(config Config, restored Restored, tick uint64) *State {
 	config = config.withDefaults()
 	s := &State{
-		Config:   config,
-		Role:     Follower,
-		Hard:     restored.Hard,
-		Snapshot: restored.Snapshot,
-		now:      tick,
-		heard:    tick,
-		random:   rand.New(rand.NewPCG(config.Seed, 0)),
-		restart:  restart{fresh: config.Start != 0},
+		Config:      config,
+		Role:        Follower,
+		Hard:        restored.Hard,
+		Snapshot:    restored.Snapshot,
+		now:         tick,
+		lastContact: tick,
+		random:      rand.New(rand.NewPCG(config.Seed, 0)),
+		restart:     restart{fresh: config.Start != 0},
 	}
 	s.log = restoredLog(restored)
 	s.Commit = restored.Snapshot.Index
@@ -118,18 +120,17 @@
 	if first == r.Snapshot.Index+1 {
 		return entryLog{base: r.Snapshot.Index, baseTerm: r.Snapshot.Term, entries: r.Entries}
 	}
-	// The term before the first entry held is not known, so that entry itself
-	// becomes the base.
+	// The term before the first entry is not known, so that entry itself becomes the base.
 	return entryLog{base: first, baseTerm: r.Entries[0].Term, entries: r.Entries[1:]}
 }
 
 // Last returns the index of the last entry.
 func (s *State) Last() uint64 { return s.log.last() }
 
-// Unapplied returns how many entries are appended and not applied.
+// Unapplied returns the number of entries that are appended and not yet applied.
 func (s *State) Unapplied() uint64 { return s.Last() - min(s.Applied, s.Last()) }
 
-// Member returns a member by its name.
+// Member returns the member with the given name.
 func (s *State) Member(name string) (message.Member, bool) {
 	for _, m := range s.Members {
 		if m.Name == name {
@@ -160,17 +161,16 @@
 	return s.voters() == 1 && s.isVoter(s.Config.Name)
 }
 
-// empty tells whether the member has neither entries nor a snapshot.
+// empty reports whether the member has neither entries nor a snapshot.
 func (s *State) empty() bool { return s.log.last() == 0 }
 
-// foundingIndex is the index of the entry that names the founders. No further
-// entry is appended until every founder has synced it.
+// foundingIndex is the index of the entry that lists the founders. No further entry is appended
+// until every founder has synced that one.
 const foundingIndex = 1
 
-// founding tells whether the member's log does not reach past the founding
-// entry.
+// founding reports whether the log ends at or before the founding entry.
 func (s *State) founding() bool { return s.log.last() <= foundingIndex }
 
-// recovering tells whether the member lacks entries that it may have accepted
-// before it lost its folder.
+// recovering reports whether the member lacks entries that it may have accepted before it lost
+// its data folder.
 func (s *State) recovering() bool { return s.Synced < s.Hard.RecoverTo }
--- a/internal/reducer/agreement/transfer.go
+++ b/internal/reducer/agreement/transfer.go
@@ -2,8 +2,8 @@
 
 import "github.com/oriolebend/oriolebend/internal/message"
 
-// transferAsked begins to hand leadership to the member that is furthest.
-func (s *State) transferAsked() {
+// handleTransfer begins to transfer leadership to the active voter with the longest log.
+func (s *State) handleTransfer() {
 	if s.Role != Leader || s.lead.transferTo != "" {
 		return
 	}
@@ -11,10 +11,10 @@
 	s.lead.transferEnd = s.now + s.Config.ElectionTicks
 }
 
-// Transferring tells whether the leader is handing over.
+// Transferring reports whether a transfer of leadership is in progress.
 func (s *State) Transferring() bool { return s.lead.transferTo != "" }
 
-// successor returns the voter that answers and is furthest, empty if none.
+// successor returns the active voter with the longest log, empty if there is none.
 func (s *State) successor() string {
 	best := ""
 	for _, m := range s.Members {
@@ -28,22 +28,23 @@
 	return best
 }
 
-// continueTransfer asks the successor to stand for election once it holds all
-// entries and nothing waits here, and steps down.
+// continueTransfer asks the successor to stand for election once it has synced all entries and
+// none waits to be applied here, and steps down.
 //
-// The successor's election does not wait for the lease, so the leader must
-// not go on answering as leader after it has asked.
+// The election of the successor does not wait for the lease, so the leader must not keep
+// answering as leader after the request.
 func (s *State) continueTransfer() {
 	to := s.lead.transferTo
 	if to == "" || s.Match(to) < s.log.last() || s.Handed < s.log.last() {
 		return
 	}
-	s.send(to, message.Campaign{Agreement: s.part()}, afterNothing)
-	s.follow(s.Hard.Term, "")
+	s.send(to, message.Campaign{Agreement: s.header()}, afterNothing)
+	s.becomeFollower(s.Hard.Term, "")
 }
 
-// endTransferLate takes proposals again if the successor did not take over.
-func (s *State) endTransferLate() {
+// expireTransfer ends a transfer that did not complete in time, so that proposals are accepted
+// again.
+func (s *State) expireTransfer() {
 	if s.lead.transferTo != "" && s.now >= s.lead.transferEnd {
 		s.lead.transferTo = ""
 	}
--- a/internal/reducer/agreement/wellformed.go
+++ b/internal/reducer/agreement/well_formed.go
@@ -2,21 +2,21 @@
 
 import "github.com/oriolebend/oriolebend/internal/message"
 
-// wellFormed tells whether a message can be what a leader sends.
+// wellFormed reports whether a message is consistent in itself, as a leader would send it.
 //
-// A damaged message whose entries do not follow each other would be taken into
-// the log, and every index after it would name another entry than elsewhere.
+// If a damaged message whose entries are not consecutive entered the log, every index after it
+// would denote another entry than on the other members.
 func wellFormed(m message.Message) bool {
 	switch m := m.(type) {
 	case message.Append:
-		return followOn(m)
+		return consecutiveEntries(m)
 	case message.Chunk:
 		return m.Index > 0 && m.Offset >= 0 && m.IndexTerm <= m.Term && len(m.Members) > 0
 	}
 	return true
 }
 
-func followOn(m message.Append) bool {
+func consecutiveEntries(m message.Append) bool {
 	term := m.PrevTerm
 	for i, e := range m.Entries {
 		if e.Index != m.PrevIndex+1+uint64(i) || e.Term < term || e.Term > m.Term {
