--- a/internal/reducer/member/bench_test.go
+++ b/internal/reducer/member/bench_test.go
@@ -10,7 +10,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// benchLeader leads so many members, all written down.
+// benchLeader returns a leader of the given number of members, all recorded in the log, and their
+// announcements.
 func benchLeader(servers int) (*State, []message.Announce) {
 	view := declared.NewView()
 	var announces []message.Announce
@@ -28,7 +29,7 @@
 	return s, announces
 }
 
-// BenchmarkRenewal is one sidecar's renewal at the leader.
+// BenchmarkRenewal measures the renewal of one sidecar at the leader.
 func BenchmarkRenewal(b *testing.B) {
 	for _, servers := range []int{25, 1100} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -40,7 +41,7 @@
 	}
 }
 
-// BenchmarkTick is one of the leader's five ticks a second.
+// BenchmarkTick measures one tick of the leader, of which there are five a second.
 func BenchmarkTick(b *testing.B) {
 	s, _ := benchLeader(1100)
 	for b.Loop() {
@@ -48,7 +49,7 @@
 	}
 }
 
-// BenchmarkPermit is one question for a permit in a pool of many.
+// BenchmarkPermit measures one permit request in a pool of 1100 servers.
 func BenchmarkPermit(b *testing.B) {
 	s, announces := benchLeader(1100)
 	for _, a := range announces {
--- a/internal/reducer/member/event.go
+++ b/internal/reducer/member/event.go
@@ -1,6 +1,7 @@
-// Package member is the leader's reducer for the membership of backend
-// servers and for permits to take one out of work. Leases and permits live in
-// the leader's memory: a renewal never reaches the log, only what changes.
+// Package member implements the reducer of the leading control VM for the
+// membership of backend servers, and for permits that allow a server to be out of
+// work or to load weights. Leases and permits are held in the leader's memory: only
+// changes of the membership are written to the log, never renewals.
 package member
 
 import (
@@ -11,49 +12,49 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// SessionID names the session that a message came over.
+// SessionID identifies the session on which a message was received.
 type SessionID string
 
-// Event is something that happened to the leader. At is when, by its clock.
+// Event is an input of Reduce. At is the time of the event by the clock of the leader.
 type Event interface{ memberEvent() }
 
-// Led tells that this control VM leads and that View is current.
+// Led reports that this control VM has become the leader and that View is current.
 type Led struct {
 	At   time.Time
 	View declared.View
 }
 
-// Deposed tells that this control VM no longer leads.
+// Deposed reports that this control VM is no longer the leader.
 type Deposed struct{ At time.Time }
 
-// Committed tells of the declared state and membership after a change.
+// Committed reports the declared state and membership after a change.
 type Committed struct {
 	At   time.Time
 	View declared.View
 }
 
-// Proposed tells that the last Propose ended. If it was carried out, the
-// Committed of its change came before.
+// Proposed reports that the last Propose has finished. If it succeeded, the Committed of its
+// change comes before.
 type Proposed struct {
 	At     time.Time
 	Failed bool
 }
 
-// Announced is an announcement or renewal of a sidecar.
+// Announced is an announcement from a sidecar, which is also a renewal of its lease.
 type Announced struct {
 	At       time.Time
 	Session  SessionID
 	Announce message.Announce
 }
 
-// Asked is a sidecar's message about a permit.
+// PermitRequested is a message of a sidecar about a permit: it requests, renews or releases one.
 type Asked struct {
 	At      time.Time
 	Session SessionID
 	Permit  message.Permit
 }
 
-// Ticked passes time; it comes at least every TickEvery.
+// Ticked reports that time has passed. It comes at least every TickEvery.
 type Ticked struct{ At time.Time }
 
 func (Led) memberEvent()       {}
@@ -64,10 +65,10 @@
 func (Asked) memberEvent()     {}
 func (Ticked) memberEvent()    {}
 
-// Effect is something that the leader is to do.
+// Effect is an action for the leader to carry out.
 type Effect interface{ memberEffect() }
 
-// Reply sends a message back over a session.
+// Reply sends a message back on a session.
 type Reply struct {
 	Session SessionID
 	Message message.Message
@@ -76,25 +77,26 @@
 // Propose appends a change of the membership to the log; Proposed follows.
 type Propose struct{ Members declared.Members }
 
-// Count adds one to the counter of what happened to a server.
+// Count adds one to the counter of an occurrence. Server is the server concerned, if it is a
+// single one.
 type Count struct {
 	What   CountName
 	Server string
 }
 
-// CountName names what is counted.
+// CountName is the name of a counted occurrence.
 type CountName string
 
-// What is counted.
+// Counted occurrences.
 const (
-	// CountDamped: a change is held back, because the server flaps.
+	// CountDamped: a change of a server is delayed because the server flaps.
 	CountDamped CountName = "damped"
-	// CountMassLapse: so many leases lapsed at once that the cause is looked
-	// for in the network, and the servers are kept for one more lease.
+	// CountMassExpiry: so many leases expired at once that the network is the likely cause; the
+	// servers get one more lease.
 	CountMassLapse CountName = "massLapse"
-	// CountPaused: the leader itself stood still, and leases were extended.
+	// CountPaused: the process of the leader was paused, and leases were extended.
 	CountPaused CountName = "paused"
-	// CountOutdated: an announcement of an earlier start came late.
+	// CountOutdated: an announcement of an earlier incarnation arrived late.
 	CountOutdated CountName = "outdated"
 )
 
@@ -102,9 +104,9 @@
 func (Propose) memberEffect() {}
 func (Count) memberEffect()   {}
 
-// Held is a server whose change is held back because it flaps.
+// DampedServer is a server whose change is delayed because the server flaps.
 type Held struct {
 	Server oriolebend.Server
-	// For is how long still.
+	// For is the remaining delay.
 	For time.Duration
 }
--- a/internal/reducer/member/main_test.go
+++ b/internal/reducer/member/main_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// TestMain sets how many random rollouts the property test runs, and a seed, so
-// that the verdict is the same every run. Flags of the command line go before
-// both.
+// TestMain sets the number of random rollouts of the property test, and a seed, so that every run
+// has the same result. Flags of the command line override both.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.checks": "80", "rapid.seed": "1"} {
 		if err := flag.Set(name, value); err != nil {
--- a/internal/reducer/member/permit.go
+++ b/internal/reducer/member/permit.go
@@ -10,58 +10,60 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// permitRetry is when a sidecar that got no permit should ask again.
+// permitRetry is the delay after which a sidecar that was refused a permit should request it
+// again.
 const permitRetry = time.Second
 
-// permit lets one server be out of work or load weights.
+// permit allows one server to be out of work, to load weights, or both.
 type permit struct {
 	Out     bool
 	Load    bool
 	Expires time.Time
-	// Pools are those that miss the server while it is out.
+	// Pools are the pools that the server served before it went out of work.
 	Pools []string
 }
 
-// ask is a sidecar that waits for a permit.
-type ask struct {
+// permitRequest is the request of a sidecar that waits for a permit. First and Last are the times
+// of its first and latest message.
+type permitRequest struct {
 	First time.Time
 	Last  time.Time
-	// ForSlot is true if only the weight store's rate stood in the way.
+	// ForSlot is true if the request waits only for a slot at the weight store.
 	ForSlot bool
 }
 
-// asked answers a message about a permit.
+// handlePermit answers a message about a permit.
 //
-// Permits are leases in the leader's memory. A new leader gives none for as
-// long as one of its predecessor may live; holders renew with it meanwhile and
-// are counted. So no two leaders give the same room twice.
-func (s *State) asked(e Asked) []Effect {
-	return []Effect{Reply{Session: e.Session, Message: s.answer(e.At, e.Permit)}}
+// Permits are leases in the leader's memory. A new leader grants no new permit for as long as one
+// that its predecessor granted may be valid; meanwhile the holders renew theirs with the new
+// leader, which counts them. Therefore no two leaders grant the same capacity twice.
+func (s *State) handlePermit(e Asked) []Effect {
+	return []Effect{Reply{Session: e.Session, Message: s.answerPermit(e.At, e.Permit)}}
 }
 
-func (s *State) answer(at time.Time, p message.Permit) message.Permitted {
+func (s *State) answerPermit(at time.Time, p message.Permit) message.Permitted {
 	if !s.leading {
 		return refused("this control VM does not lead", permitRetry)
 	}
-	s.lapsePermits(at)
+	s.expirePermits(at)
 	if p.Done {
 		delete(s.permits, p.Server)
-		delete(s.asks, p.Server)
+		delete(s.requests, p.Server)
 		return message.Permitted{Granted: true}
 	}
 	held := s.renewHeld(at, p)
 	if (held.Out || !p.Out) && (held.Load || !p.Load) {
 		return s.grant(at, p)
 	}
-	answer := s.weighNew(at, p)
+	answer := s.decideNew(at, p)
 	if !answer.Granted && (held.Out || held.Load) {
 		answer.LeaseFor = s.config.PermitFor
 	}
 	return answer
 }
 
-// renewHeld renews what the server holds and still asks for, counting what it
-// acts on by the word of an earlier leader.
+// renewHeld renews the parts of the permit that the server holds and still requests. It also
+// records the parts that the server reports as granted by an earlier leader.
 func (s *State) renewHeld(at time.Time, p message.Permit) permit {
 	held, found := s.permits[p.Server]
 	if !found && !p.HeldOut && !p.HeldLoad {
@@ -69,21 +71,22 @@
 	}
 	held.Load = p.Load && (held.Load || p.HeldLoad)
 	if !held.Out && p.HeldOut {
-		// It may hold nothing now that tells which pool it left.
+		// The server may have no model loaded now that would show which pool it left.
 		held.Out = true
-		held.Pools = append(s.poolsMissing(p.Server), s.poolOf(p.Server))
+		held.Pools = append(s.poolsServedBy(p.Server), s.poolOf(p.Server))
 	}
 	held.Expires = at.Add(s.config.PermitFor)
 	s.permits[p.Server] = held
 	return held
 }
 
-// weighNew decides on what the server does not hold yet.
-func (s *State) weighNew(at time.Time, p message.Permit) message.Permitted {
+// decideNew decides on the parts of a request that the server does not hold yet. It refuses them
+// while permits that an earlier leader granted may be valid.
+func (s *State) decideNew(at time.Time, p message.Permit) message.Permitted {
 	if wait := s.ledAt.Add(s.config.PermitFor).Sub(at); wait > 0 {
 		return refused("a new control leader waits for permits given before it", min(wait, permitRetry))
 	}
-	return s.weigh(at, p)
+	return s.decide(at, p)
 }
 
 func refused(detail string, retry time.Duration) message.Permitted {
@@ -91,18 +94,18 @@
 }
 
 func (s *State) grant(at time.Time, p message.Permit) message.Permitted {
-	delete(s.asks, p.Server)
-	given := permit{Out: p.Out, Load: p.Load, Expires: at.Add(s.config.PermitFor)}
-	given.Pools = s.permits[p.Server].Pools
-	if given.Out && given.Pools == nil {
-		given.Pools = s.poolsMissing(p.Server)
+	delete(s.requests, p.Server)
+	granted := permit{Out: p.Out, Load: p.Load, Expires: at.Add(s.config.PermitFor)}
+	granted.Pools = s.permits[p.Server].Pools
+	if granted.Out && granted.Pools == nil {
+		granted.Pools = s.poolsServedBy(p.Server)
 	}
-	s.permits[p.Server] = given
+	s.permits[p.Server] = granted
 	return message.Permitted{Granted: true, LeaseFor: s.config.PermitFor}
 }
 
-func (s *State) weigh(at time.Time, p message.Permit) message.Permitted {
-	waiting, found := s.asks[p.Server]
+func (s *State) decide(at time.Time, p message.Permit) message.Permitted {
+	waiting, found := s.requests[p.Server]
 	if !found {
 		waiting.First = at
 	}
@@ -113,14 +116,14 @@
 		detail = s.slotRefusal(at, p.Server, waiting.First)
 		waiting.ForSlot = detail != ""
 	}
-	s.asks[p.Server] = waiting
+	s.requests[p.Server] = waiting
 	if detail != "" {
 		return refused(detail, permitRetry)
 	}
 	return s.grant(at, p)
 }
 
-// outRefusal says why a server can't leave work now; empty if it can.
+// outRefusal returns the reason why a server must not leave work now, empty if it may.
 func (s *State) outRefusal(at time.Time, p message.Permit) string {
 	if !p.Out || s.permits[p.Server].Out {
 		return ""
@@ -130,9 +133,9 @@
 		return "the server has not announced itself to this leader"
 	}
 	if held.Announce.Server.State != oriolebend.ServerServing {
-		return "" // it is out of work already
+		return "" // the server is already out of work
 	}
-	for _, name := range s.poolsMissing(p.Server) {
+	for _, name := range s.poolsServedBy(p.Server) {
 		if detail := s.poolRefusal(name, p.Server); detail != "" {
 			return detail
 		}
@@ -140,7 +143,7 @@
 	return ""
 }
 
-// poolRefusal says why a pool can't do without a server; empty if it can.
+// poolRefusal returns the reason why a pool can't do without a server now, empty if it can.
 func (s *State) poolRefusal(name, server string) string {
 	pool := s.view.Pool(name)
 	out := 0
@@ -159,13 +162,13 @@
 	return ""
 }
 
-// serving counts the servers that serve a pool beside one server. A server
-// counts only on its own word in a living lease, and not once it may leave or
-// is declared to.
-func (s *State) serving(pool, beside string) int {
+// serving counts the servers that serve a pool, except for one. A server counts only if both its
+// valid lease and the log say that it is serving, and not once it holds a permit to be out of
+// work or is declared to leave.
+func (s *State) serving(pool, except string) int {
 	count := 0
 	for name, held := range s.leases {
-		if name == beside || held.Expires.IsZero() || s.permits[name].Out || s.declaredOut(name) {
+		if name == except || held.Expires.IsZero() || s.permits[name].Out || s.declaredOut(name) {
 			continue
 		}
 		written, member := s.view.Servers[name]
@@ -179,15 +182,15 @@
 	return count
 }
 
-// declaredOut reports whether operators declared that a server leaves.
+// declaredOut reports whether operators declared a state other than serving for a server.
 func (s *State) declaredOut(server string) bool {
 	d := s.view.Server(server)
 	return d != nil && d.State != "" && d.State != oriolebend.ServerServing
 }
 
-// serves reports whether a server does the work of a pool now. One that still
-// holds another version of its own pool's model does, during a rollout; one
-// that is to join another pool does until it has left.
+// serves reports whether a server does the work of a pool now. During a rollout, a server that
+// still holds another version of its own pool's model does; a server that is to join another pool
+// does the work of its old pool until it has left.
 func (s *State) serves(name string, server oriolebend.Server) bool {
 	pool := s.view.Pool(name)
 	if pool == nil || pool.Role != server.Role {
@@ -203,7 +206,7 @@
 	return server.Serves(pool.Role, pool.Model, version, "")
 }
 
-// poolOf names the pool that a member is declared to belong to.
+// poolOf returns the pool that a member is declared to belong to.
 func (s *State) poolOf(server string) string {
 	if s.pools == nil {
 		s.pools = s.view.PoolServers()
@@ -211,8 +214,8 @@
 	return s.pools[server]
 }
 
-// poolsMissing names the pools that a server serves now.
-func (s *State) poolsMissing(server string) []string {
+// poolsServedBy returns the names of the pools that a server serves now.
+func (s *State) poolsServedBy(server string) []string {
 	names := []string{}
 	held, known := s.leases[server]
 	if !known {
@@ -226,12 +229,12 @@
 	return names
 }
 
-// defaultWeightLoads is how many servers load weights at once if no policy
-// says otherwise.
+// defaultWeightLoads is the number of servers that may load weights at once if the policy sets
+// none.
 const defaultWeightLoads = 2
 
-// slotRefusal says why a server can't load weights now; empty if it can. The
-// store's rate is shared by slots, given in the order of asking.
+// slotRefusal returns the reason why a server can't load weights now, empty if it can. The rate
+// of the weight store is shared by slots, which are granted in the order of the first requests.
 func (s *State) slotRefusal(at time.Time, server string, first time.Time) string {
 	slots := cmp.Or(s.view.Policy().WeightLoads, defaultWeightLoads)
 	loading := 0
@@ -241,7 +244,7 @@
 		}
 	}
 	ahead := 0
-	for name, other := range s.asks {
+	for name, other := range s.requests {
 		alive := at.Sub(other.Last) < 5*permitRetry
 		earlier := other.First.Before(first) || other.First.Equal(first) && name < server
 		if name != server && other.ForSlot && alive && earlier {
@@ -254,15 +257,15 @@
 	return fmt.Sprintf("weight store: %d of %d loads in progress, %d servers wait before", loading, slots, ahead)
 }
 
-func (s *State) lapsePermits(at time.Time) {
+func (s *State) expirePermits(at time.Time) {
 	for name, p := range s.permits {
 		if !p.Expires.After(at) {
 			delete(s.permits, name)
 		}
 	}
-	for name, waiting := range s.asks {
+	for name, waiting := range s.requests {
 		if at.Sub(waiting.Last) > s.config.PermitFor {
-			delete(s.asks, name)
+			delete(s.requests, name)
 		}
 	}
 }
--- a/internal/reducer/member/rollout_test.go
+++ b/internal/reducer/member/rollout_test.go
@@ -14,27 +14,27 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// sidecar is a server with its order reducer, its engine and its gate.
+// sidecar is a server with its order reducer and a model of its engine and gate.
 type sidecar struct {
-	fleet  *fleet
-	name   string
-	orders *order.State
-	info   engine.Info
-	state  oriolebend.ServerState
-	way    []engine.Order
-	// permits are questions to the leader that are on their way.
+	fleet    *fleet
+	name     string
+	orders   *order.State
+	info     engine.Info
+	state    oriolebend.ServerState
+	inFlight []engine.Order
+	// permits are requests to the leader that are in flight.
 	permits []message.Permit
 	busy    bool
 }
 
-// fleet joins sidecars to the leader over links that lose and delay.
+// fleet connects sidecars to the leader over links that lose and delay messages.
 type fleet struct {
 	*leader
 	t        *rapid.T
 	sidecars map[string]*sidecar
 	order    []string
 	lossy    bool
-	failing  bool // engines fail at loads
+	failing  bool // engines fail to load weights
 }
 
 const rolloutTick = 500 * time.Millisecond
@@ -77,7 +77,7 @@
 	f.reduce(Committed{At: f.now, View: f.log.View().Copy()})
 }
 
-// serving counts the servers that truly do the pool's work.
+// serving counts the servers that actually do the work of the pool.
 func (f *fleet) serving() int {
 	count := 0
 	for _, s := range f.sidecars {
@@ -92,7 +92,7 @@
 	return f.lossy && rapid.IntRange(0, 3).Draw(f.t, "lost") == 0
 }
 
-func (f *fleet) pass(d time.Duration) {
+func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(rolloutTick)
 		f.reduce(Ticked{At: f.now})
@@ -113,7 +113,7 @@
 	if !f.lost() {
 		f.reduce(Announced{At: f.now, Announce: message.Announce{Server: s.server()}})
 	}
-	if !f.lost() { // the follower's update
+	if !f.lost() { // the update of the declared state
 		view := f.log.View()
 		event := order.Declared{At: f.now, Revision: view.Revision, Target: view.TargetOf(s.server())}
 		if self, member := view.Servers[s.name]; member {
@@ -129,7 +129,7 @@
 	s.reduce(order.Ticked{At: f.now})
 }
 
-// deliverPermits asks the leader; the question or its answer may be lost.
+// deliverPermits delivers the permit requests to the leader; a request or its answer may be lost.
 func (s *sidecar) deliverPermits() {
 	permits := s.permits
 	s.permits = nil
@@ -138,7 +138,7 @@
 			s.reduce(order.PermitLost{At: s.fleet.now})
 			continue
 		}
-		answer := s.fleet.members.answer(s.fleet.now, p)
+		answer := s.fleet.members.answerPermit(s.fleet.now, p)
 		if s.fleet.lost() {
 			s.reduce(order.PermitLost{At: s.fleet.now})
 			continue
@@ -148,9 +148,9 @@
 }
 
 func (s *sidecar) deliverOrders() {
-	way := s.way
-	s.way = nil
-	for _, o := range way {
+	inFlight := s.inFlight
+	s.inFlight = nil
+	for _, o := range inFlight {
 		if s.fleet.failing && o.Action == engine.OrderLoad {
 			s.reduce(order.Ended{At: s.fleet.now, Reason: oriolebend.ReasonEngineFailed})
 			continue
@@ -176,17 +176,15 @@
 		case order.AskPermit:
 			s.permits = append(s.permits, e.Permit)
 		case order.Issue:
-			s.way = append(s.way, e.Order)
+			s.inFlight = append(s.inFlight, e.Order)
 		}
 	}
 }
 
-// TestRolloutsKeepTheMinimum rolls versions out while messages are lost, the
-// leader changes, work takes long to end and loads fail.
-//
-// Symptom: callers are refused during a rollout. Sequence: two servers leave
-// work though the pool bears one. Cause: each had leave from another leader, or
-// one was counted as serving that had leave already.
+// TestRolloutsKeepTheMinimum guards against requests that are refused during a rollout because
+// two servers are out of work where the pool tolerates one: both have a permit from different
+// leaders, or a server that already has a permit is counted as serving. It rolls out versions
+// while messages are lost, the leader changes, running work ends late and loads fail.
 func TestRolloutsKeepTheMinimum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(2, 5).Draw(t, "servers")
@@ -194,9 +192,9 @@
 		maxOut := rapid.IntRange(0, 3).Draw(t, "maxOut")
 		f := newFleet(t, servers)
 		f.declare("v1", minimum, maxOut)
-		f.pass(20 * time.Second)
+		f.advance(20 * time.Second)
 		if f.serving() != servers {
-			t.Fatalf("%d of %d serve", f.serving(), servers)
+			t.Fatalf("%d of %d servers are serving", f.serving(), servers)
 		}
 		f.lossy = true
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
@@ -206,7 +204,7 @@
 		for _, s := range f.sidecars {
 			s.busy = false
 		}
-		f.keep(minimum, 5*time.Minute)
+		f.checkMinimum(minimum, 5*time.Minute)
 		for _, s := range f.sidecars {
 			if !s.orders.Settled() {
 				t.Fatalf("%s is not settled: %+v", s.name, s.info)
@@ -215,12 +213,12 @@
 	})
 }
 
-// keep lets time go by and checks the minimum at each tick.
-func (f *fleet) keep(minimum int, d time.Duration) {
+// checkMinimum advances the clock and checks the minimum of serving servers at each tick.
+func (f *fleet) checkMinimum(minimum int, d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
-		f.pass(rolloutTick)
+		f.advance(rolloutTick)
 		if n := f.serving(); n < minimum {
-			f.t.Fatalf("%d serve, minimum %d", n, minimum)
+			f.t.Fatalf("%d servers are serving, minimum %d", n, minimum)
 		}
 	}
 }
@@ -229,7 +227,7 @@
 	switch rapid.IntRange(0, 5).Draw(f.t, "step") {
 	case 0:
 		f.declare(rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(f.t, "version"), minimum, maxOut)
-	case 1: // another control VM leads, which knows only the log
+	case 1: // a new leader, which knows only the log
 		f.members = New(Config{})
 		f.reduce(Led{At: f.now, View: f.log.View().Copy()})
 	case 2:
@@ -238,5 +236,5 @@
 		s := f.sidecars[rapid.SampledFrom(f.order).Draw(f.t, "server")]
 		s.busy = !s.busy
 	}
-	f.keep(minimum, time.Duration(rapid.IntRange(1, 40).Draw(f.t, "seconds"))*time.Second)
+	f.checkMinimum(minimum, time.Duration(rapid.IntRange(1, 40).Draw(f.t, "seconds"))*time.Second)
 }
--- a/internal/reducer/member/state.go
+++ b/internal/reducer/member/state.go
@@ -12,23 +12,23 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TickEvery is how often Ticked comes at least.
+// TickEvery is the largest interval between two Ticked events.
 const TickEvery = 200 * time.Millisecond
 
-// Config sets times and bounds; zero fields take the defaults named.
+// Config sets times and limits; zero fields take the defaults given.
 type Config struct {
-	// LeaseFor is how long a membership lives unrenewed; zero means 6s.
+	// LeaseFor is how long a membership is valid without a renewal; zero means 6s.
 	LeaseFor time.Duration
-	// Burst is how often a server may come back before it is held back, and
-	// RefillEvery how long it takes to earn one more; zero means 6 and 3m.
+	// Burst is how often a server may return before its return is delayed, and RefillEvery the
+	// time in which it earns one more return; zero means 6 and 3m.
 	Burst       int
 	RefillEvery time.Duration
-	// MassMinimum is how many leases must lapse at once, and be more than half
-	// of all, to look for the cause in the network; zero means 4.
+	// MassMinimum is the number of leases that must expire at once, and be more than half of all,
+	// for the network to be taken as the cause; zero means 4.
 	MassMinimum int
 	// MaxBatch bounds the servers in one command; zero means 256.
 	MaxBatch int
-	// PermitFor is how long a permit lives unrenewed; zero means 15s.
+	// PermitFor is how long a permit is valid without a renewal; zero means 15s.
 	PermitFor time.Duration
 }
 
@@ -42,20 +42,20 @@
 	return c
 }
 
-// lease is what the leader knows of one backend server.
+// lease is the state of one backend server at the leader.
 type lease struct {
 	Announce message.Announce
 	// Expires is zero once the membership has ended.
 	Expires time.Time
-	// Known is false while the server has only been seen in the log.
+	// Known is false while the server is known from the log only.
 	Known bool
-	// credit is how often the server may still come back, as of creditAt.
+	// credit is how often the server may still return without a delay, as of creditAt.
 	credit   float64
 	creditAt time.Time
 	damped   bool
 }
 
-// State is the leader's membership and permits.
+// State holds the membership and the permits at the leader.
 type State struct {
 	config    Config
 	leading   bool
@@ -64,16 +64,16 @@
 	view      declared.View
 	leases    map[string]*lease
 	permits   map[string]permit
-	asks      map[string]ask
+	requests  map[string]permitRequest
 	proposing bool
-	// unwritten are the servers that may differ from what the log has.
+	// unwritten are the servers whose state may differ from the log.
 	unwritten map[string]bool
-	// charged are the servers that the proposal in flight took credit from.
+	// charged are the servers whose credit the proposal in flight has reduced.
 	charged []string
-	// pools is the pool of each member in view; nil until it is needed.
+	// pools maps each member in view to its pool; it is nil until it is needed.
 	pools map[string]string
-	// massAt is when lapses were last put down to the network.
-	massAt time.Time
+	// massExpiryAt is when expired leases were last attributed to the network.
+	massExpiryAt time.Time
 }
 
 // New returns the state of a control VM that does not lead.
@@ -81,29 +81,29 @@
 	return &State{config: config.withDefaults()}
 }
 
-// Reduce takes one event and returns what is to be done.
+// Reduce applies one event to the state and returns the effects to carry out.
 func Reduce(s *State, e Event) []Effect {
 	switch e := e.(type) {
 	case Led:
-		s.led(e)
+		s.startLeading(e)
 	case Deposed:
 		s.leading = false
 		s.proposing = false
 	case Committed:
 		s.setView(e.View)
 	case Proposed:
-		return s.proposed(e)
+		return s.handleProposed(e)
 	case Announced:
-		return s.announced(e)
+		return s.handleAnnounced(e)
 	case Asked:
-		return s.asked(e)
+		return s.handlePermit(e)
 	case Ticked:
 		return s.tick(e.At)
 	}
 	return nil
 }
 
-// setView takes what the log has; any server may differ from it.
+// setView adopts the state of the log; any server may differ from it.
 func (s *State) setView(v declared.View) {
 	s.view = v
 	s.pools = nil
@@ -113,10 +113,9 @@
 	}
 }
 
-// proposed ends a proposal. A failed one is tried again with the next tick,
-// and gives back the credit that it took: a leader that can't write must not
-// hold servers back for that.
-func (s *State) proposed(e Proposed) []Effect {
+// handleProposed handles the end of a proposal. A failed one is retried at the next tick and its
+// credit is returned: a leader that can't write must not delay servers for that.
+func (s *State) handleProposed(e Proposed) []Effect {
 	s.proposing = false
 	charged := s.charged
 	s.charged = nil
@@ -131,17 +130,17 @@
 	return nil
 }
 
-// led starts a leadership. Nobody has renewed with this leader yet, so every
-// member gets a whole lease from now: a new leader must not take servers that
-// renewed with its predecessor for lost.
-func (s *State) led(e Led) {
+// startLeading starts a leadership. No server has renewed its lease with this leader yet, so
+// every member gets a full lease from now: a new leader must not treat servers that renewed with
+// its predecessor as lost.
+func (s *State) startLeading(e Led) {
 	s.leading = true
 	s.ledAt = e.At
 	s.tickedAt = e.At
 	s.setView(e.View)
 	s.proposing = false
 	s.permits = map[string]permit{}
-	s.asks = map[string]ask{}
+	s.requests = map[string]permitRequest{}
 	s.leases = map[string]*lease{}
 	for name, server := range e.View.Servers {
 		held := s.lease(name, e.At)
@@ -160,7 +159,7 @@
 	return held
 }
 
-func (s *State) announced(e Announced) []Effect {
+func (s *State) handleAnnounced(e Announced) []Effect {
 	if !s.leading {
 		return []Effect{Reply{Session: e.Session, Message: message.Announced{}}}
 	}
@@ -177,16 +176,16 @@
 	held.Known = true
 	s.unwritten[server.Name] = true
 	held.Expires = e.At.Add(s.config.LeaseFor)
-	if server.State == oriolebend.ServerGone { // a graceful stop needs no lapse
+	if server.State == oriolebend.ServerGone { // a graceful stop ends the lease at once
 		held.Expires = time.Time{}
 	}
 	reply := Reply{Session: e.Session, Message: message.Announced{LeaseFor: s.config.LeaseFor, Clean: s.clean(server)}}
 	return append([]Effect{reply}, s.propose(e.At)...)
 }
 
-// clean reports whether the log tells that no order of an earlier start of a
-// server can be on its way: before any order that its work could not bear, a
-// server is written down as loading.
+// clean reports whether the log shows that no order to an earlier incarnation of a server can be
+// in flight: before any order that is incompatible with its work, a server is recorded in the log
+// as loading.
 func (s *State) clean(server oriolebend.Server) bool {
 	written, member := s.view.Servers[server.Name]
 	if !member {
@@ -199,17 +198,17 @@
 	if !s.leading {
 		return nil
 	}
-	effects := s.forgivePause(at)
+	effects := s.extendAfterPause(at)
 	s.tickedAt = at
-	effects = append(effects, s.lapse(at)...)
-	s.lapsePermits(at)
+	effects = append(effects, s.expireLeases(at)...)
+	s.expirePermits(at)
 	return append(effects, s.propose(at)...)
 }
 
-// forgivePause extends leases by the time that the leader itself stood still.
-// Else a leader that was paused for longer than a lease would on waking drop
-// every server, whose renewals lie unread in its sockets.
-func (s *State) forgivePause(at time.Time) []Effect {
+// extendAfterPause extends leases and permits by the length of a pause of the leader's process.
+// Otherwise a leader that was paused for longer than a lease would, on resuming, drop every
+// server, although their renewals wait unread in its sockets.
+func (s *State) extendAfterPause(at time.Time) []Effect {
 	paused := at.Sub(s.tickedAt)
 	if paused <= s.config.LeaseFor/2 {
 		return nil
@@ -226,40 +225,38 @@
 	return []Effect{Count{What: CountPaused}}
 }
 
-// lapse ends the leases that were not renewed. If more than half lapse at
-// once, the likelier cause is that this control VM is cut off from servers
-// that are well; they are kept for one lease more, in which a leader that is
-// cut off from its quorum too is deposed.
-func (s *State) lapse(at time.Time) []Effect {
-	var lapsed []string
-	living := 0
+// expireLeases ends the leases that were not renewed. If more than half expire at once, this
+// control VM is probably cut off from healthy servers. These get one more lease, during which a
+// leader that is cut off from its quorum too is deposed.
+func (s *State) expireLeases(at time.Time) []Effect {
+	var expired []string
+	valid := 0
 	for name, held := range s.leases {
 		switch {
 		case held.Expires.IsZero():
 			s.forget(name, held, at)
 		case !held.Expires.After(at):
-			lapsed = append(lapsed, name)
+			expired = append(expired, name)
 		default:
-			living++
+			valid++
 		}
 	}
-	mass := len(lapsed) >= s.config.MassMinimum && len(lapsed) > living
-	if mass && (s.massAt.IsZero() || at.Sub(s.massAt) > 10*s.config.LeaseFor) {
-		s.massAt = at
-		for _, name := range lapsed {
+	mass := len(expired) >= s.config.MassMinimum && len(expired) > valid
+	if mass && (s.massExpiryAt.IsZero() || at.Sub(s.massExpiryAt) > 10*s.config.LeaseFor) {
+		s.massExpiryAt = at
+		for _, name := range expired {
 			s.leases[name].Expires = at.Add(s.config.LeaseFor)
 		}
 		return []Effect{Count{What: CountMassLapse}}
 	}
-	for _, name := range lapsed {
+	for _, name := range expired {
 		s.leases[name].Expires = time.Time{}
 		s.unwritten[name] = true
 	}
 	return nil
 }
 
-// forget drops what is known of a server that is gone and has earned its
-// credit back.
+// forget drops the lease of a server that is no member any more and has earned its credit back.
 func (s *State) forget(name string, held *lease, at time.Time) {
 	_, member := s.view.Servers[name]
 	if !member && s.creditOf(held, at) >= float64(s.config.Burst) {
@@ -272,8 +269,8 @@
 	return min(float64(s.config.Burst), held.credit+max(0, earned))
 }
 
-// propose writes what changed into the log, as one command at a time: what
-// changes meanwhile is joined in the next.
+// propose writes the changes to the log, one command at a time; changes that occur meanwhile are
+// combined in the next command.
 func (s *State) propose(at time.Time) []Effect {
 	if !s.leading || s.proposing {
 		return nil
@@ -293,9 +290,9 @@
 	return append(effects, Propose{Members: members})
 }
 
-// proposeServer adds what changed of one server. News that takes a server out
-// of work is written at once. News that brings it back costs credit: a server
-// that flaps would else fill the log and have every follower told each time.
+// proposeServer adds the change of one server. A change that takes a server out of work is
+// written at once. A change that brings a server back costs credit: otherwise a flapping server
+// would fill the log, and every follower would be notified each time.
 func (s *State) proposeServer(name string, at time.Time, into *declared.Members) []Effect {
 	held, known := s.leases[name]
 	written, member := s.view.Servers[name]
@@ -316,7 +313,7 @@
 	if !member || server.State == oriolebend.ServerServing {
 		credit := s.creditOf(held, at)
 		if credit < 1 {
-			return damp(held, name)
+			return markDamped(held, name)
 		}
 		held.credit = credit - 1
 		held.creditAt = at
@@ -327,7 +324,7 @@
 	return nil
 }
 
-func damp(held *lease, name string) []Effect {
+func markDamped(held *lease, name string) []Effect {
 	if held.damped {
 		return nil
 	}
@@ -335,7 +332,7 @@
 	return []Effect{Count{What: CountDamped, Server: name}}
 }
 
-// HeldBack lists the servers whose return is held back, by name.
+// Damped returns the servers whose return is delayed, ordered by name.
 func (s *State) HeldBack(at time.Time) []Held {
 	var list []Held
 	for _, name := range slices.Sorted(maps.Keys(s.leases)) {
@@ -350,8 +347,8 @@
 	return list
 }
 
-// Announcements returns the latest announcement of each living server, by
-// name; those only known from the log so far are left out.
+// Announcements returns the latest announcement of each server with a valid lease, by name;
+// servers that are known from the log only are left out.
 func (s *State) Announcements() map[string]message.Announce {
 	known := map[string]message.Announce{}
 	for name, held := range s.leases {
--- a/internal/reducer/member/state_test.go
+++ b/internal/reducer/member/state_test.go
@@ -15,7 +15,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// leader is a leader's reducer over a declared state that applies at once.
+// leader runs the reducer of the leader over a declared state that applies commands at once.
 type leader struct {
 	now     time.Time
 	members *State
@@ -70,7 +70,7 @@
 	l.reduce(Announced{At: l.now, Session: SessionID(name), Announce: message.Announce{Server: server}})
 }
 
-// pass lets time go by; the servers named renew every second.
+// pass advances the clock; the servers in renewing renew every second.
 func (l *leader) pass(d time.Duration, renewing []string) {
 	for end := l.now.Add(d); l.now.Before(end); {
 		l.now = l.now.Add(TickEvery)
@@ -106,7 +106,7 @@
 	}
 	var seconds int
 	switch d.Cmd {
-	case "lead": // a leader that knows only the log
+	case "lead": // a new leader that knows only the log
 		l.members = New(Config{})
 		l.reduce(Led{At: l.now, View: l.log.View().Copy()})
 	case "deposed":
@@ -123,7 +123,7 @@
 	case "pass":
 		d.ScanArgs(t, "s", &seconds)
 		l.pass(time.Duration(seconds)*time.Second, names("renew"))
-	case "pause": // the leader's process stands still
+	case "pause": // the process of the leader is paused
 		d.ScanArgs(t, "s", &seconds)
 		l.now = l.now.Add(time.Duration(seconds) * time.Second)
 		l.reduce(Ticked{At: l.now})
@@ -137,10 +137,10 @@
 		l.reduce(Asked{At: l.now, Session: SessionID(p.Server), Permit: p})
 	case "declare":
 		declare(t, l, d)
-	case "flap": // lease lapses and comes back, again and again
+	case "flap": // a lease expires and the server returns, repeatedly
 		flap(t, l, d)
 	default:
-		t.Fatalf("no command %q", d.Cmd)
+		t.Fatalf("unknown command %q", d.Cmd)
 	}
 }
 
@@ -154,7 +154,7 @@
 	}
 	out := l.out.String()
 	l.out.Reset()
-	fmt.Fprintf(&l.out, "%d writes, %d held back\n", l.writes, strings.Count(out, "damped"))
+	fmt.Fprintf(&l.out, "%d writes, %d damped\n", l.writes, strings.Count(out, "damped"))
 }
 
 func declare(t *testing.T, l *leader, d *datadriven.TestData) {
@@ -170,12 +170,8 @@
 	l.reduce(Committed{At: l.now, View: l.log.View().Copy()})
 }
 
-// TestFailedProposalsCostNothing: a leader that can't write must not hold
-// servers back afterwards.
-//
-// Symptom: after a partition heals, servers stay out for minutes. Sequence:
-// each failed proposal is tried again with every tick. Cause: each try took
-// credit.
+// TestFailedProposalsCostNothing guards against servers that stay out for minutes after a
+// partition has healed: each failed proposal is retried at every tick, and must not take credit.
 func TestFailedProposalsCostNothing(t *testing.T) {
 	is := is.New(t)
 	l := newLeader()
