--- a/internal/reducer/recovery/recovery.go
+++ b/internal/reducer/recovery/recovery.go
@@ -1,14 +1,14 @@
-// Package recovery is the reducer that finds out what became of requests whose
-// outcome is lost. It runs on the leading control VM, which has all records at
-// hand and is one at a time; entries come and go, and would each have to learn
-// of records that others left behind. It is pure: no clock, socket or unseeded
-// randomness.
+// Package recovery implements the reducer that determines the outcome of requests
+// whose outcome is lost. It runs on the leading control VM, because that VM holds all
+// records and there is only one at a time: entries start and stop, and each would have
+// to learn of the records that others left behind. The reducer is pure: it uses no
+// clock, socket or unseeded randomness.
 //
-// It never runs a request again. It asks, at growing intervals, and settles
-// only what it was told: an outcome by the service's status call, or "did not
-// run" by the gate that had the attempt and has closed it. That the service
-// does not know the operation proves nothing, for the call may still be on its
-// way; the record then stays unknown.
+// It never runs a request again. It sends status queries at growing intervals, and
+// resolves a record only from an answer that proves the outcome: the response of the
+// service's status call, or "did not run" from the gate that had the attempt and has
+// closed it. That the service does not know the operation proves nothing, because the
+// call may still be in flight; the record then stays unknown.
 package recovery
 
 import (
@@ -22,46 +22,46 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Defaults of Config.
+// Default values of the fields of Config.
 const (
-	defaultFirst    = time.Second
-	defaultMax      = 5 * time.Minute
-	defaultAskFor   = 10 * time.Second
-	defaultInFlight = 16
+	defaultFirst        = time.Second
+	defaultMax          = 5 * time.Minute
+	defaultQueryTimeout = 10 * time.Second
+	defaultInFlight     = 16
 )
 
-// HTTP status codes of a status call that tell an outcome: any success.
+// Limits of the HTTP status codes that prove an outcome: those of success.
 const (
 	statusOK    = 200
 	statusLimit = 300
 )
 
-// Config sets the pace of asking.
+// Config sets the rate of the status queries.
 type Config struct {
-	// First is the largest wait before the first question; it doubles with
-	// each up to Max. Zero means 1s and 5m.
+	// First is the upper limit of the random delay before the first query about a record; it
+	// doubles with each query up to Max. Zero means 1s and 5m.
 	First time.Duration
 	Max   time.Duration
-	// AskFor is how long an answer may take; zero means 10s.
+	// AskFor is the timeout of a query; zero means 10s.
 	AskFor time.Duration
-	// InFlight bounds the questions asked at a time; zero means 16.
+	// InFlight bounds the queries in flight; zero means 16.
 	InFlight int
-	// Seed is that of the jitter.
+	// Seed seeds the random delays.
 	Seed uint64
 }
 
-// Event is something that happened; At is when.
+// Event is an input of Reduce. At is the time of the event.
 type Event interface{ recoveryEvent() }
 
-// Listed is the list of unknown records whose service can tell the outcome. It
-// comes at least every second; a record that is not in it is done with.
+// Listed is the list of unknown records whose service has a status call that can tell the
+// outcome. It comes at least every second; a record that is no longer in it is dropped.
 type Listed struct {
 	At      time.Time
 	Unknown []record.UnknownRequest
 }
 
-// Told is the answer of a gate to a question: a message.CallAnswer with the
-// service's status, a message.Refusal, or nothing if it could not be asked.
+// StatusAnswered is the answer of a gate to a QueryStatus: a message.CallAnswer with the response
+// of the service, a message.Refusal, or nil if no gate could be queried.
 type Told struct {
 	At        time.Time
 	RequestID string
@@ -69,61 +69,62 @@
 	Answer    message.Message
 }
 
-// Stopped tells that this control VM does not lead any more.
+// Stopped reports that this control VM no longer leads.
 type Stopped struct{}
 
 func (Listed) recoveryEvent()  {}
 func (Told) recoveryEvent()    {}
 func (Stopped) recoveryEvent() {}
 
-// Effect is something that the control VM is to do.
+// Effect is an action for the control VM to carry out.
 type Effect interface{ recoveryEffect() }
 
-// Ask asks the gate of a server, or if that is gone any gate of the service,
-// for the outcome; Told follows. Only the server's own gate can say that the
-// attempt did not run: the answer of another gate is a status or nothing.
+// QueryStatus queries the gate of a server for the outcome, or any gate of the service if the
+// server has no gate any more; StatusAnswered follows. Only the server's own gate can answer that
+// the attempt did not run: the answer of another gate is a status or nil.
 type Ask struct {
 	Server  string
 	Service string
 	Query   message.StatusQuery
 }
 
-// Resolve proposes the outcome to the log.
+// Resolve proposes an outcome to the log.
 type Resolve struct{ Resolve record.Resolve }
 
-// Count adds one to the counter of questions by what came of them.
+// Count adds one to the counter of queries with the given result.
 type Count struct{ Reason oriolebend.Reason }
 
 func (Ask) recoveryEffect()     {}
 func (Resolve) recoveryEffect() {}
 func (Count) recoveryEffect()   {}
 
-// State is the records that are being asked about.
+// State holds the records whose outcome is queried. inFlight is the number of queries in flight.
 type State struct {
-	config  Config
-	random  *rand.Rand
-	records map[string]*question
-	asking  int
+	config   Config
+	random   *rand.Rand
+	records  map[string]*pending
+	inFlight int
 }
 
-// question is one record that is being asked about.
-type question struct {
-	unknown record.UnknownRequest
-	asked   int
-	next    time.Time
-	asking  bool
+// pending is one record whose outcome is queried. queries is the number of queries sent so far;
+// next is the time of the next query or, while one is in flight, of its timeout.
+type pending struct {
+	unknown  record.UnknownRequest
+	queries  int
+	next     time.Time
+	inFlight bool
 }
 
-// New returns a state that asks about nothing.
+// New returns a state without records.
 func New(c Config) *State {
 	c.First = orDefault(c.First, defaultFirst)
 	c.Max = orDefault(c.Max, defaultMax)
-	c.AskFor = orDefault(c.AskFor, defaultAskFor)
+	c.AskFor = orDefault(c.AskFor, defaultQueryTimeout)
 	c.InFlight = orDefault(c.InFlight, defaultInFlight)
 	return &State{
 		config:  c,
 		random:  rand.New(rand.NewPCG(c.Seed, 0)),
-		records: map[string]*question{},
+		records: map[string]*pending{},
 	}
 }
 
@@ -134,33 +135,33 @@
 	return value
 }
 
-// Reduce takes one event and returns what is to be done.
+// Reduce applies one event to the state and returns the effects to carry out.
 func Reduce(s *State, e Event) []Effect {
 	switch e := e.(type) {
 	case Listed:
-		s.list(e)
-		return s.ask(e.At)
+		s.updateRecords(e)
+		return s.sendQueries(e.At)
 	case Told:
-		return s.told(e)
+		return s.handleAnswer(e)
 	case Stopped:
 		clear(s.records)
-		s.asking = 0
+		s.inFlight = 0
 	}
 	return nil
 }
 
-// list takes new records in and forgets those that are unknown no more, or
-// whose later attempt is.
-func (s *State) list(e Listed) {
+// updateRecords adds new records, drops those that are no longer unknown, and replaces those with
+// a new attempt.
+func (s *State) updateRecords(e Listed) {
 	listed := map[string]bool{}
 	for _, u := range e.Unknown {
 		listed[u.RequestID] = true
-		q, ok := s.records[u.RequestID]
-		if ok && q.unknown.Attempt == u.Attempt {
+		p, ok := s.records[u.RequestID]
+		if ok && p.unknown.Attempt == u.Attempt {
 			continue
 		}
 		s.forget(u.RequestID)
-		s.records[u.RequestID] = &question{unknown: u, next: e.At.Add(s.wait(0))}
+		s.records[u.RequestID] = &pending{unknown: u, next: e.At.Add(s.delay(0))}
 	}
 	for id := range s.records {
 		if !listed[id] {
@@ -170,64 +171,64 @@
 }
 
 func (s *State) forget(id string) {
-	if q, ok := s.records[id]; ok && q.asking {
-		s.asking--
+	if p, ok := s.records[id]; ok && p.inFlight {
+		s.inFlight--
 	}
 	delete(s.records, id)
 }
 
-// wait is the time before a question, with full jitter: what one lost server
-// left behind must not come to its successor all at once.
-func (s *State) wait(asked int) time.Duration {
+// delay returns the delay before the next query, with full jitter: the queries about all records
+// that one lost server left behind must not be sent at the same time.
+func (s *State) delay(queries int) time.Duration {
 	limit := s.config.Max
-	if asked < 16 {
-		limit = min(limit, s.config.First<<asked)
+	if queries < 16 {
+		limit = min(limit, s.config.First<<queries)
 	}
 	return time.Duration(s.random.Int64N(int64(limit)))
 }
 
-// ask puts the questions that are due, the longest due first.
-func (s *State) ask(at time.Time) []Effect {
-	effects := s.giveUp(at)
-	for _, q := range s.due(at) {
-		if s.asking >= s.config.InFlight {
+// sendQueries sends the queries that are due, the longest overdue first.
+func (s *State) sendQueries(at time.Time) []Effect {
+	effects := s.expireQueries(at)
+	for _, p := range s.due(at) {
+		if s.inFlight >= s.config.InFlight {
 			break
 		}
-		effects = append(effects, s.put(q, at))
+		effects = append(effects, s.query(p, at))
 	}
 	return effects
 }
 
-// giveUp ends the wait for answers that did not come in time.
-func (s *State) giveUp(at time.Time) []Effect {
+// expireQueries ends the queries whose timeout has passed.
+func (s *State) expireQueries(at time.Time) []Effect {
 	var effects []Effect
-	for _, q := range s.due(at) {
-		if !q.asking {
+	for _, p := range s.due(at) {
+		if !p.inFlight {
 			continue
 		}
-		s.answered(q, at)
+		s.endQuery(p, at)
 		effects = append(effects, Count{Reason: oriolebend.ReasonDeadline})
 	}
 	return effects
 }
 
-// answered notes that nothing is asked about a record and when to ask again.
-func (s *State) answered(q *question, at time.Time) {
-	if q.asking {
-		q.asking = false
-		s.asking--
+// endQuery ends the query about a record, if any, and schedules the next one.
+func (s *State) endQuery(p *pending, at time.Time) {
+	if p.inFlight {
+		p.inFlight = false
+		s.inFlight--
 	}
-	q.next = at.Add(s.wait(q.asked))
+	p.next = at.Add(s.delay(p.queries))
 }
 
-func (s *State) due(at time.Time) []*question {
-	var due []*question
-	for _, q := range s.records {
-		if !q.next.After(at) {
-			due = append(due, q)
+func (s *State) due(at time.Time) []*pending {
+	var due []*pending
+	for _, p := range s.records {
+		if !p.next.After(at) {
+			due = append(due, p)
 		}
 	}
-	slices.SortFunc(due, func(a, b *question) int {
+	slices.SortFunc(due, func(a, b *pending) int {
 		if c := a.next.Compare(b.next); c != 0 {
 			return c
 		}
@@ -236,12 +237,12 @@
 	return due
 }
 
-func (s *State) put(q *question, at time.Time) Effect {
-	q.asking = true
-	q.asked++
-	q.next = at.Add(s.config.AskFor)
-	s.asking++
-	u := q.unknown
+func (s *State) query(p *pending, at time.Time) Effect {
+	p.inFlight = true
+	p.queries++
+	p.next = at.Add(s.config.AskFor)
+	s.inFlight++
+	u := p.unknown
 	identity := u.Status.Identity
 	if identity == "" {
 		identity = u.RequestID
@@ -257,13 +258,14 @@
 	}
 }
 
-// told settles a record by an answer, or has it asked about again later.
-func (s *State) told(e Told) []Effect {
-	q, ok := s.records[e.RequestID]
-	if !ok || q.unknown.Attempt != e.Attempt {
+// handleAnswer resolves a record from an answer, or counts why it could not; the record is then
+// queried again later.
+func (s *State) handleAnswer(e Told) []Effect {
+	p, ok := s.records[e.RequestID]
+	if !ok || p.unknown.Attempt != e.Attempt {
 		return nil
 	}
-	s.answered(q, e.At)
+	s.endQuery(p, e.At)
 	resolve := record.Resolve{RequestID: e.RequestID, Attempt: e.Attempt}
 	switch a := e.Answer.(type) {
 	case message.CallAnswer:
--- a/internal/reducer/recovery/recovery_test.go
+++ b/internal/reducer/recovery/recovery_test.go
@@ -13,8 +13,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TestScripts plays what gates and services answer. Waits are drawn from a
-// seed, so the times in the data files are the same on each run.
+// TestScripts runs the scripts in testdata, which give the answers of gates and services. Delays
+// are drawn from a seed, so the times in the scripts are the same on every run.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := New(Config{InFlight: 2})
@@ -36,8 +36,8 @@
 						write(&out, now.Sub(start), Reduce(s, Listed{At: now, Unknown: unknown}))
 					}
 					continue
-				case "told":
-					e = parseTold(now, words[1:])
+				case "answered":
+					e = parseAnswer(now, words[1:])
 				case "stopped":
 					e = Stopped{}
 				default:
@@ -76,25 +76,25 @@
 	return id, number
 }
 
-func parseTold(at time.Time, words []string) Told {
+func parseAnswer(at time.Time, words []string) Told {
 	id, number := idAndNumber(words[0])
-	told := Told{At: at, RequestID: id, Attempt: number}
+	answer := Told{At: at, RequestID: id, Attempt: number}
 	switch kind, value, _ := strings.Cut(words[1], "="); kind {
 	case "status":
 		var status int
 		_, _ = fmt.Sscan(value, &status)
-		told.Answer = message.CallAnswer{Status: status, Body: []byte("paid")}
+		answer.Answer = message.CallAnswer{Status: status, Body: []byte("paid")}
 	case "refusal":
-		told.Answer = message.Refusal{Reason: oriolebend.ReasonAttemptClosed, Ran: oriolebend.Ran(value)}
+		answer.Answer = message.Refusal{Reason: oriolebend.ReasonAttemptClosed, Ran: oriolebend.Ran(value)}
 	}
-	return told
+	return answer
 }
 
 func write(out *strings.Builder, after time.Duration, effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Ask:
-			fmt.Fprintf(out, "%s ask %s for %s/%d\n", after, e.Server, e.Query.Identity, e.Query.Attempt.Number)
+			fmt.Fprintf(out, "%s query %s for %s/%d\n", after, e.Server, e.Query.Identity, e.Query.Attempt.Number)
 		case Resolve:
 			fmt.Fprintf(out, "%s resolve %s/%d %s %s\n", after, e.Resolve.RequestID, e.Resolve.Attempt, e.Resolve.State, e.Resolve.Answer.Body)
 		case Count:
