--- a/internal/reducer/fleet/clock_test.go
+++ b/internal/reducer/fleet/clock_test.go
@@ -48,7 +48,7 @@
 	heap.Push(&c.queue, job{at: c.now.Add(d), seq: c.seq, run: run})
 }
 
-// every runs a function again and again.
+// every runs a function periodically.
 func (c *clock) every(d time.Duration, run func()) {
 	c.after(d, func() {
 		run()
--- a/internal/reducer/fleet/compare_test.go
+++ b/internal/reducer/fleet/compare_test.go
@@ -11,7 +11,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// lintang is the logistics site at its peak.
+// lintang is the workload of the logistics site at its peak.
 var lintang = mix{
 	domains: []string{"bdg-a", "bdg-b", "cirebon"}, prefill: 4, decode: 8, entries: 3, kvTokens: 90_000,
 	kinds: []kind{
@@ -20,7 +20,7 @@
 	},
 }
 
-// association is the settlement site at its peak.
+// association is the workload of the settlement site at its peak.
 var association = mix{
 	domains: []string{"chapinero", "usaquen", "teusaquillo", "fontibon"}, prefill: 5, decode: 4, entries: 4, kvTokens: 140_000,
 	kinds: []kind{
@@ -30,11 +30,11 @@
 }
 
 const (
-	loadLasts = 20 * time.Second
-	drainFor  = 25 * time.Second
+	loadDuration  = 20 * time.Second
+	drainDuration = 25 * time.Second
 )
 
-// result is what one run measured.
+// result holds the measurements of one run.
 type result struct {
 	good, wasted float64
 	pingP99      time.Duration
@@ -44,11 +44,11 @@
 
 func run(m mix, c entry.Config, scale float64, seed uint64, faults func(*fleet)) result {
 	f := newFleet(m, c, seed)
-	f.load(scale, loadLasts)
+	f.load(scale, loadDuration)
 	if faults != nil {
 		faults(f)
 	}
-	f.runUntil(f.now.Add(loadLasts + drainFor))
+	f.runUntil(f.now.Add(loadDuration + drainDuration))
 	return f.result()
 }
 
@@ -75,14 +75,14 @@
 	return r
 }
 
-// decodeDies kills one decode server after the other, every few seconds, for
+// crashDecodeServers crashes the decode servers one after another, one every four seconds, for
 // two seconds each.
-func decodeDies(f *fleet) {
+func crashDecodeServers(f *fleet) {
 	n := 0
 	f.every(4*time.Second, func() {
 		g := f.order[f.mix.prefill+n%f.mix.decode]
 		n++
-		g.die()
+		g.crash()
 		f.after(2*time.Second, func() {
 			g.start()
 			g.announce()
@@ -90,12 +90,12 @@
 	})
 }
 
-// baseline is a name for round robin as an ordinary product has it: no decode
-// memory reserved, and no request refused for being late.
+// baseline is the name of round robin as an ordinary router has it: no decode memory is reserved,
+// and no request is refused because it would be late.
 const baseline = "baseline"
 
-// BenchmarkPolicies compares all policies at the users' sizes under the same
-// load, without faults and with a decode server dying every four seconds.
+// BenchmarkPolicies compares all policies at the sizes of the users' sites under the same load,
+// without faults and with a decode server crashing every four seconds.
 func BenchmarkPolicies(b *testing.B) {
 	for _, site := range sites {
 		for _, fault := range []string{"calm", "decodeDies"} {
@@ -138,7 +138,7 @@
 	for i := range b.N {
 		var faults func(*fleet)
 		if fault == "decodeDies" {
-			faults = decodeDies
+			faults = crashDecodeServers
 		}
 		r := run(m, c, scale, uint64(i+1), faults)
 		good += r.good
@@ -153,13 +153,13 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// bound is a share of requests that no router can pass with full knowledge:
-// urgent requests first, as they need the least, then patient ones until the
-// first resource is used up. A batch at which a step takes exactly the target
-// is the most that decodes run at, prompts are computed but for what all
-// requests of a document share, and links are never idle.
+// bound returns an upper limit of the share of requests that any router could serve in time, even
+// with full knowledge. Urgent requests are served first, since they need the least, then patient
+// ones until the first resource is used up. Decode servers run at most the batch at which a step
+// takes exactly the target, prompts are computed except for the part that all requests of a
+// document share, and links are never idle.
 func (m mix) bound(scale float64) float64 {
-	const batch = float64(betweenWithin-stepBase) / float64(stepEach)
+	const batch = float64(betweenWithin-stepBase) / float64(stepPerRequest)
 	left := resources{
 		prefill: float64(m.prefill) * prefillRate,
 		slots:   float64(m.decode) * batch,
@@ -172,20 +172,20 @@
 				continue
 			}
 			all += k.rate * scale
-			good += left.take(k, k.rate*scale)
+			good += left.serve(k, k.rate*scale)
 		}
 	}
 	return good / all
 }
 
-// resources are what is left for a second of load.
+// resources are the resources that remain for one second of load.
 type resources struct{ prefill, slots, link float64 }
 
-// take serves as much of a kind as there is room for.
-func (r *resources) take(k kind, rate float64) float64 {
+// serve serves as much of a kind of request as the resources allow.
+func (r *resources) serve(k kind, rate float64) float64 {
 	prefill := float64(k.promptTokens - k.sharedTokens)
 	slots := float64(k.outputTokens) * betweenWithin.Seconds()
-	link := float64(k.promptTokens) * bytesOfToken
+	link := float64(k.promptTokens) * bytesPerToken
 	served := min(rate, r.prefill/prefill, r.slots/slots, r.link/link)
 	r.prefill -= served * prefill
 	r.slots -= served * slots
--- a/internal/reducer/fleet/engine_test.go
+++ b/internal/reducer/fleet/engine_test.go
@@ -10,25 +10,25 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Service times of the engine model.
+// Parameters of the engine model.
 const (
-	prefillRate  = 20_000.0                // prompt tokens a second
-	stepBase     = 15 * time.Millisecond   // one decode step of an empty batch
-	stepEach     = 1200 * time.Microsecond // what each request adds to it
-	bytesOfToken = 60_000                  // KV cache of one token
-	resultLives  = 800 * time.Millisecond
-	linkRate     = 2e9 // bytes a second
-	blockTokens  = 64
-	cacheDocs    = 40 // prompts whose blocks a cache holds
-	partTokens   = 4  // output tokens in one part
-	cacheLate    = 200 * time.Millisecond
+	prefillRate      = 20_000.0                // prompt tokens a second
+	stepBase         = 15 * time.Millisecond   // one decode step of an empty batch
+	stepPerRequest   = 1200 * time.Microsecond // added to the step by each request
+	bytesPerToken    = 60_000                  // KV cache size of one token
+	resultLifetime   = 800 * time.Millisecond
+	linkRate         = 2e9 // bytes a second
+	blockTokens      = 64
+	cacheDocs        = 40 // prompts whose blocks a cache holds
+	partTokens       = 4  // output tokens in one part
+	cacheReportDelay = 200 * time.Millisecond
 )
 
-// simEngine models one engine: prefills one after the other, urgent ones
-// first; decodes in a batch whose step grows with its size.
+// simEngine models one engine. It computes prefills one after another, urgent ones first, and
+// decodes in a batch whose step time grows with its size.
 type simEngine struct {
 	gate *simGate
-	// queue holds the prefills to compute; its head runs.
+	// queue holds the prefills to compute; the first one is running.
 	queue    []*simPrefill
 	version  int
 	exports  map[message.Attempt]*simExport
@@ -37,7 +37,7 @@
 	batch    []*simDecode
 	link     *simLink
 	stepping bool
-	// peak is the most tokens that were resident.
+	// peak is the highest number of tokens that were resident.
 	peak int
 }
 
@@ -61,7 +61,7 @@
 	spec    *spec
 	made    int
 	sent    int
-	// transfer is set while the cache is on its way.
+	// transfer is set while the KV cache is being transferred.
 	transfer *simTransfer
 }
 
@@ -84,7 +84,7 @@
 	e.runPrefill()
 }
 
-// pausePrefill books what the head has computed so far.
+// pausePrefill records what the first prefill of the queue has computed so far.
 func (e *simEngine) pausePrefill() {
 	e.version++
 	if len(e.queue) == 0 {
@@ -116,14 +116,14 @@
 
 func (e *simEngine) prefillEnded(p *simPrefill) {
 	tokens := p.spec.promptTokens + p.spec.delivered
-	x := &simExport{computed: float64(tokens - p.cached), expires: e.fleet().now.Add(resultLives)}
+	x := &simExport{computed: float64(tokens - p.cached), expires: e.fleet().now.Add(resultLifetime)}
 	a := p.request.Attempt
 	e.exports[a] = x
 	e.store(p.spec)
-	e.fleet().after(resultLives+time.Second, func() { e.dropExport(a) })
+	e.fleet().after(resultLifetime+time.Second, func() { e.dropExport(a) })
 	e.gate.reduce(gate.EnginePrefilled{At: e.fleet().now, Attempt: a, Result: engine.PrefillResult{
 		SourceURL: e.gate.server.Name, Tokens: tokens, CachedTokens: p.cached,
-		KVBytes: int64(tokens) * bytesOfToken, LivesFor: resultLives, Took: e.fleet().now.Sub(p.began),
+		KVBytes: int64(tokens) * bytesPerToken, LivesFor: resultLifetime, Took: e.fleet().now.Sub(p.began),
 	}})
 }
 
@@ -138,36 +138,36 @@
 	}
 }
 
-// store keeps the document's blocks in the cache and tells of them later.
+// store stores the blocks of the document in the cache, and reports them after a delay.
 func (e *simEngine) store(s *spec) {
 	if i := slices.Index(e.cache, s.document); i >= 0 {
 		e.cache = append(slices.Delete(e.cache, i, i+1), s.document)
 		return
 	}
 	e.cache = append(e.cache, s.document)
-	e.tellBlocks(s.document, engine.BlockStored)
+	e.reportBlocks(s.document, engine.BlockStored)
 	if len(e.cache) > cacheDocs {
-		e.tellBlocks(e.cache[0], engine.BlockEvicted)
+		e.reportBlocks(e.cache[0], engine.BlockEvicted)
 		e.cache = e.cache[1:]
 	}
 }
 
-func (e *simEngine) tellBlocks(document string, change engine.CacheChange) {
+func (e *simEngine) reportBlocks(document string, change engine.CacheChange) {
 	var events []engine.CacheEvent
 	for _, block := range e.fleet().blocks[document] {
 		e.seq++
 		events = append(events, engine.CacheEvent{Sequence: e.seq, Change: change, Block: block})
 	}
 	epoch := e.gate.epoch
-	e.fleet().after(cacheLate, func() {
+	e.fleet().after(cacheReportDelay, func() {
 		if epoch == e.gate.epoch {
 			e.gate.reduce(gate.CacheChanged{At: e.fleet().now, Events: events})
 		}
 	})
 }
 
-// cachedTokens is how much of a prompt is cached: the part that the document
-// shares among its requests.
+// cachedTokens returns how much of a prompt is cached: the part that all requests of the document
+// share.
 func (e *simEngine) cachedTokens(s *spec) int {
 	if slices.Contains(e.cache, s.document) {
 		return s.sharedTokens
@@ -185,7 +185,7 @@
 		return
 	}
 	e.batch = append(e.batch, d)
-	t := &simTransfer{left: float64(s.promptTokens+r.Offset) * bytesOfToken}
+	t := &simTransfer{left: float64(s.promptTokens+r.Offset) * bytesPerToken}
 	t.stalled = e.fleet().rng.Float64() < e.fleet().stallShare
 	t.done = func() { e.transferred(d, x) }
 	d.transfer = t
@@ -199,7 +199,7 @@
 	})
 }
 
-// transferred begins the generation of a decode whose cache has arrived.
+// transferred starts the generation of a decode whose KV cache has arrived.
 func (e *simEngine) transferred(d *simDecode, x *simExport) {
 	d.transfer = nil
 	x.used = true
@@ -224,7 +224,7 @@
 	})
 }
 
-// remove ends a decode.
+// remove removes a decode and its transfer.
 func (e *simEngine) remove(d *simDecode) {
 	if d.transfer != nil {
 		e.link.remove(d.transfer)
@@ -235,7 +235,7 @@
 	}
 }
 
-// ready are the decodes whose transfer ended.
+// ready returns the decodes whose transfer has ended.
 func (e *simEngine) ready() []*simDecode {
 	var ready []*simDecode
 	for _, d := range e.batch {
@@ -253,7 +253,7 @@
 		return
 	}
 	epoch := e.gate.epoch
-	e.fleet().after(stepBase+time.Duration(n)*stepEach, func() {
+	e.fleet().after(stepBase+time.Duration(n)*stepPerRequest, func() {
 		if epoch != e.gate.epoch {
 			return
 		}
@@ -264,7 +264,7 @@
 	})
 }
 
-// generate adds one token to a decode and emits its output in runs.
+// generate adds one token to a decode and emits its output in parts.
 func (e *simEngine) generate(d *simDecode) {
 	d.made++
 	last := d.made >= d.spec.outputTokens
--- a/internal/reducer/fleet/fleet_test.go
+++ b/internal/reducer/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// spec is one request of the load and what came of it.
+// spec is one request of the load and its outcome.
 type spec struct {
 	id           string
 	kind         string
@@ -43,7 +43,7 @@
 	return between <= betweenWithin
 }
 
-// mix is what one site sends.
+// mix is the servers and the peak load of one site.
 type mix struct {
 	domains         []string
 	prefill, decode int
@@ -52,7 +52,7 @@
 	kinds           []kind
 }
 
-// kind is one sort of request at its peak rate.
+// kind is one kind of request at its peak rate.
 type kind struct {
 	name         string
 	urgency      oriolebend.Urgency
@@ -82,10 +82,10 @@
 	counts     map[string]int
 }
 
-// stats are in prompt tokens.
+// stats are counts of prompt tokens.
 type stats struct{ computed, wasted float64 }
 
-// simEntry is one entry.
+// simEntry is one entry with its sessions.
 type simEntry struct {
 	fleet    *fleet
 	name     string
@@ -144,7 +144,7 @@
 
 func newExports() map[message.Attempt]*simExport { return map[message.Attempt]*simExport{} }
 
-// load draws the arrivals of a while, each kind a Poisson process.
+// load draws the arrivals during a time, a Poisson process for each kind.
 func (f *fleet) load(scale float64, lasts time.Duration) {
 	for _, k := range f.mix.kinds {
 		f.arrivals(k, k.rate*scale, lasts)
@@ -191,7 +191,7 @@
 	}})
 }
 
-// delay is the time of one message to a gate or back.
+// delay returns the latency of one message to or from a gate.
 func (e *simEntry) delay(g *simGate) time.Duration {
 	if e.domain == g.server.FailureDomain {
 		return 300 * time.Microsecond
@@ -205,7 +205,7 @@
 	}
 }
 
-// recordDelay is the time of a claim or a settlement.
+// recordDelay is the duration of a claim or a settlement.
 const recordDelay = 5 * time.Millisecond
 
 func (e *simEntry) perform(effect entry.Effect) {
@@ -263,7 +263,7 @@
 	s := &simSession{id: gate.SessionID(fmt.Sprint(f.sessions)), key: x.Session, entry: e, gate: g}
 	e.sessions[x.Session] = s
 	f.after(e.delay(g), func() {
-		if g.dead {
+		if g.crashed {
 			f.after(e.delay(g), func() { s.lost(false) })
 			return
 		}
--- a/internal/reducer/fleet/gate_test.go
+++ b/internal/reducer/fleet/gate_test.go
@@ -18,9 +18,9 @@
 	state    *gate.State
 	engine   *simEngine
 	sessions map[gate.SessionID]*simSession
-	// epoch grows with each death; what was under way before is void.
-	epoch int
-	dead  bool
+	// epoch increases with each crash; work in progress of an earlier epoch is void.
+	epoch   int
+	crashed bool
 }
 
 // simSession is one session between an entry and a gate.
@@ -32,9 +32,9 @@
 	closed bool
 }
 
-// start begins a new life of the sidecar and its engine.
+// start starts a new incarnation of the sidecar and its engine.
 func (g *simGate) start() {
-	g.dead = false
+	g.crashed = false
 	g.state = gate.New(gate.Config{})
 	g.engine = &simEngine{gate: g, exports: newExports()}
 	g.engine.link = &simLink{engine: g.engine, updated: g.fleet.now}
@@ -51,7 +51,7 @@
 	g.reduce(gate.Declared{At: g.fleet.now, State: state})
 }
 
-// announce tells the entries of the server as it is now.
+// announce reports the present state of the server to the entries.
 func (g *simGate) announce() {
 	f := g.fleet
 	f.after(500*time.Millisecond, func() {
@@ -61,9 +61,9 @@
 	})
 }
 
-// die ends the process of the sidecar and its engine's work.
-func (g *simGate) die() {
-	g.dead = true
+// crash ends the process of the sidecar and the work of its engine.
+func (g *simGate) crash() {
+	g.crashed = true
 	g.epoch++
 	for a := range g.engine.exports {
 		g.engine.dropExport(a)
@@ -78,7 +78,7 @@
 }
 
 func (g *simGate) reduce(e gate.Event) {
-	if g.dead {
+	if g.crashed {
 		return
 	}
 	for _, effect := range gate.Reduce(g.state, e) {
@@ -118,7 +118,8 @@
 	}
 }
 
-// later is the time that the engine beside the sidecar takes to answer.
+// later runs a function after the time that the engine beside the sidecar takes to answer, unless
+// the server has crashed since.
 func (g *simGate) later(run func()) {
 	epoch := g.epoch
 	g.fleet.after(time.Millisecond, func() {
--- a/internal/reducer/fleet/link_test.go
+++ b/internal/reducer/fleet/link_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// simLink shares its rate evenly among the transfers that it carries.
+// simLink divides its rate evenly among its transfers.
 type simLink struct {
 	engine    *simEngine
 	transfers []*simTransfer
@@ -19,14 +19,14 @@
 	done    func()
 }
 
-// add starts a transfer; done is called once it ended.
+// add starts a transfer; done is called when it has ended.
 func (l *simLink) add(t *simTransfer) {
 	l.update()
 	l.transfers = append(l.transfers, t)
 	l.plan()
 }
 
-// remove ends a transfer before its time.
+// remove ends a transfer early.
 func (l *simLink) remove(t *simTransfer) {
 	l.update()
 	if i := slices.Index(l.transfers, t); i >= 0 {
@@ -58,7 +58,7 @@
 	return n
 }
 
-// plan sets the time at which the next transfer ends.
+// plan schedules the end of the transfer that ends next.
 func (l *simLink) plan() {
 	l.version++
 	var next *simTransfer
