--- a/internal/reducer/agreement/election.go
+++ b/internal/reducer/agreement/election.go
@@ -110,7 +110,7 @@
 
 // countOwnVote counts the vote for this member itself once it is synced.
 func (s *State) countOwnVote() {
-	if s.Role != Candidate || s.saving.done < s.election.ownVoteSequence {
+	if s.Role != Candidate || s.saving.syncedSequence < s.election.ownVoteSequence {
 		return
 	}
 	s.election.votes[s.Config.Name] = true
--- a/internal/reducer/agreement/restart.go
+++ b/internal/reducer/agreement/restart.go
@@ -11,13 +11,13 @@
 type restart struct {
 	// fresh is true until the member follows a leader, grants a vote or stands for election.
 	fresh bool
-	// askDue is the tick at which the other voters are asked next.
-	askDue uint64
+	// requestDue is the tick at which the other voters are asked next.
+	requestDue uint64
 	// answers holds the answers of the voters that are fresh too.
 	answers map[string]message.VoteAnswer
-	// standDue is the tick at which the member stands for election. It is zero until all voters
-	// are known to be fresh.
-	standDue uint64
+	// campaignDue is the tick at which the member stands for election. It is zero until all
+	// voters are known to be fresh.
+	campaignDue uint64
 }
 
 // tickRestart asks the other voters whether they are fresh too, and stands for election once all
@@ -26,12 +26,12 @@
 	if !s.restart.fresh || !s.inLease() || !s.mayCampaign() {
 		return
 	}
-	if s.restart.standDue != 0 && s.now >= s.restart.standDue {
-		s.standAfterRestart()
+	if s.restart.campaignDue != 0 && s.now >= s.restart.campaignDue {
+		s.campaignAfterRestart()
 		return
 	}
-	if s.now >= s.restart.askDue {
-		s.restart.askDue = s.now + s.Config.PreVoteTicks
+	if s.now >= s.restart.requestDue {
+		s.restart.requestDue = s.now + s.Config.PreVoteTicks
 		header := s.header()
 		header.Term++
 		s.requestVotes(message.Vote{Agreement: header, Pre: true}, afterNothing)
@@ -48,9 +48,9 @@
 		s.restart.answers = map[string]message.VoteAnswer{}
 	}
 	s.restart.answers[m.From] = m
-	if s.restart.standDue == 0 && s.allFresh() {
+	if s.restart.campaignDue == 0 && s.allFresh() {
 		// The voters stand one after another, so that votes are not split.
-		s.restart.standDue = s.now + s.rank()*s.Config.PreVoteTicks
+		s.restart.campaignDue = s.now + s.rank()*s.Config.PreVoteTicks
 		s.tickRestart()
 	}
 }
@@ -88,8 +88,8 @@
 	return rank
 }
 
-// standAfterRestart stands for election without waiting for a lease.
-func (s *State) standAfterRestart() {
+// campaignAfterRestart stands for election without waiting for a lease.
+func (s *State) campaignAfterRestart() {
 	starts := map[string]uint64{}
 	for name, answer := range s.restart.answers {
 		starts[name] = answer.Start
--- a/internal/reducer/agreement/saving.go
+++ b/internal/reducer/agreement/saving.go
@@ -21,9 +21,11 @@
 // index. Since the message is held until Persisted, no other member has seen a vote that is
 // forgotten.
 type saving struct {
-	sequence     uint64
-	hardSequence uint64
-	done         uint64
+	// sequence is that of the newest Persist, hardSequence that of the newest one with the hard
+	// state, and syncedSequence that of the newest one that is synced.
+	sequence       uint64
+	hardSequence   uint64
+	syncedSequence uint64
 
 	hardDirty bool
 	// dirtyFrom is the index of the first entry to write, zero if there is none.
@@ -146,7 +148,7 @@
 	v := &s.saving
 	var rest []heldMessage
 	for _, h := range v.held {
-		if h.sequence > v.done {
+		if h.sequence > v.syncedSequence {
 			rest = append(rest, h)
 			continue
 		}
@@ -157,7 +159,7 @@
 
 func (s *State) handlePersisted(sequence uint64) {
 	v := &s.saving
-	v.done = max(v.done, sequence)
+	v.syncedSequence = max(v.syncedSequence, sequence)
 	for len(v.logs) > 0 && v.logs[0].sequence <= sequence {
 		s.Synced = max(s.Synced, v.logs[0].last)
 		v.logs = v.logs[1:]
