--- a/internal/reducer/agreement/event.go
+++ b/internal/reducer/agreement/event.go
@@ -30,7 +30,7 @@
 
 // ConfirmRequested requests a confirmation that this member leads; Confirmed or Refused follows
 // with the same ID.
-type ConfirmAsked struct {
+type ConfirmRequested struct {
 	Tick uint64
 	ID   uint64
 }
@@ -82,13 +82,13 @@
 	Group string
 }
 
-func (e Ticked) tick() uint64        { return e.Tick }
-func (e Received) tick() uint64      { return e.Tick }
-func (e Proposed) tick() uint64      { return e.Tick }
-func (e ConfirmAsked) tick() uint64  { return e.Tick }
-func (e ChangeAsked) tick() uint64   { return e.Tick }
-func (e TransferAsked) tick() uint64 { return e.Tick }
-func (e Persisted) tick() uint64     { return e.Tick }
-func (e Applied) tick() uint64       { return e.Tick }
-func (e SnapshotMade) tick() uint64  { return e.Tick }
-func (e Regrouped) tick() uint64     { return e.Tick }
+func (e Ticked) tick() uint64           { return e.Tick }
+func (e Received) tick() uint64         { return e.Tick }
+func (e Proposed) tick() uint64         { return e.Tick }
+func (e ConfirmRequested) tick() uint64 { return e.Tick }
+func (e ChangeAsked) tick() uint64      { return e.Tick }
+func (e TransferAsked) tick() uint64    { return e.Tick }
+func (e Persisted) tick() uint64        { return e.Tick }
+func (e Applied) tick() uint64          { return e.Tick }
+func (e SnapshotMade) tick() uint64     { return e.Tick }
+func (e Regrouped) tick() uint64        { return e.Tick }
--- a/internal/reducer/agreement/reduce.go
+++ b/internal/reducer/agreement/reduce.go
@@ -14,7 +14,7 @@
 		s.handleMessage(e.Message)
 	case Proposed:
 		s.handleProposals(e.Proposals)
-	case ConfirmAsked:
+	case ConfirmRequested:
 		s.handleConfirm(e.ID)
 	case ChangeAsked:
 		s.handleChange(e)
--- a/internal/reducer/agreement/sim_test.go
+++ b/internal/reducer/agreement/sim_test.go
@@ -315,7 +315,7 @@
 func (s *sim) confirm(v *vm) {
 	s.nextID++
 	s.reads[s.nextID] = s.acked
-	s.feed(v, ConfirmAsked{s.now, s.nextID})
+	s.feed(v, ConfirmRequested{s.now, s.nextID})
 }
 
 func (s *sim) change(v *vm, action ChangeAction, name string) {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -205,7 +205,7 @@
 // Confirm implements control.Log.
 func (r *Replica) Confirm(ctx context.Context) error {
 	_, err := r.ask(ctx, oriolebend.RanNo, func(id uint64) agreement.Event {
-		return agreement.ConfirmAsked{Tick: r.tick(), ID: id}
+		return agreement.ConfirmRequested{Tick: r.tick(), ID: id}
 	})
 	return err
 }
