--- a/internal/reducer/agreement/event.go
+++ b/internal/reducer/agreement/event.go
@@ -46,7 +46,7 @@
 )
 
 // ChangeRequested requests a membership change; Apply or Refused follows with the same ID.
-type ChangeAsked struct {
+type ChangeRequested struct {
 	Tick   uint64
 	ID     uint64
 	Action ChangeAction
@@ -86,7 +86,7 @@
 func (e Received) tick() uint64         { return e.Tick }
 func (e Proposed) tick() uint64         { return e.Tick }
 func (e ConfirmRequested) tick() uint64 { return e.Tick }
-func (e ChangeAsked) tick() uint64      { return e.Tick }
+func (e ChangeRequested) tick() uint64  { return e.Tick }
 func (e TransferAsked) tick() uint64    { return e.Tick }
 func (e Persisted) tick() uint64        { return e.Tick }
 func (e Applied) tick() uint64          { return e.Tick }
--- a/internal/reducer/agreement/members.go
+++ b/internal/reducer/agreement/members.go
@@ -25,7 +25,7 @@
 }
 
 // handleChange appends a membership change, or refuses it.
-func (s *State) handleChange(e ChangeAsked) {
+func (s *State) handleChange(e ChangeRequested) {
 	if s.Role != Leader {
 		s.refuseNotLeader(e.ID)
 		return
@@ -63,7 +63,7 @@
 
 // membersAfter returns the members after a change. A change that is already in force leaves them
 // as they are, so that a request can be repeated.
-func (s *State) membersAfter(e ChangeAsked) []message.Member {
+func (s *State) membersAfter(e ChangeRequested) []message.Member {
 	members := slices.Clone(s.Members)
 	at := slices.IndexFunc(members, func(m message.Member) bool { return m.Name == e.Member.Name })
 	switch {
@@ -81,7 +81,7 @@
 
 // checkChange returns the reason why a change is not possible now, and false, or true if it is
 // possible.
-func (s *State) checkChange(e ChangeAsked) (Refused, bool) {
+func (s *State) checkChange(e ChangeRequested) (Refused, bool) {
 	_, exists := s.Member(e.Member.Name)
 	switch {
 	case !s.commitIsCurrent() || s.MembersIndex > s.Commit:
--- a/internal/reducer/agreement/reduce.go
+++ b/internal/reducer/agreement/reduce.go
@@ -16,7 +16,7 @@
 		s.handleProposals(e.Proposals)
 	case ConfirmRequested:
 		s.handleConfirm(e.ID)
-	case ChangeAsked:
+	case ChangeRequested:
 		s.handleChange(e)
 	case TransferAsked:
 		s.handleTransfer()
--- a/internal/reducer/agreement/sim_test.go
+++ b/internal/reducer/agreement/sim_test.go
@@ -320,7 +320,7 @@
 
 func (s *sim) change(v *vm, action ChangeAction, name string) {
 	s.nextID++
-	s.feed(v, ChangeAsked{s.now, s.nextID, action, message.Member{Name: name, Address: name}})
+	s.feed(v, ChangeRequested{s.now, s.nextID, action, message.Member{Name: name, Address: name}})
 }
 
 // run advances the clock tick by tick; every message is delivered and every write is synced,
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -225,7 +225,7 @@
 
 func (r *Replica) change(ctx context.Context, action agreement.ChangeAction, m message.Member) error {
 	_, err := r.ask(ctx, oriolebend.RanUnknown, func(id uint64) agreement.Event {
-		return agreement.ChangeAsked{Tick: r.tick(), ID: id, Action: action, Member: m}
+		return agreement.ChangeRequested{Tick: r.tick(), ID: id, Action: action, Member: m}
 	})
 	return err
 }
