--- a/internal/reducer/agreement/event.go
+++ b/internal/reducer/agreement/event.go
@@ -55,7 +55,7 @@
 
 // TransferRequested asks a leader to transfer leadership to another member; the leader refuses
 // proposals until the transfer has succeeded or failed.
-type TransferAsked struct{ Tick uint64 }
+type TransferRequested struct{ Tick uint64 }
 
 // Persisted reports that all Persist effects up to Sequence are synced.
 type Persisted struct {
@@ -82,13 +82,13 @@
 	Group string
 }
 
-func (e Ticked) tick() uint64           { return e.Tick }
-func (e Received) tick() uint64         { return e.Tick }
-func (e Proposed) tick() uint64         { return e.Tick }
-func (e ConfirmRequested) tick() uint64 { return e.Tick }
-func (e ChangeRequested) tick() uint64  { return e.Tick }
-func (e TransferAsked) tick() uint64    { return e.Tick }
-func (e Persisted) tick() uint64        { return e.Tick }
-func (e Applied) tick() uint64          { return e.Tick }
-func (e SnapshotMade) tick() uint64     { return e.Tick }
-func (e Regrouped) tick() uint64        { return e.Tick }
+func (e Ticked) tick() uint64            { return e.Tick }
+func (e Received) tick() uint64          { return e.Tick }
+func (e Proposed) tick() uint64          { return e.Tick }
+func (e ConfirmRequested) tick() uint64  { return e.Tick }
+func (e ChangeRequested) tick() uint64   { return e.Tick }
+func (e TransferRequested) tick() uint64 { return e.Tick }
+func (e Persisted) tick() uint64         { return e.Tick }
+func (e Applied) tick() uint64           { return e.Tick }
+func (e SnapshotMade) tick() uint64      { return e.Tick }
+func (e Regrouped) tick() uint64         { return e.Tick }
--- a/internal/reducer/agreement/random_test.go
+++ b/internal/reducer/agreement/random_test.go
@@ -149,7 +149,7 @@
 	case actRestart:
 		s.restart(d, v)
 	case actTransfer:
-		s.feed(v, TransferAsked{s.now})
+		s.feed(v, TransferRequested{s.now})
 	case actChange:
 		s.changeMembers(d, v)
 	case actCut:
--- a/internal/reducer/agreement/reduce.go
+++ b/internal/reducer/agreement/reduce.go
@@ -18,7 +18,7 @@
 		s.handleConfirm(e.ID)
 	case ChangeRequested:
 		s.handleChange(e)
-	case TransferAsked:
+	case TransferRequested:
 		s.handleTransfer()
 	case Persisted:
 		s.handlePersisted(e.Sequence)
--- a/internal/reducer/agreement/script_test.go
+++ b/internal/reducer/agreement/script_test.go
@@ -92,7 +92,7 @@
 	case "snapshot":
 		s.makeSnapshot(vm())
 	case "transfer":
-		s.feed(vm(), TransferAsked{s.now})
+		s.feed(vm(), TransferRequested{s.now})
 	case "add":
 		s.change(vm(), ChangeAdd, words[2])
 	case "remove":
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -237,7 +237,7 @@
 
 // Transfer asks this member, if it leads, to hand over to another.
 func (r *Replica) Transfer(ctx context.Context) error {
-	return r.call(ctx, func() { r.step(agreement.TransferAsked{Tick: r.tick()}) })
+	return r.call(ctx, func() { r.step(agreement.TransferRequested{Tick: r.tick()}) })
 }
 
 // Backup copies the data folder into a new one; see disk.Store.Backup.
--- a/internal/replica/run.go
+++ b/internal/replica/run.go
@@ -85,7 +85,7 @@
 				continue
 			}
 			r.handing = r.state.Role == agreement.Leader && len(r.state.Members) > 1
-			r.step(agreement.TransferAsked{Tick: r.tick()})
+			r.step(agreement.TransferRequested{Tick: r.tick()})
 		}
 		if err := r.failure(); err != nil {
 			return err
@@ -253,7 +253,7 @@
 	}
 	r.disk.low = low
 	if r.disk.full() {
-		r.step(agreement.TransferAsked{Tick: r.tick()})
+		r.step(agreement.TransferRequested{Tick: r.tick()})
 	}
 }
 
@@ -263,7 +263,7 @@
 	switch {
 	case r.disk.writeFull:
 		r.config.Logger.Error("the disk is full; the write is tried again", "error", s.err)
-		r.step(agreement.TransferAsked{Tick: r.tick()})
+		r.step(agreement.TransferRequested{Tick: r.tick()})
 	case s.err != nil:
 		r.disk.fatal = s.err
 	default:
