--- a/internal/reducer/agreement/event.go
+++ b/internal/reducer/agreement/event.go
@@ -77,7 +77,7 @@
 
 // GroupChanged assigns a member without entries or a snapshot to another group: a later
 // generation, which it is to join.
-type Regrouped struct {
+type GroupChanged struct {
 	Tick  uint64
 	Group string
 }
@@ -91,4 +91,4 @@
 func (e Persisted) tick() uint64         { return e.Tick }
 func (e Applied) tick() uint64           { return e.Tick }
 func (e SnapshotMade) tick() uint64      { return e.Tick }
-func (e Regrouped) tick() uint64         { return e.Tick }
+func (e GroupChanged) tick() uint64      { return e.Tick }
--- a/internal/reducer/agreement/reduce.go
+++ b/internal/reducer/agreement/reduce.go
@@ -26,7 +26,7 @@
 		s.handleApplied(e.Index)
 	case SnapshotMade:
 		s.handleSnapshotMade(e.Meta)
-	case Regrouped:
+	case GroupChanged:
 		if s.empty() {
 			s.Config.Group = e.Group
 		}
--- a/internal/replica/receive.go
+++ b/internal/replica/receive.go
@@ -55,5 +55,5 @@
 		}
 		return
 	}
-	r.step(agreement.Regrouped{Tick: r.tick(), Group: group})
+	r.step(agreement.GroupChanged{Tick: r.tick(), Group: group})
 }
