--- a/internal/reducer/agreement/effect.go
+++ b/internal/reducer/agreement/effect.go
@@ -91,7 +91,7 @@
 }
 
 // LeadershipChanged reports a new role, term or leader.
-type Led struct {
+type LeadershipChanged struct {
 	Role   Role
 	Term   uint64
 	Leader message.Member
@@ -100,13 +100,13 @@
 // Fatal stops the process, because continuing would violate a guarantee of the agreement.
 type Fatal struct{ Detail string }
 
-func (Send) agreementEffect()      {}
-func (SendChunk) agreementEffect() {}
-func (Persist) agreementEffect()   {}
-func (Compact) agreementEffect()   {}
-func (Apply) agreementEffect()     {}
-func (Restore) agreementEffect()   {}
-func (Confirmed) agreementEffect() {}
-func (Refused) agreementEffect()   {}
-func (Led) agreementEffect()       {}
-func (Fatal) agreementEffect()     {}
+func (Send) agreementEffect()              {}
+func (SendChunk) agreementEffect()         {}
+func (Persist) agreementEffect()           {}
+func (Compact) agreementEffect()           {}
+func (Apply) agreementEffect()             {}
+func (Restore) agreementEffect()           {}
+func (Confirmed) agreementEffect()         {}
+func (Refused) agreementEffect()           {}
+func (LeadershipChanged) agreementEffect() {}
+func (Fatal) agreementEffect()             {}
--- a/internal/reducer/agreement/reduce.go
+++ b/internal/reducer/agreement/reduce.go
@@ -66,7 +66,7 @@
 // reportLeadership emits a LeadershipChanged when the role, term or leader has changed.
 func (s *State) reportLeadership() {
 	leader, _ := s.Member(s.Leader)
-	now := Led{Role: s.Role, Term: s.Hard.Term, Leader: leader}
+	now := LeadershipChanged{Role: s.Role, Term: s.Hard.Term, Leader: leader}
 	if now == s.reported {
 		return
 	}
--- a/internal/reducer/agreement/sim_test.go
+++ b/internal/reducer/agreement/sim_test.go
@@ -154,14 +154,14 @@
 		s.acked = max(s.acked, v.index)
 	case Refused:
 		s.refused[string(e.Reason)+" "+string(e.Ran)]++
-	case Led:
+	case LeadershipChanged:
 		s.recordLeader(v, e)
 	case Fatal:
 		s.fail("%s: fatal: %s", v.name, e.Detail)
 	}
 }
 
-func (s *sim) recordLeader(v *vm, e Led) {
+func (s *sim) recordLeader(v *vm, e LeadershipChanged) {
 	if e.Role != Leader {
 		return
 	}
--- a/internal/reducer/agreement/state.go
+++ b/internal/reducer/agreement/state.go
@@ -73,7 +73,7 @@
 	saving   saving
 
 	effects  []Effect
-	reported Led
+	reported LeadershipChanged
 }
 
 // election is the state of a campaign and of the votes that it has received.
--- a/internal/replica/run.go
+++ b/internal/replica/run.go
@@ -180,7 +180,7 @@
 		r.answer(e.ID, outcome{})
 	case agreement.Refused:
 		r.refused(e)
-	case agreement.Led:
+	case agreement.LeadershipChanged:
 		r.led(e)
 	case agreement.Fatal:
 		r.disk.fatal = &FatalError{Detail: e.Detail}
@@ -201,7 +201,7 @@
 	}})
 }
 
-func (r *Replica) led(e agreement.Led) {
+func (r *Replica) led(e agreement.LeadershipChanged) {
 	r.config.Logger.Info("agreement", "role", e.Role, "term", e.Term, "leader", e.Leader.Name)
 }
 
