--- a/internal/reducer/agreement/reduce.go
+++ b/internal/reducer/agreement/reduce.go
@@ -51,15 +51,15 @@
 // applyCommitted passes the entries that are committed and durable here to the state machine.
 func (s *State) applyCommitted() {
 	until := min(s.Commit, s.Synced)
-	if until <= s.Handed {
+	if until <= s.Applying {
 		return
 	}
-	entries := make([]Committed, 0, until-s.Handed)
-	for i := s.Handed + 1; i <= until; i++ {
+	entries := make([]Committed, 0, until-s.Applying)
+	for i := s.Applying + 1; i <= until; i++ {
 		entries = append(entries, Committed{Entry: s.log.at(i), ID: s.lead.waiting[i]})
 		delete(s.lead.waiting, i)
 	}
-	s.Handed = until
+	s.Applying = until
 	s.emit(Apply{Entries: entries})
 }
 
--- a/internal/reducer/agreement/snapshot.go
+++ b/internal/reducer/agreement/snapshot.go
@@ -18,7 +18,7 @@
 
 // handleSnapshotMade records a new snapshot of this member and compacts the log.
 func (s *State) handleSnapshotMade(meta SnapshotMeta) {
-	if meta.Index <= s.Snapshot.Index || meta.Index > s.Handed {
+	if meta.Index <= s.Snapshot.Index || meta.Index > s.Applying {
 		return
 	}
 	s.previous, s.Snapshot = s.Snapshot, meta
@@ -169,7 +169,7 @@
 	s.saving.dirtyFrom = 0
 	s.saving.snapshot = &snapshot
 	s.Commit = m.Index
-	s.Handed = m.Index
+	s.Applying = m.Index
 	s.adoptMembers()
 	s.emit(Restore{Snapshot: snapshot})
 }
--- a/internal/reducer/agreement/state.go
+++ b/internal/reducer/agreement/state.go
@@ -52,8 +52,8 @@
 	// Synced is the last index that is durable here, Commit the last that is known to be
 	// committed, Applying the last that was passed to the state machine and Applied the last that
 	// the state machine has applied.
-	Synced, Commit, Handed, Applied uint64
-	Snapshot                        SnapshotMeta
+	Synced, Commit, Applying, Applied uint64
+	Snapshot                          SnapshotMeta
 
 	log    entryLog
 	now    uint64
@@ -101,7 +101,7 @@
 	}
 	s.log = restoredLog(restored)
 	s.Commit = restored.Snapshot.Index
-	s.Handed = s.Commit
+	s.Applying = s.Commit
 	s.Applied = s.Commit
 	s.Synced = s.log.last()
 	s.adoptMembers()
--- a/internal/reducer/agreement/transfer.go
+++ b/internal/reducer/agreement/transfer.go
@@ -35,7 +35,7 @@
 // answering as leader after the request.
 func (s *State) continueTransfer() {
 	to := s.lead.transferTo
-	if to == "" || s.Match(to) < s.log.last() || s.Handed < s.log.last() {
+	if to == "" || s.Match(to) < s.log.last() || s.Applying < s.log.last() {
 		return
 	}
 	s.send(to, message.Campaign{Agreement: s.header()}, afterNothing)
