--- a/internal/reducer/member/bench_test.go
+++ b/internal/reducer/member/bench_test.go
@@ -24,7 +24,7 @@
 		announces = append(announces, message.Announce{Server: s})
 	}
 	s := New(Config{})
-	Reduce(s, Led{At: time.Unix(0, 0), View: view})
+	Reduce(s, LeadershipGained{At: time.Unix(0, 0), View: view})
 	Reduce(s, Ticked{At: time.Unix(0, 0)})
 	return s, announces
 }
--- a/internal/reducer/member/event.go
+++ b/internal/reducer/member/event.go
@@ -18,8 +18,8 @@
 // Event is an input of Reduce. At is the time of the event by the clock of the leader.
 type Event interface{ memberEvent() }
 
-// Led reports that this control VM has become the leader and that View is current.
-type Led struct {
+// LeadershipGained reports that this control VM has become the leader and that View is current.
+type LeadershipGained struct {
 	At   time.Time
 	View declared.View
 }
@@ -57,13 +57,13 @@
 // Ticked reports that time has passed. It comes at least every TickEvery.
 type Ticked struct{ At time.Time }
 
-func (Led) memberEvent()       {}
-func (Deposed) memberEvent()   {}
-func (Committed) memberEvent() {}
-func (Proposed) memberEvent()  {}
-func (Announced) memberEvent() {}
-func (Asked) memberEvent()     {}
-func (Ticked) memberEvent()    {}
+func (LeadershipGained) memberEvent() {}
+func (Deposed) memberEvent()          {}
+func (Committed) memberEvent()        {}
+func (Proposed) memberEvent()         {}
+func (Announced) memberEvent()        {}
+func (Asked) memberEvent()            {}
+func (Ticked) memberEvent()           {}
 
 // Effect is an action for the leader to carry out.
 type Effect interface{ memberEffect() }
--- a/internal/reducer/member/rollout_test.go
+++ b/internal/reducer/member/rollout_test.go
@@ -41,7 +41,7 @@
 
 func newFleet(t *rapid.T, servers int) *fleet {
 	f := &fleet{leader: newLeader(), t: t, sidecars: map[string]*sidecar{}}
-	f.reduce(Led{At: f.now, View: f.log.View().Copy()})
+	f.reduce(LeadershipGained{At: f.now, View: f.log.View().Copy()})
 	for i := range servers {
 		s := &sidecar{fleet: f, name: fmt.Sprintf("s%d", i)}
 		s.orders = order.New(order.Config{Server: s.name, Incarnation: 1, QuietFor: 5 * time.Second})
@@ -229,7 +229,7 @@
 		f.declare(rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(f.t, "version"), minimum, maxOut)
 	case 1: // a new leader, which knows only the log
 		f.members = New(Config{})
-		f.reduce(Led{At: f.now, View: f.log.View().Copy()})
+		f.reduce(LeadershipGained{At: f.now, View: f.log.View().Copy()})
 	case 2:
 		f.failing = !f.failing
 	case 3:
--- a/internal/reducer/member/state.go
+++ b/internal/reducer/member/state.go
@@ -84,7 +84,7 @@
 // Reduce applies one event to the state and returns the effects to carry out.
 func Reduce(s *State, e Event) []Effect {
 	switch e := e.(type) {
-	case Led:
+	case LeadershipGained:
 		s.startLeading(e)
 	case Deposed:
 		s.leading = false
@@ -133,7 +133,7 @@
 // startLeading starts a leadership. No server has renewed its lease with this leader yet, so
 // every member gets a full lease from now: a new leader must not treat servers that renewed with
 // its predecessor as lost.
-func (s *State) startLeading(e Led) {
+func (s *State) startLeading(e LeadershipGained) {
 	s.leading = true
 	s.ledAt = e.At
 	s.tickedAt = e.At
--- a/internal/reducer/member/state_test.go
+++ b/internal/reducer/member/state_test.go
@@ -108,7 +108,7 @@
 	switch d.Cmd {
 	case "lead": // a new leader that knows only the log
 		l.members = New(Config{})
-		l.reduce(Led{At: l.now, View: l.log.View().Copy()})
+		l.reduce(LeadershipGained{At: l.now, View: l.log.View().Copy()})
 	case "deposed":
 		l.reduce(Deposed{At: l.now})
 	case "announce":
@@ -175,7 +175,7 @@
 func TestFailedProposalsCostNothing(t *testing.T) {
 	is := is.New(t)
 	l := newLeader()
-	l.reduce(Led{At: l.now, View: l.log.View().Copy()})
+	l.reduce(LeadershipGained{At: l.now, View: l.log.View().Copy()})
 	l.failing = true
 	l.announce("a", 1, oriolebend.ServerServing, oriolebend.LoadedModel{})
 	l.pass(30*time.Second, []string{"a"})
--- a/internal/role/memberleader.go
+++ b/internal/role/memberleader.go
@@ -103,7 +103,7 @@
 		return
 	}
 	m.leads.Store(true)
-	m.loop.Post(member.Led{At: time.Now(), View: m.Store.View()})
+	m.loop.Post(member.LeadershipGained{At: time.Now(), View: m.Store.View()})
 }
 
 // Serve is the peer.Handler for sidecars that announce their server and ask
