--- a/internal/reducer/member/bench_test.go
+++ b/internal/reducer/member/bench_test.go
@@ -62,6 +62,6 @@
 	}})
 	Reduce(s, Committed{At: time.Unix(0, 0), View: view})
 	for b.Loop() {
-		Reduce(s, Asked{At: time.Unix(100, 0), Permit: message.Permit{Server: "server-1", Out: true}})
+		Reduce(s, PermitRequested{At: time.Unix(100, 0), Permit: message.Permit{Server: "server-1", Out: true}})
 	}
 }
--- a/internal/reducer/member/event.go
+++ b/internal/reducer/member/event.go
@@ -48,7 +48,7 @@
 }
 
 // PermitRequested is a message of a sidecar about a permit: it requests, renews or releases one.
-type Asked struct {
+type PermitRequested struct {
 	At      time.Time
 	Session SessionID
 	Permit  message.Permit
@@ -62,7 +62,7 @@
 func (Committed) memberEvent()        {}
 func (Proposed) memberEvent()         {}
 func (Announced) memberEvent()        {}
-func (Asked) memberEvent()            {}
+func (PermitRequested) memberEvent()  {}
 func (Ticked) memberEvent()           {}
 
 // Effect is an action for the leader to carry out.
--- a/internal/reducer/member/permit.go
+++ b/internal/reducer/member/permit.go
@@ -37,7 +37,7 @@
 // Permits are leases in the leader's memory. A new leader grants no new permit for as long as one
 // that its predecessor granted may be valid; meanwhile the holders renew theirs with the new
 // leader, which counts them. Therefore no two leaders grant the same capacity twice.
-func (s *State) handlePermit(e Asked) []Effect {
+func (s *State) handlePermit(e PermitRequested) []Effect {
 	return []Effect{Reply{Session: e.Session, Message: s.answerPermit(e.At, e.Permit)}}
 }
 
--- a/internal/reducer/member/state.go
+++ b/internal/reducer/member/state.go
@@ -95,7 +95,7 @@
 		return s.handleProposed(e)
 	case Announced:
 		return s.handleAnnounced(e)
-	case Asked:
+	case PermitRequested:
 		return s.handlePermit(e)
 	case Ticked:
 		return s.tick(e.At)
--- a/internal/reducer/member/state_test.go
+++ b/internal/reducer/member/state_test.go
@@ -134,7 +134,7 @@
 	case "permit":
 		p := message.Permit{Server: names("server")[0], Out: d.HasArg("out"), Load: d.HasArg("load")}
 		p.HeldOut, p.HeldLoad, p.Done = d.HasArg("heldOut"), d.HasArg("heldLoad"), d.HasArg("done")
-		l.reduce(Asked{At: l.now, Session: SessionID(p.Server), Permit: p})
+		l.reduce(PermitRequested{At: l.now, Session: SessionID(p.Server), Permit: p})
 	case "declare":
 		declare(t, l, d)
 	case "flap": // a lease expires and the server returns, repeatedly
--- a/internal/role/memberleader.go
+++ b/internal/role/memberleader.go
@@ -135,7 +135,7 @@
 			m.note(f)
 			m.loop.Post(member.Announced{At: time.Now(), Session: id, Announce: f})
 		case message.Permit:
-			m.loop.Post(member.Asked{At: time.Now(), Session: id, Permit: f})
+			m.loop.Post(member.PermitRequested{At: time.Now(), Session: id, Permit: f})
 		default:
 			return
 		}
