--- a/internal/reducer/member/event.go
+++ b/internal/reducer/member/event.go
@@ -105,7 +105,7 @@
 func (Count) memberEffect()   {}
 
 // DampedServer is a server whose change is delayed because the server flaps.
-type Held struct {
+type DampedServer struct {
 	Server oriolebend.Server
 	// For is the remaining delay.
 	For time.Duration
--- a/internal/reducer/member/state.go
+++ b/internal/reducer/member/state.go
@@ -333,8 +333,8 @@
 }
 
 // Damped returns the servers whose return is delayed, ordered by name.
-func (s *State) HeldBack(at time.Time) []Held {
-	var list []Held
+func (s *State) HeldBack(at time.Time) []DampedServer {
+	var list []DampedServer
 	for _, name := range slices.Sorted(maps.Keys(s.leases)) {
 		held := s.leases[name]
 		if !held.damped {
@@ -342,7 +342,7 @@
 		}
 		missing := 1 - s.creditOf(held, at)
 		wait := time.Duration(missing * float64(s.config.RefillEvery))
-		list = append(list, Held{Server: held.Announce.Server, For: max(0, wait)})
+		list = append(list, DampedServer{Server: held.Announce.Server, For: max(0, wait)})
 	}
 	return list
 }
