--- a/internal/reducer/member/state.go
+++ b/internal/reducer/member/state.go
@@ -333,7 +333,7 @@
 }
 
 // Damped returns the servers whose return is delayed, ordered by name.
-func (s *State) HeldBack(at time.Time) []DampedServer {
+func (s *State) Damped(at time.Time) []DampedServer {
 	var list []DampedServer
 	for _, name := range slices.Sorted(maps.Keys(s.leases)) {
 		held := s.leases[name]
--- a/internal/reducer/member/state_test.go
+++ b/internal/reducer/member/state_test.go
@@ -182,5 +182,5 @@
 	l.failing = false
 	l.pass(time.Second, nil)
 	is.Equal(len(l.log.View().Servers), 1)
-	is.Equal(len(l.members.HeldBack(l.now)), 0)
+	is.Equal(len(l.members.Damped(l.now)), 0)
 }
