--- a/internal/reducer/member/event.go
+++ b/internal/reducer/member/event.go
@@ -93,7 +93,7 @@
 	CountDamped CountName = "damped"
 	// CountMassExpiry: so many leases expired at once that the network is the likely cause; the
 	// servers get one more lease.
-	CountMassLapse CountName = "massLapse"
+	CountMassExpiry CountName = "massLapse"
 	// CountPaused: the process of the leader was paused, and leases were extended.
 	CountPaused CountName = "paused"
 	// CountOutdated: an announcement of an earlier incarnation arrived late.
--- a/internal/reducer/member/state.go
+++ b/internal/reducer/member/state.go
@@ -247,7 +247,7 @@
 		for _, name := range expired {
 			s.leases[name].Expires = at.Add(s.config.LeaseFor)
 		}
-		return []Effect{Count{What: CountMassLapse}}
+		return []Effect{Count{What: CountMassExpiry}}
 	}
 	for _, name := range expired {
 		s.leases[name].Expires = time.Time{}
