--- a/internal/reducer/member/event.go
+++ b/internal/reducer/member/event.go
@@ -80,7 +80,7 @@
 // Count adds one to the counter of an occurrence. Server is the server concerned, if it is a
 // single one.
 type Count struct {
-	What   CountName
+	Name   CountName
 	Server string
 }
 
--- a/internal/reducer/member/state.go
+++ b/internal/reducer/member/state.go
@@ -168,7 +168,7 @@
 	if server.Incarnation < held.Announce.Server.Incarnation {
 		known := message.Announced{Incarnation: held.Announce.Server.Incarnation}
 		return []Effect{
-			Count{What: CountOutdated, Server: server.Name},
+			Count{Name: CountOutdated, Server: server.Name},
 			Reply{Session: e.Session, Message: known},
 		}
 	}
@@ -222,7 +222,7 @@
 		p.Expires = p.Expires.Add(paused)
 		s.permits[name] = p
 	}
-	return []Effect{Count{What: CountPaused}}
+	return []Effect{Count{Name: CountPaused}}
 }
 
 // expireLeases ends the leases that were not renewed. If more than half expire at once, this
@@ -247,7 +247,7 @@
 		for _, name := range expired {
 			s.leases[name].Expires = at.Add(s.config.LeaseFor)
 		}
-		return []Effect{Count{What: CountMassExpiry}}
+		return []Effect{Count{Name: CountMassExpiry}}
 	}
 	for _, name := range expired {
 		s.leases[name].Expires = time.Time{}
@@ -329,7 +329,7 @@
 		return nil
 	}
 	held.damped = true
-	return []Effect{Count{What: CountDamped, Server: name}}
+	return []Effect{Count{Name: CountDamped, Server: name}}
 }
 
 // Damped returns the servers whose return is delayed, ordered by name.
--- a/internal/reducer/member/state_test.go
+++ b/internal/reducer/member/state_test.go
@@ -35,7 +35,7 @@
 		case Propose:
 			l.propose(e)
 		case Count:
-			fmt.Fprintf(&l.out, "count %s %s\n", e.What, e.Server)
+			fmt.Fprintf(&l.out, "count %s %s\n", e.Name, e.Server)
 		case Reply:
 			if answer, ok := e.Message.(message.Permitted); ok {
 				fmt.Fprintf(&l.out, "%s: granted=%t %s\n", e.Session, answer.Granted, answer.Detail)
--- a/internal/role/memberleader.go
+++ b/internal/role/memberleader.go
@@ -172,7 +172,7 @@
 	case member.Propose:
 		go m.propose(f.Members)
 	case member.Count:
-		m.Observer.Count("member."+string(f.What), "", "")
+		m.Observer.Count("member."+string(f.Name), "", "")
 	}
 }
 
