--- a/internal/control/resolver.go
+++ b/internal/control/resolver.go
@@ -48,7 +48,7 @@
 type Resolver struct {
 	config ResolverConfig
 	state  *reducer.State
-	told   chan recovery.Told
+	told   chan recovery.StatusAnswered
 }
 
 // NewResolver returns a resolver.
@@ -61,7 +61,7 @@
 	return &Resolver{
 		config: c,
 		state:  &reducer.State{Recovery: recovery.New(c.Recovery)},
-		told:   make(chan recovery.Told, resolverEventsCap),
+		told:   make(chan recovery.StatusAnswered, resolverEventsCap),
 	}
 }
 
@@ -107,7 +107,7 @@
 	if err != nil {
 		answer = nil
 	}
-	told := recovery.Told{
+	told := recovery.StatusAnswered{
 		At:        time.Now(),
 		RequestID: e.Query.Attempt.RequestID,
 		Attempt:   e.Query.Attempt.Number,
--- a/internal/reducer/recovery/recovery.go
+++ b/internal/reducer/recovery/recovery.go
@@ -62,7 +62,7 @@
 
 // StatusAnswered is the answer of a gate to a QueryStatus: a message.CallAnswer with the response
 // of the service, a message.Refusal, or nil if no gate could be queried.
-type Told struct {
+type StatusAnswered struct {
 	At        time.Time
 	RequestID string
 	Attempt   uint32
@@ -72,9 +72,9 @@
 // Stopped reports that this control VM no longer leads.
 type Stopped struct{}
 
-func (Listed) recoveryEvent()  {}
-func (Told) recoveryEvent()    {}
-func (Stopped) recoveryEvent() {}
+func (Listed) recoveryEvent()         {}
+func (StatusAnswered) recoveryEvent() {}
+func (Stopped) recoveryEvent()        {}
 
 // Effect is an action for the control VM to carry out.
 type Effect interface{ recoveryEffect() }
@@ -141,7 +141,7 @@
 	case Listed:
 		s.updateRecords(e)
 		return s.sendQueries(e.At)
-	case Told:
+	case StatusAnswered:
 		return s.handleAnswer(e)
 	case Stopped:
 		clear(s.records)
@@ -260,7 +260,7 @@
 
 // handleAnswer resolves a record from an answer, or counts why it could not; the record is then
 // queried again later.
-func (s *State) handleAnswer(e Told) []Effect {
+func (s *State) handleAnswer(e StatusAnswered) []Effect {
 	p, ok := s.records[e.RequestID]
 	if !ok || p.unknown.Attempt != e.Attempt {
 		return nil
--- a/internal/reducer/recovery/recovery_test.go
+++ b/internal/reducer/recovery/recovery_test.go
@@ -76,9 +76,9 @@
 	return id, number
 }
 
-func parseAnswer(at time.Time, words []string) Told {
+func parseAnswer(at time.Time, words []string) StatusAnswered {
 	id, number := idAndNumber(words[0])
-	answer := Told{At: at, RequestID: id, Attempt: number}
+	answer := StatusAnswered{At: at, RequestID: id, Attempt: number}
 	switch kind, value, _ := strings.Cut(words[1], "="); kind {
 	case "status":
 		var status int
