--- a/internal/control/resolver.go
+++ b/internal/control/resolver.go
@@ -92,7 +92,7 @@
 func (r *Resolver) carryOut(ctx context.Context, effects []reducer.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case recovery.Ask:
+		case recovery.QueryStatus:
 			go r.ask(ctx, e)
 		case recovery.Resolve:
 			go r.resolve(ctx, e.Resolve)
@@ -102,7 +102,7 @@
 	}
 }
 
-func (r *Resolver) ask(ctx context.Context, e recovery.Ask) {
+func (r *Resolver) ask(ctx context.Context, e recovery.QueryStatus) {
 	answer, err := r.config.Gates.AskStatus(ctx, e.Server, e.Service, e.Query)
 	if err != nil {
 		answer = nil
--- a/internal/reducer/recovery/recovery.go
+++ b/internal/reducer/recovery/recovery.go
@@ -82,7 +82,7 @@
 // QueryStatus queries the gate of a server for the outcome, or any gate of the service if the
 // server has no gate any more; StatusAnswered follows. Only the server's own gate can answer that
 // the attempt did not run: the answer of another gate is a status or nil.
-type Ask struct {
+type QueryStatus struct {
 	Server  string
 	Service string
 	Query   message.StatusQuery
@@ -94,9 +94,9 @@
 // Count adds one to the counter of queries with the given result.
 type Count struct{ Reason oriolebend.Reason }
 
-func (Ask) recoveryEffect()     {}
-func (Resolve) recoveryEffect() {}
-func (Count) recoveryEffect()   {}
+func (QueryStatus) recoveryEffect() {}
+func (Resolve) recoveryEffect()     {}
+func (Count) recoveryEffect()       {}
 
 // State holds the records whose outcome is queried. inFlight is the number of queries in flight.
 type State struct {
@@ -247,7 +247,7 @@
 	if identity == "" {
 		identity = u.RequestID
 	}
-	return Ask{
+	return QueryStatus{
 		Server:  u.Server,
 		Service: u.Status.Service,
 		Query: message.StatusQuery{
--- a/internal/reducer/recovery/recovery_test.go
+++ b/internal/reducer/recovery/recovery_test.go
@@ -93,7 +93,7 @@
 func write(out *strings.Builder, after time.Duration, effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case Ask:
+		case QueryStatus:
 			fmt.Fprintf(out, "%s query %s for %s/%d\n", after, e.Server, e.Query.Identity, e.Query.Attempt.Number)
 		case Resolve:
 			fmt.Fprintf(out, "%s resolve %s/%d %s %s\n", after, e.Resolve.RequestID, e.Resolve.Attempt, e.Resolve.State, e.Resolve.Answer.Body)
