--- a/internal/reducer/recovery/recovery.go
+++ b/internal/reducer/recovery/recovery.go
@@ -42,8 +42,8 @@
 	// doubles with each query up to Max. Zero means 1s and 5m.
 	First time.Duration
 	Max   time.Duration
-	// AskFor is the timeout of a query; zero means 10s.
-	AskFor time.Duration
+	// QueryTimeout is the timeout of a query; zero means 10s.
+	QueryTimeout time.Duration
 	// InFlight bounds the queries in flight; zero means 16.
 	InFlight int
 	// Seed seeds the random delays.
@@ -119,7 +119,7 @@
 func New(c Config) *State {
 	c.First = orDefault(c.First, defaultFirst)
 	c.Max = orDefault(c.Max, defaultMax)
-	c.AskFor = orDefault(c.AskFor, defaultQueryTimeout)
+	c.QueryTimeout = orDefault(c.QueryTimeout, defaultQueryTimeout)
 	c.InFlight = orDefault(c.InFlight, defaultInFlight)
 	return &State{
 		config:  c,
@@ -240,7 +240,7 @@
 func (s *State) query(p *pending, at time.Time) Effect {
 	p.inFlight = true
 	p.queries++
-	p.next = at.Add(s.config.AskFor)
+	p.next = at.Add(s.config.QueryTimeout)
 	s.inFlight++
 	u := p.unknown
 	identity := u.Status.Identity
