--- a/internal/reducer/recovery/recovery.go
+++ b/internal/reducer/recovery/recovery.go
@@ -38,10 +38,10 @@
 
 // Config sets the rate of the status queries.
 type Config struct {
-	// First is the upper limit of the random delay before the first query about a record; it
+	// FirstDelay is the upper limit of the random delay before the first query about a record; it
 	// doubles with each query up to Max. Zero means 1s and 5m.
-	First time.Duration
-	Max   time.Duration
+	FirstDelay time.Duration
+	Max        time.Duration
 	// QueryTimeout is the timeout of a query; zero means 10s.
 	QueryTimeout time.Duration
 	// InFlight bounds the queries in flight; zero means 16.
@@ -117,7 +117,7 @@
 
 // New returns a state without records.
 func New(c Config) *State {
-	c.First = orDefault(c.First, defaultFirst)
+	c.FirstDelay = orDefault(c.FirstDelay, defaultFirst)
 	c.Max = orDefault(c.Max, defaultMax)
 	c.QueryTimeout = orDefault(c.QueryTimeout, defaultQueryTimeout)
 	c.InFlight = orDefault(c.InFlight, defaultInFlight)
@@ -182,7 +182,7 @@
 func (s *State) delay(queries int) time.Duration {
 	limit := s.config.Max
 	if queries < 16 {
-		limit = min(limit, s.config.First<<queries)
+		limit = min(limit, s.config.FirstDelay<<queries)
 	}
 	return time.Duration(s.random.Int64N(int64(limit)))
 }
