--- a/internal/reducer/recovery/recovery.go
+++ b/internal/reducer/recovery/recovery.go
@@ -41,7 +41,7 @@
 	// FirstDelay is the upper limit of the random delay before the first query about a record; it
 	// doubles with each query up to Max. Zero means 1s and 5m.
 	FirstDelay time.Duration
-	Max        time.Duration
+	MaxDelay   time.Duration
 	// QueryTimeout is the timeout of a query; zero means 10s.
 	QueryTimeout time.Duration
 	// InFlight bounds the queries in flight; zero means 16.
@@ -118,7 +118,7 @@
 // New returns a state without records.
 func New(c Config) *State {
 	c.FirstDelay = orDefault(c.FirstDelay, defaultFirst)
-	c.Max = orDefault(c.Max, defaultMax)
+	c.MaxDelay = orDefault(c.MaxDelay, defaultMax)
 	c.QueryTimeout = orDefault(c.QueryTimeout, defaultQueryTimeout)
 	c.InFlight = orDefault(c.InFlight, defaultInFlight)
 	return &State{
@@ -180,7 +180,7 @@
 // delay returns the delay before the next query, with full jitter: the queries about all records
 // that one lost server left behind must not be sent at the same time.
 func (s *State) delay(queries int) time.Duration {
-	limit := s.config.Max
+	limit := s.config.MaxDelay
 	if queries < 16 {
 		limit = min(limit, s.config.FirstDelay<<queries)
 	}
