--- a/internal/reducer/agreement/election_test.go
+++ b/internal/reducer/agreement/election_test.go
@@ -11,10 +11,10 @@
 )
 
 // TestLeaderSoonAfterAPowerLoss guards against a group that has no leader although a majority
-// could elect one, in which time no request is answered. Five members restart over 0.4 s after a
-// power loss, and each waits for a lease that it may have granted. The first ones request
-// pre-votes while the others still wait, and are refused; a refused member must ask again before
-// a whole election timeout has passed.
+// could elect one: after a power loss no request was answered for 0.9 s, a third of it for this
+// reason. Five members restart over 0.4 s, and each waits for a lease that it may have granted.
+// The first ones request pre-votes while the others still wait, and are refused; a refused member
+// must ask again before a whole election timeout has passed.
 //
 // The time counts from when the third member may vote. A tick is 25 ms.
 func TestLeaderSoonAfterAPowerLoss(t *testing.T) {
@@ -31,9 +31,10 @@
 }
 
 // TestLeaderAtOnceWhenAllHaveRestarted guards against a group that has no leader for 0.3 s
-// although every member is back. After all processes were killed, each member waits for a lease
-// that it may have granted before it restarted, while the holder of the lease has restarted too.
-// The members must find out that no lease can be in force.
+// although every member is back, out of 0.5 s in which no request is answered. After all
+// processes were killed, each member waits for a lease that it may have granted before it
+// restarted, while the holder of the lease has restarted too. The members must find out that no
+// lease can be in force.
 //
 // The time counts from when the last of the five has started, or is zero if a leader was elected
 // before.
--- a/internal/reducer/recovery/recovery.go
+++ b/internal/reducer/recovery/recovery.go
@@ -24,8 +24,8 @@
 
 // Default values of the fields of Config.
 const (
-	defaultFirst        = time.Second
-	defaultMax          = 5 * time.Minute
+	defaultFirstDelay   = time.Second
+	defaultMaxDelay     = 5 * time.Minute
 	defaultQueryTimeout = 10 * time.Second
 	defaultInFlight     = 16
 )
@@ -39,7 +39,7 @@
 // Config sets the rate of the status queries.
 type Config struct {
 	// FirstDelay is the upper limit of the random delay before the first query about a record; it
-	// doubles with each query up to Max. Zero means 1s and 5m.
+	// doubles with each query up to MaxDelay. Zero means 1s and 5m.
 	FirstDelay time.Duration
 	MaxDelay   time.Duration
 	// QueryTimeout is the timeout of a query; zero means 10s.
@@ -117,8 +117,8 @@
 
 // New returns a state without records.
 func New(c Config) *State {
-	c.FirstDelay = orDefault(c.FirstDelay, defaultFirst)
-	c.MaxDelay = orDefault(c.MaxDelay, defaultMax)
+	c.FirstDelay = orDefault(c.FirstDelay, defaultFirstDelay)
+	c.MaxDelay = orDefault(c.MaxDelay, defaultMaxDelay)
 	c.QueryTimeout = orDefault(c.QueryTimeout, defaultQueryTimeout)
 	c.InFlight = orDefault(c.InFlight, defaultInFlight)
 	return &State{
