--- a/internal/reducer/member/permit.go
+++ b/internal/reducer/member/permit.go
@@ -128,11 +128,11 @@
 	if !p.Out || s.permits[p.Server].Out {
 		return ""
 	}
-	held, known := s.leases[p.Server]
-	if !known || !held.Known || held.Expires.IsZero() {
+	l, known := s.leases[p.Server]
+	if !known || !l.Known || l.Expires.IsZero() {
 		return "the server has not announced itself to this leader"
 	}
-	if held.Announce.Server.State != oriolebend.ServerServing {
+	if l.Announce.Server.State != oriolebend.ServerServing {
 		return "" // the server is already out of work
 	}
 	for _, name := range s.poolsServedBy(p.Server) {
@@ -167,15 +167,15 @@
 // work or is declared to leave.
 func (s *State) serving(pool, except string) int {
 	count := 0
-	for name, held := range s.leases {
-		if name == except || held.Expires.IsZero() || s.permits[name].Out || s.declaredOut(name) {
+	for name, l := range s.leases {
+		if name == except || l.Expires.IsZero() || s.permits[name].Out || s.declaredOut(name) {
 			continue
 		}
 		written, member := s.view.Servers[name]
 		if !member || written.State != oriolebend.ServerServing {
 			continue
 		}
-		if held.Announce.Server.State == oriolebend.ServerServing && s.serves(pool, held.Announce.Server) {
+		if l.Announce.Server.State == oriolebend.ServerServing && s.serves(pool, l.Announce.Server) {
 			count++
 		}
 	}
@@ -217,12 +217,12 @@
 // poolsServedBy returns the names of the pools that a server serves now.
 func (s *State) poolsServedBy(server string) []string {
 	names := []string{}
-	held, known := s.leases[server]
+	l, known := s.leases[server]
 	if !known {
 		return names
 	}
 	for _, r := range s.view.List(oriolebend.KindPool) {
-		if s.serves(r.Name, held.Announce.Server) {
+		if s.serves(r.Name, l.Announce.Server) {
 			names = append(names, r.Name)
 		}
 	}
--- a/internal/reducer/member/state.go
+++ b/internal/reducer/member/state.go
@@ -123,8 +123,8 @@
 		return s.propose(e.At)
 	}
 	for _, name := range charged {
-		if held, found := s.leases[name]; found {
-			held.credit++
+		if l, found := s.leases[name]; found {
+			l.credit++
 		}
 	}
 	return nil
@@ -143,20 +143,20 @@
 	s.requests = map[string]permitRequest{}
 	s.leases = map[string]*lease{}
 	for name, server := range e.View.Servers {
-		held := s.lease(name, e.At)
-		held.Announce.Server = server
-		held.Expires = e.At.Add(s.config.LeaseFor)
+		l := s.lease(name, e.At)
+		l.Announce.Server = server
+		l.Expires = e.At.Add(s.config.LeaseFor)
 		s.unwritten[name] = true
 	}
 }
 
 func (s *State) lease(name string, at time.Time) *lease {
-	held, found := s.leases[name]
+	l, found := s.leases[name]
 	if !found {
-		held = &lease{credit: float64(s.config.Burst), creditAt: at}
-		s.leases[name] = held
+		l = &lease{credit: float64(s.config.Burst), creditAt: at}
+		s.leases[name] = l
 	}
-	return held
+	return l
 }
 
 func (s *State) handleAnnounced(e Announced) []Effect {
@@ -164,20 +164,20 @@
 		return []Effect{Reply{Session: e.Session, Message: message.Announced{}}}
 	}
 	server := e.Announce.Server
-	held := s.lease(server.Name, e.At)
-	if server.Incarnation < held.Announce.Server.Incarnation {
-		known := message.Announced{Incarnation: held.Announce.Server.Incarnation}
+	l := s.lease(server.Name, e.At)
+	if server.Incarnation < l.Announce.Server.Incarnation {
+		known := message.Announced{Incarnation: l.Announce.Server.Incarnation}
 		return []Effect{
 			Count{Name: CountOutdated, Server: server.Name},
 			Reply{Session: e.Session, Message: known},
 		}
 	}
-	held.Announce = e.Announce
-	held.Known = true
+	l.Announce = e.Announce
+	l.Known = true
 	s.unwritten[server.Name] = true
-	held.Expires = e.At.Add(s.config.LeaseFor)
+	l.Expires = e.At.Add(s.config.LeaseFor)
 	if server.State == oriolebend.ServerGone { // a graceful stop ends the lease at once
-		held.Expires = time.Time{}
+		l.Expires = time.Time{}
 	}
 	reply := Reply{Session: e.Session, Message: message.Announced{LeaseFor: s.config.LeaseFor, Clean: s.clean(server)}}
 	return append([]Effect{reply}, s.propose(e.At)...)
@@ -213,9 +213,9 @@
 	if paused <= s.config.LeaseFor/2 {
 		return nil
 	}
-	for _, held := range s.leases {
-		if !held.Expires.IsZero() {
-			held.Expires = held.Expires.Add(paused)
+	for _, l := range s.leases {
+		if !l.Expires.IsZero() {
+			l.Expires = l.Expires.Add(paused)
 		}
 	}
 	for name, p := range s.permits {
@@ -231,11 +231,11 @@
 func (s *State) expireLeases(at time.Time) []Effect {
 	var expired []string
 	valid := 0
-	for name, held := range s.leases {
+	for name, l := range s.leases {
 		switch {
-		case held.Expires.IsZero():
-			s.forget(name, held, at)
-		case !held.Expires.After(at):
+		case l.Expires.IsZero():
+			s.forget(name, l, at)
+		case !l.Expires.After(at):
 			expired = append(expired, name)
 		default:
 			valid++
@@ -257,16 +257,16 @@
 }
 
 // forget drops the lease of a server that is no member any more and has earned its credit back.
-func (s *State) forget(name string, held *lease, at time.Time) {
+func (s *State) forget(name string, l *lease, at time.Time) {
 	_, member := s.view.Servers[name]
-	if !member && s.creditOf(held, at) >= float64(s.config.Burst) {
+	if !member && s.creditOf(l, at) >= float64(s.config.Burst) {
 		delete(s.leases, name)
 	}
 }
 
-func (s *State) creditOf(held *lease, at time.Time) float64 {
-	earned := at.Sub(held.creditAt).Seconds() / s.config.RefillEvery.Seconds()
-	return min(float64(s.config.Burst), held.credit+max(0, earned))
+func (s *State) creditOf(l *lease, at time.Time) float64 {
+	earned := at.Sub(l.creditAt).Seconds() / s.config.RefillEvery.Seconds()
+	return min(float64(s.config.Burst), l.credit+max(0, earned))
 }
 
 // propose writes the changes to the log, one command at a time; changes that occur meanwhile are
@@ -294,9 +294,9 @@
 // written at once. A change that brings a server back costs credit: otherwise a flapping server
 // would fill the log, and every follower would be notified each time.
 func (s *State) proposeServer(name string, at time.Time, into *declared.Members) []Effect {
-	held, known := s.leases[name]
+	l, known := s.leases[name]
 	written, member := s.view.Servers[name]
-	if !known || held.Expires.IsZero() {
+	if !known || l.Expires.IsZero() {
 		if member {
 			into.Gone = append(into.Gone, declared.GoneServer{Name: name, Incarnation: written.Incarnation})
 			return nil
@@ -304,31 +304,31 @@
 		delete(s.unwritten, name)
 		return nil
 	}
-	server := held.Announce.Server
+	server := l.Announce.Server
 	if member && reflect.DeepEqual(written, server) {
-		held.damped = false
+		l.damped = false
 		delete(s.unwritten, name)
 		return nil
 	}
 	if !member || server.State == oriolebend.ServerServing {
-		credit := s.creditOf(held, at)
+		credit := s.creditOf(l, at)
 		if credit < 1 {
-			return markDamped(held, name)
+			return markDamped(l, name)
 		}
-		held.credit = credit - 1
-		held.creditAt = at
+		l.credit = credit - 1
+		l.creditAt = at
 		s.charged = append(s.charged, name)
 	}
-	held.damped = false
+	l.damped = false
 	into.Announced = append(into.Announced, server)
 	return nil
 }
 
-func markDamped(held *lease, name string) []Effect {
-	if held.damped {
+func markDamped(l *lease, name string) []Effect {
+	if l.damped {
 		return nil
 	}
-	held.damped = true
+	l.damped = true
 	return []Effect{Count{Name: CountDamped, Server: name}}
 }
 
@@ -336,13 +336,13 @@
 func (s *State) Damped(at time.Time) []DampedServer {
 	var list []DampedServer
 	for _, name := range slices.Sorted(maps.Keys(s.leases)) {
-		held := s.leases[name]
-		if !held.damped {
+		l := s.leases[name]
+		if !l.damped {
 			continue
 		}
-		missing := 1 - s.creditOf(held, at)
+		missing := 1 - s.creditOf(l, at)
 		wait := time.Duration(missing * float64(s.config.RefillEvery))
-		list = append(list, DampedServer{Server: held.Announce.Server, For: max(0, wait)})
+		list = append(list, DampedServer{Server: l.Announce.Server, For: max(0, wait)})
 	}
 	return list
 }
@@ -351,9 +351,9 @@
 // servers that are known from the log only are left out.
 func (s *State) Announcements() map[string]message.Announce {
 	known := map[string]message.Announce{}
-	for name, held := range s.leases {
-		if held.Known && !held.Expires.IsZero() {
-			known[name] = held.Announce
+	for name, l := range s.leases {
+		if l.Known && !l.Expires.IsZero() {
+			known[name] = l.Announce
 		}
 	}
 	return known
--- a/internal/reducer/member/state_test.go
+++ b/internal/reducer/member/state_test.go
@@ -76,8 +76,8 @@
 		l.now = l.now.Add(TickEvery)
 		if l.now.Nanosecond() == 0 {
 			for _, name := range renewing {
-				held := l.members.leases[name].Announce
-				l.reduce(Announced{At: l.now, Session: SessionID(name), Announce: held})
+				announce := l.members.leases[name].Announce
+				l.reduce(Announced{At: l.now, Session: SessionID(name), Announce: announce})
 			}
 		}
 		l.reduce(Ticked{At: l.now})
