--- a/internal/control/resolver.go
+++ b/internal/control/resolver.go
@@ -48,7 +48,7 @@
 type Resolver struct {
 	config ResolverConfig
 	state  *reducer.State
-	told   chan recovery.Told
+	told   chan recovery.StatusAnswered
 }
 
 // NewResolver returns a resolver.
@@ -61,7 +61,7 @@
 	return &Resolver{
 		config: c,
 		state:  &reducer.State{Recovery: recovery.New(c.Recovery)},
-		told:   make(chan recovery.Told, resolverEventsCap),
+		told:   make(chan recovery.StatusAnswered, resolverEventsCap),
 	}
 }
 
@@ -92,7 +92,7 @@
 func (r *Resolver) carryOut(ctx context.Context, effects []reducer.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case recovery.Ask:
+		case recovery.QueryStatus:
 			go r.ask(ctx, e)
 		case recovery.Resolve:
 			go r.resolve(ctx, e.Resolve)
@@ -102,12 +102,12 @@
 	}
 }
 
-func (r *Resolver) ask(ctx context.Context, e recovery.Ask) {
+func (r *Resolver) ask(ctx context.Context, e recovery.QueryStatus) {
 	answer, err := r.config.Gates.AskStatus(ctx, e.Server, e.Service, e.Query)
 	if err != nil {
 		answer = nil
 	}
-	told := recovery.Told{
+	told := recovery.StatusAnswered{
 		At:        time.Now(),
 		RequestID: e.Query.Attempt.RequestID,
 		Attempt:   e.Query.Attempt.Number,
--- a/internal/reducer/member/state_test.go
+++ b/internal/reducer/member/state_test.go
@@ -15,7 +15,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// leader is a leader's reducer over a declared state that applies at once.
+// leader runs the reducer of the leader over a declared state that applies commands at once.
 type leader struct {
 	now     time.Time
 	members *State
@@ -35,7 +35,7 @@
 		case Propose:
 			l.propose(e)
 		case Count:
-			fmt.Fprintf(&l.out, "count %s %s\n", e.What, e.Server)
+			fmt.Fprintf(&l.out, "count %s %s\n", e.Name, e.Server)
 		case Reply:
 			if answer, ok := e.Message.(message.Permitted); ok {
 				fmt.Fprintf(&l.out, "%s: granted=%t %s\n", e.Session, answer.Granted, answer.Detail)
@@ -70,14 +70,14 @@
 	l.reduce(Announced{At: l.now, Session: SessionID(name), Announce: message.Announce{Server: server}})
 }
 
-// pass lets time go by; the servers named renew every second.
+// pass advances the clock; the servers in renewing renew every second.
 func (l *leader) pass(d time.Duration, renewing []string) {
 	for end := l.now.Add(d); l.now.Before(end); {
 		l.now = l.now.Add(TickEvery)
 		if l.now.Nanosecond() == 0 {
 			for _, name := range renewing {
-				held := l.members.leases[name].Announce
-				l.reduce(Announced{At: l.now, Session: SessionID(name), Announce: held})
+				announce := l.members.leases[name].Announce
+				l.reduce(Announced{At: l.now, Session: SessionID(name), Announce: announce})
 			}
 		}
 		l.reduce(Ticked{At: l.now})
@@ -106,9 +106,9 @@
 	}
 	var seconds int
 	switch d.Cmd {
-	case "lead": // a leader that knows only the log
+	case "lead": // a new leader that knows only the log
 		l.members = New(Config{})
-		l.reduce(Led{At: l.now, View: l.log.View().Copy()})
+		l.reduce(LeadershipGained{At: l.now, View: l.log.View().Copy()})
 	case "deposed":
 		l.reduce(Deposed{At: l.now})
 	case "announce":
@@ -123,7 +123,7 @@
 	case "pass":
 		d.ScanArgs(t, "s", &seconds)
 		l.pass(time.Duration(seconds)*time.Second, names("renew"))
-	case "pause": // the leader's process stands still
+	case "pause": // the process of the leader is paused
 		d.ScanArgs(t, "s", &seconds)
 		l.now = l.now.Add(time.Duration(seconds) * time.Second)
 		l.reduce(Ticked{At: l.now})
@@ -134,13 +134,13 @@
 	case "permit":
 		p := message.Permit{Server: names("server")[0], Out: d.HasArg("out"), Load: d.HasArg("load")}
 		p.HeldOut, p.HeldLoad, p.Done = d.HasArg("heldOut"), d.HasArg("heldLoad"), d.HasArg("done")
-		l.reduce(Asked{At: l.now, Session: SessionID(p.Server), Permit: p})
+		l.reduce(PermitRequested{At: l.now, Session: SessionID(p.Server), Permit: p})
 	case "declare":
 		declare(t, l, d)
-	case "flap": // lease lapses and comes back, again and again
+	case "flap": // a lease expires and the server returns, repeatedly
 		flap(t, l, d)
 	default:
-		t.Fatalf("no command %q", d.Cmd)
+		t.Fatalf("unknown command %q", d.Cmd)
 	}
 }
 
@@ -154,7 +154,7 @@
 	}
 	out := l.out.String()
 	l.out.Reset()
-	fmt.Fprintf(&l.out, "%d writes, %d held back\n", l.writes, strings.Count(out, "damped"))
+	fmt.Fprintf(&l.out, "%d writes, %d damped\n", l.writes, strings.Count(out, "damped"))
 }
 
 func declare(t *testing.T, l *leader, d *datadriven.TestData) {
@@ -170,21 +170,17 @@
 	l.reduce(Committed{At: l.now, View: l.log.View().Copy()})
 }
 
-// TestFailedProposalsCostNothing: a leader that can't write must not hold
-// servers back afterwards.
-//
-// Symptom: after a partition heals, servers stay out for minutes. Sequence:
-// each failed proposal is tried again with every tick. Cause: each try took
-// credit.
+// TestFailedProposalsCostNothing guards against servers that stay out for minutes after a
+// partition has healed: each failed proposal is retried at every tick, and must not take credit.
 func TestFailedProposalsCostNothing(t *testing.T) {
 	is := is.New(t)
 	l := newLeader()
-	l.reduce(Led{At: l.now, View: l.log.View().Copy()})
+	l.reduce(LeadershipGained{At: l.now, View: l.log.View().Copy()})
 	l.failing = true
 	l.announce("a", 1, oriolebend.ServerServing, oriolebend.LoadedModel{})
 	l.pass(30*time.Second, []string{"a"})
 	l.failing = false
 	l.pass(time.Second, nil)
 	is.Equal(len(l.log.View().Servers), 1)
-	is.Equal(len(l.members.HeldBack(l.now)), 0)
+	is.Equal(len(l.members.Damped(l.now)), 0)
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -205,7 +205,7 @@
 // Confirm implements control.Log.
 func (r *Replica) Confirm(ctx context.Context) error {
 	_, err := r.ask(ctx, oriolebend.RanNo, func(id uint64) agreement.Event {
-		return agreement.ConfirmAsked{Tick: r.tick(), ID: id}
+		return agreement.ConfirmRequested{Tick: r.tick(), ID: id}
 	})
 	return err
 }
@@ -225,7 +225,7 @@
 
 func (r *Replica) change(ctx context.Context, action agreement.ChangeAction, m message.Member) error {
 	_, err := r.ask(ctx, oriolebend.RanUnknown, func(id uint64) agreement.Event {
-		return agreement.ChangeAsked{Tick: r.tick(), ID: id, Action: action, Member: m}
+		return agreement.ChangeRequested{Tick: r.tick(), ID: id, Action: action, Member: m}
 	})
 	return err
 }
@@ -237,7 +237,7 @@
 
 // Transfer asks this member, if it leads, to hand over to another.
 func (r *Replica) Transfer(ctx context.Context) error {
-	return r.call(ctx, func() { r.step(agreement.TransferAsked{Tick: r.tick()}) })
+	return r.call(ctx, func() { r.step(agreement.TransferRequested{Tick: r.tick()}) })
 }
 
 // Backup copies the data folder into a new one; see disk.Store.Backup.
--- a/internal/role/memberleader.go
+++ b/internal/role/memberleader.go
@@ -103,7 +103,7 @@
 		return
 	}
 	m.leads.Store(true)
-	m.loop.Post(member.Led{At: time.Now(), View: m.Store.View()})
+	m.loop.Post(member.LeadershipGained{At: time.Now(), View: m.Store.View()})
 }
 
 // Serve is the peer.Handler for sidecars that announce their server and ask
@@ -135,7 +135,7 @@
 			m.note(f)
 			m.loop.Post(member.Announced{At: time.Now(), Session: id, Announce: f})
 		case message.Permit:
-			m.loop.Post(member.Asked{At: time.Now(), Session: id, Permit: f})
+			m.loop.Post(member.PermitRequested{At: time.Now(), Session: id, Permit: f})
 		default:
 			return
 		}
@@ -172,7 +172,7 @@
 	case member.Propose:
 		go m.propose(f.Members)
 	case member.Count:
-		m.Observer.Count("member."+string(f.What), "", "")
+		m.Observer.Count("member."+string(f.Name), "", "")
 	}
 }
 
