--- a/internal/forwarder/bench_test.go
+++ b/internal/forwarder/bench_test.go
@@ -25,7 +25,8 @@
 	benchBody          = 3000
 )
 
-// benchWork is a request on its way, before a forwarder that knows organisations and servers.
+// benchWork returns a request that is being forwarded by a forwarder that knows organisations and
+// servers.
 func benchWork(b *testing.B) (*work, *routing.Table) {
 	b.Helper()
 	logger, err := logging.New(settings.Log{Format: "json"}, io.Discard)
@@ -50,7 +51,7 @@
 	}
 	f.ChangeServers(registry.Changes{Servers: servers}, 1)
 	header := http.Header{
-		ownRequest: {"r1"}, ownDeadline: {"14000"}, ownCredential: {"Bearer key-7"}, ownPrompt: {"3200"}, ownOutput: {"2210"},
+		headerRequest: {"r1"}, headerDeadline: {"14000"}, headerCredential: {"Bearer key-7"}, headerPrompt: {"3200"}, headerOutput: {"2210"},
 		"Content-Type": {"application/json"}, "Accept": {"text/event-stream"}, "User-Agent": {"bench"},
 	}
 	request := &http1.Request{
@@ -65,9 +66,9 @@
 	return w, f.table.Load()
 }
 
-// BenchmarkSteps measures what one request costs a forwarder, step by step, without its
-// sockets: what its caller says, its route and organisation, what it asks for, its server,
-// its header on the way, and its line in the log.
+// BenchmarkSteps measures the cost of one request in a forwarder, step by step and without its
+// sockets: parsing its headers, finding its route and its organisation, its fingerprint, choosing a
+// server, the outgoing header, and its log line.
 func BenchmarkSteps(b *testing.B) {
 	w, table := benchWork(b)
 	w.route = table.Match("h", "/p/x")
@@ -81,8 +82,8 @@
 		{"identity", func() { w.identify(table) }},
 		{"fingerprint", func() { fingerprintOf(w.request, "o7") }},
 		{"server", func() {
-			if grant, refused := w.f.place(w.need()); refused == nil {
-				w.ended(grant, dispatch.OutcomeCancelled, 0)
+			if grant, refused := w.f.choose(w.need()); refused == nil {
+				w.reportEnded(grant, dispatch.OutcomeCancelled, 0)
 			}
 		}},
 		{"outgoing", func() { w.outgoing(Sending{Instance: "i1"}) }},
--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -13,37 +13,38 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// result is what one sending of a plain call brought.
+// result is the result of one send of a plain call.
 type result struct {
 	grant dispatch.Grant
-	// status, header and body are the server's answer, if err is nil. What there was no
-	// room for of the body is still to be read.
+	// status, header and body are the server's answer if err is nil. The part of the body that did
+	// not fit into the memory for held answers is still to be read.
 	status  int
 	header  http.Header
 	body    http1.Body
 	verdict Verdict
-	// declined is why a server that has said of itself that it takes less did not run it.
+	// declined is the reason why a server that had reported a limit, a backoff period or its
+	// leaving did not run the request.
 	declined oriolebend.Reason
 	err      error
 }
 
-// good reports whether an answer is a success that can be passed on.
-func (r result) good() bool {
+// succeeded reports whether the answer is a success that can be forwarded.
+func (r result) succeeded() bool {
 	return r.err == nil && r.verdict.Signed && r.status < http.StatusMultipleChoices
 }
 
-// passable reports whether an answer is the server's own and can be passed on, whatever it
-// says. One that callers would take for a promise is not, where the request may have run: they
-// would send it again, and it may run only once.
-func (w *work) passable(r result) bool {
+// forwardable reports whether the answer is the server's own and can be forwarded, whatever its
+// status. If the request may have run and may run only once, an answer whose status promises that
+// it has not run is not forwardable: the caller would send the request again.
+func (w *work) forwardable(r result) bool {
 	if r.err != nil || !r.verdict.Signed || r.verdict.Ran == oriolebend.RanNo {
 		return false
 	}
 	return w.route.Repeat.Repeatable() || !promisesNotRun(r.status)
 }
 
-// promisesNotRun reports whether a status tells callers that their request has not run and
-// never will.
+// promisesNotRun reports whether a status tells callers that their request has not run and never
+// will.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -52,14 +53,14 @@
 	return false
 }
 
-// call carries a request whose answer is held whole before it is passed on, unless there is
-// no room for it: a caller that reads slowly is then kept waiting for its server, as the
-// memory of this process would not suffice for all such callers.
+// call forwards a request whose answer is held completely before it is forwarded. If there is no
+// memory left to hold it, the rest is forwarded as it arrives, so that a caller that reads slowly
+// slows down its server: the memory of this process would not suffice for the answers of all such
+// callers.
 //
-// Sendings of an idempotent request overlap: once the first has been out for a
-// part of the target without an answer, a second server is asked beside it, and
-// the first whole answer is passed on. A server that stands still is otherwise
-// noticed only when the caller's time is gone.
+// Sends of an idempotent request overlap: once a part of the target has passed without an
+// answer, the request is sent to a second server as well, and the first complete answer
+// is forwarded. Otherwise a server that hangs would be noticed only when the caller's time is over.
 func (w *work) call(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer w.releaseAnswers()
@@ -70,50 +71,50 @@
 		w.giveUp(ctx, refused.reason, refused.after)
 		return
 	}
-	var spare *result
-	exhausted := false // no further sending is granted
+	var fallback *result
+	exhausted := false // no further send is granted
 	for running > 0 {
 		select {
 		case r := <-results:
 			running--
-			if w.settle(ctx, r, &spare) {
+			if w.handleResult(ctx, r, &fallback) {
 				return
 			}
 		case <-w.hedge(running, exhausted):
 		case <-ctx.Done():
-			w.abandoned(ctx)
+			w.giveUpOnContext(ctx)
 			return
 		}
-		if !exhausted && running < 2 && w.mayGoOn(ctx) {
+		if !exhausted && running < 2 && w.maySendAgain(ctx) {
 			started, refused := w.sendCall(ctx, results)
 			running += started
 			exhausted = refused != nil
 		}
 	}
-	w.conclude(ctx, spare)
+	w.answerFailed(ctx, fallback)
 }
 
-// hedgeAfter is the share of the target after which an idempotent request is
-// sent to a second server beside the first. At half of the target the second
-// can still be in time, and few sound servers take that long.
-const hedgeAfter = 0.5
+// hedgeShare is the share of the target after which an idempotent request is sent to a second
+// server in addition to the first. At half of the target the second server can still answer in
+// time, and few healthy servers take that long.
+const hedgeShare = 0.5
 
-// hedge fires when a second sending is due; never if there may be none.
+// hedge returns a channel that fires when a second send is due, nil if no second send is allowed.
 func (w *work) hedge(running int, exhausted bool) <-chan time.Time {
 	if exhausted || w.route.Repeat != oriolebend.RepeatIdempotent || running > 1 || w.sent >= w.route.Attempts {
 		return nil
 	}
-	if w.f.loaded(w.service.Name, time.Duration(w.route.AnswerWithin)) {
+	if w.f.overloaded(w.service.Name, time.Duration(w.route.AnswerWithin)) {
 		return nil
 	}
-	within := time.Duration(float64(w.route.AnswerWithin) * hedgeAfter)
+	within := time.Duration(float64(w.route.AnswerWithin) * hedgeShare)
 	if within <= 0 {
 		return nil
 	}
 	return time.After(time.Until(w.request.Received.Add(within * time.Duration(w.sent))))
 }
 
-// sendCall starts one sending; it returns how many were started.
+// sendCall starts one send and returns the number of sends that it started.
 func (w *work) sendCall(ctx context.Context, results chan<- result) (int, *refusal) {
 	grant, refused := w.placeCall(ctx)
 	if refused != nil {
@@ -128,8 +129,7 @@
 	return 1, nil
 }
 
-// releaseAnswers gives back the memory of all answers, also of those that are still being
-// read.
+// releaseAnswers releases the memory of all answers, including those that are still being read.
 func (w *work) releaseAnswers() {
 	for _, held := range w.answers {
 		held.Close()
@@ -142,25 +142,25 @@
 	response, err := w.f.send(ctx, g.Server, request)
 	if err != nil {
 		r.err = err
-		w.brokeEarly(g.Server, err)
-		w.ended(g, outcomeOf(err), 0)
+		w.detectCrash(g.Server, err)
+		w.reportEnded(g, outcomeOf(err), 0)
 		return r
 	}
 	r.status, r.header = response.Status, response.Header
 	body, err := response.Hold(held, w.f.config.MaxAnswerBytes)
 	r.body, r.err = body, err
 	if r.err != nil {
-		w.brokeEarly(g.Server, r.err)
-		w.ended(g, outcomeOf(r.err), 0)
+		w.detectCrash(g.Server, r.err)
+		w.reportEnded(g, outcomeOf(r.err), 0)
 		return r
 	}
 	r.verdict = w.f.config.Dialect.Judge(r.status, r.header, g.Server.Instance)
-	r.declined = w.f.declined(g.Server, r.verdict)
-	w.ended(g, r.outcome(), response.Took)
+	r.declined = w.f.declineReason(g.Server, r.verdict)
+	w.reportEnded(g, r.outcome(), response.Took)
 	return r
 }
 
-// outcome judges the server by its answer.
+// outcome classifies the server's answer for the reducer.
 func (r result) outcome() dispatch.Outcome {
 	switch {
 	case r.verdict.Moved:
@@ -177,60 +177,62 @@
 	return dispatch.OutcomeAnswered
 }
 
-// settle takes a result in. It returns true once the request is answered; an
-// answer that tells of a failure is kept aside while another server may do
-// better.
-func (w *work) settle(ctx context.Context, r result, spare **result) bool {
-	if r.good() {
-		w.pass(ctx, r)
+// handleResult forwards a successful result and returns true. It records any other result as a
+// failure; the first failure that can be forwarded becomes the fallback in case no other server
+// does better.
+func (w *work) handleResult(ctx context.Context, r result, fallback **result) bool {
+	if r.succeeded() {
+		w.forwardAnswer(ctx, r)
 		return true
 	}
-	w.note(r)
-	if w.passable(r) && *spare == nil {
-		*spare = &r
+	w.recordFailure(r)
+	if w.forwardable(r) && *fallback == nil {
+		*fallback = &r
 	}
 	return false
 }
 
-// note takes in what a result without success tells of the request.
-func (w *work) note(r result) {
+// recordFailure updates the state of the request after a result without success, and counts and
+// logs it.
+func (w *work) recordFailure(r result) {
 	reason := oriolebend.ReasonOutcomeLost
 	switch {
 	case r.err != nil:
 		reason = reasonOf(r.err)
 		if reason == oriolebend.ReasonMemoryShort {
-			w.passedOver(reason)
+			w.recordNotSent(reason)
 		}
-		w.mayHaveRun(ranOf(r.err))
+		w.recordRan(ranOf(r.err))
 	case r.verdict.Ran == oriolebend.RanNo:
 		reason = cmp.Or(r.declined, oriolebend.ReasonQueueFull)
 		w.declined = r.declined
 	case r.verdict.Signed:
 		reason = oriolebend.ReasonEngineFailed
-		w.mayHaveRun(oriolebend.RanYes)
+		w.recordRan(oriolebend.RanYes)
 	default:
-		w.mayHaveRun(oriolebend.RanUnknown)
+		w.recordRan(oriolebend.RanUnknown)
 	}
 	w.f.config.Observer.Count("retry", reason, "")
-	w.logSending(r.grant, "sending brought no success", r.status, reason, r.err)
+	w.logSend(r.grant, "sending brought no success", r.status, reason, r.err)
 }
 
-// passedOver takes in that a sending was not made, as its server has not taken yet what it was
-// sent before: another one can be asked. Where all are like that, the request ends.
-func (w *work) passedOver(reason oriolebend.Reason) {
+// recordNotSent records that a send was not made because its server has not yet read the requests
+// that it was sent before. Another server can be tried; after maxSkippedServers of them each
+// further one counts as a send.
+func (w *work) recordNotSent(reason oriolebend.Reason) {
 	w.declined = reason
-	if w.passes++; w.passes <= mostPlaces {
+	if w.skipped++; w.skipped <= maxSkippedServers {
 		w.sent--
 	}
 }
 
-// pass gives the caller the server's answer.
-func (w *work) pass(ctx context.Context, r result) {
-	if r.good() {
+// forwardAnswer forwards the server's answer to the caller.
+func (w *work) forwardAnswer(ctx context.Context, r result) {
+	if r.succeeded() {
 		w.f.config.Quarantine.Answered(w.fingerprint)
 	}
 	if err := w.answer.From(r.status, r.header, r.body); err != nil {
-		w.brokenOff(ctx, r, err)
+		w.handleCutAnswer(ctx, r, err)
 		return
 	}
 	if !w.answer.Reached() {
@@ -240,24 +242,24 @@
 	w.f.config.Observer.Observe("answer", urgency(w.route), time.Since(w.request.Received).Seconds())
 }
 
-// brokenOff takes in that a server broke off an answer that was passed on as it came. The
-// caller sees that it is not whole.
-func (w *work) brokenOff(ctx context.Context, r result, err error) {
-	w.mayHaveRun(oriolebend.RanUnknown)
-	w.logSending(r.grant, "answer broken off", r.status, reasonOf(err), err)
+// handleCutAnswer handles an answer that the server cut off while it was forwarded as it arrived.
+// The caller sees that the answer is incomplete.
+func (w *work) handleCutAnswer(ctx context.Context, r result, err error) {
+	w.recordRan(oriolebend.RanUnknown)
+	w.logSend(r.grant, "answer cut off by the server", r.status, reasonOf(err), err)
 	w.giveUp(ctx, reasonOf(err), 0)
 }
 
-// abandoned ends a request whose time is over or whose caller has left.
-func (w *work) abandoned(ctx context.Context) {
-	w.mayHaveRun(oriolebend.RanUnknown)
+// giveUpOnContext ends a request whose deadline has passed or whose caller has disconnected.
+func (w *work) giveUpOnContext(ctx context.Context) {
+	w.recordRan(oriolebend.RanUnknown)
 	w.giveUp(ctx, backend.ReasonOfEnd(ctx), 0)
 }
 
-// conclude answers a request that no server answered with success.
-func (w *work) conclude(ctx context.Context, spare *result) {
-	if spare != nil {
-		w.pass(ctx, *spare)
+// answerFailed answers a request that no server answered with success.
+func (w *work) answerFailed(ctx context.Context, fallback *result) {
+	if fallback != nil {
+		w.forwardAnswer(ctx, *fallback)
 		return
 	}
 	reason := oriolebend.ReasonOutcomeLost
@@ -267,32 +269,32 @@
 	if ctx.Err() != nil {
 		reason = backend.ReasonOfEnd(ctx)
 	}
-	w.giveUpSoon(ctx, reason)
+	w.giveUpWithRetry(ctx, reason)
 }
 
-// retryRefused is when a caller may come back whose request servers refused for
-// lack of room: their queues are short.
-const retryRefused = 100 * time.Millisecond
+// retryAfterRefusal is the retry delay for callers whose request was refused by servers for lack of
+// capacity: the queues of servers are short.
+const retryAfterRefusal = 100 * time.Millisecond
 
-// retryHeld is when a caller may come back whose request is longer than servers take now: one
-// that takes nothing is given up within a few seconds.
-const retryHeld = time.Second
+// retryAfterBacklog is the retry delay for callers whose request is longer than servers can accept
+// now. A server that reads nothing is given up within a few seconds.
+const retryAfterBacklog = time.Second
 
-// giveUpSoon answers a request that no server served. Its caller may come back soon, or once
-// the first server takes something if none does now.
-func (w *work) giveUpSoon(ctx context.Context, reason oriolebend.Reason) {
+// giveUpWithRetry answers a request that no server served. The caller may retry soon, or, if all
+// servers are closed, when the first of them accepts requests again.
+func (w *work) giveUpWithRetry(ctx context.Context, reason oriolebend.Reason) {
 	if refused, closed := w.allClosed(); closed && w.notRun() {
-		w.giveUp(ctx, refused.reason, max(refused.after, retryRefused))
+		w.giveUp(ctx, refused.reason, max(refused.after, retryAfterRefusal))
 		return
 	}
-	after := retryRefused
+	after := retryAfterRefusal
 	if reason == oriolebend.ReasonMemoryShort {
-		after = retryHeld
+		after = retryAfterBacklog
 	}
 	w.giveUp(ctx, reason, after)
 }
 
-// urgency sorts routes for the metrics: streams are long work.
+// urgency returns the urgency that the metrics report for a route: streams are long work.
 func urgency(r *oriolebend.Route) oriolebend.Urgency {
 	if r.Stream {
 		return oriolebend.Patient
--- /dev/null
+++ b/internal/forwarder/crash.go
@@ -0,0 +1,119 @@
+package forwarder
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"time"
+
+	"github.com/oriolebend/oriolebend/internal/backend"
+	"github.com/oriolebend/oriolebend/internal/message"
+	"github.com/oriolebend/oriolebend/pkg/oriolebend"
+)
+
+// probeDelays are the pauses before each probe of a server whose connection failure. The first probe
+// can come before a process that has exited has released its port. A process that has not released
+// it after a fifth of a second is alive, and only the connection was lost.
+var probeDelays = []time.Duration{0, 30 * time.Millisecond, 170 * time.Millisecond}
+
+// probeLifetime is how long the result of a probe of one incarnation of a server is kept. All
+// connections to a server that exits break at the same time, and share one probe.
+const probeLifetime = 2 * time.Second
+
+// probeTimeout bounds one connection attempt to several round trips between failure domains.
+const probeTimeout = 500 * time.Millisecond
+
+// crashDetector detects whether server processes have exited.
+type crashDetector struct {
+	mutex  sync.Mutex
+	probes map[message.ServerStart]*probe
+}
+
+// probe is the result for one incarnation of a server; exited is valid once done is closed.
+type probe struct {
+	started time.Time
+	done    chan struct{}
+	exited  bool
+}
+
+// find returns the probe of a server, and true if the caller has to carry it out.
+func (d *crashDetector) find(server message.BackendServer) (*probe, bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	for start, p := range d.probes {
+		if time.Since(p.started) >= probeLifetime {
+			delete(d.probes, start)
+		}
+	}
+	start := server.Start()
+	if p := d.probes[start]; p != nil {
+		return p, false
+	}
+	p := &probe{started: time.Now(), done: make(chan struct{})}
+	if d.probes == nil {
+		d.probes = map[message.ServerStart]*probe{}
+	}
+	d.probes[start] = p
+	return p, true
+}
+
+// forget discards the probe of a server, so that the next broken connection starts another one.
+func (d *crashDetector) forget(server message.BackendServer) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	delete(d.probes, server.Start())
+}
+
+// hasExited reports whether the process of a server whose connection broke has exited.
+//
+// A broken connection alone is no proof, since answers of healthy servers are lost as well. A
+// process that has exited refuses connections until it is restarted, which takes seconds. A VM
+// without power, or one that is cut off, does not answer at all.
+func (f *Forwarder) hasExited(server message.BackendServer) bool {
+	p, first := f.crashes.find(server)
+	if !first {
+		<-p.done
+		return p.exited
+	}
+	p.exited = f.refusesConnections(server.Address)
+	if p.exited {
+		f.config.Logger.Info("server has ended", "server", server.Instance, "incarnation", server.Incarnation, "address", server.Address)
+	} else {
+		f.crashes.forget(server) // it may exit a moment later, under another request
+	}
+	close(p.done)
+	return p.exited
+}
+
+// refusesConnections probes an address until it refuses connections, at most once for each of
+// probeDelays.
+func (f *Forwarder) refusesConnections(address string) bool {
+	for _, pause := range probeDelays {
+		time.Sleep(pause)
+		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
+		refuses := f.pool.Refuses(ctx, address)
+		cancel()
+		if refuses {
+			return true
+		}
+	}
+	return false
+}
+
+// earlyStreamPeriod is the time after the first event of a stream in which a crash of the server
+// may be caused by the stream's request. Streams that break because of other requests last longer.
+const earlyStreamPeriod = 500 * time.Millisecond
+
+// detectCrash reports the request to the quarantine if the server crashed under it, for a send that
+// broke before the server began to answer or shortly afterwards.
+func (w *work) detectCrash(server message.BackendServer, err error) {
+	failure, ok := errors.AsType[*backend.Error](err)
+	if !ok || failure.Reason != oriolebend.ReasonOutcomeLost {
+		return // the server answered in another way, the caller disconnected, or nothing was sent
+	}
+	w.f.background.Go(func() {
+		if w.f.hasExited(server) && !w.overloadedByOthers(server) {
+			w.f.config.Quarantine.Crashed(w.fingerprint, server, failure.Opened)
+		}
+	})
+}
--- a/internal/forwarder/ended_test.go
+++ b/internal/forwarder/crash_test.go
@@ -16,8 +16,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// crasher adds a server that ends, as a process does, once it has done something for a
-// request: it breaks the connection and refuses others.
+// crasher adds a server that crashes after first has handled a request: it breaks the connection
+// and refuses further ones.
 func (s *site) crasher(role oriolebend.PoolRole, first http.HandlerFunc) {
 	s.t.Helper()
 	var backend atomic.Pointer[httptest.Server]
@@ -29,22 +29,22 @@
 	backend.Store(s.backends[len(s.backends)-1])
 }
 
-// looked waits until the servers whose connections broke were looked at.
-func (s *site) looked() {
-	const begun = 20 * time.Millisecond // until a look has begun, or its end is taken in
-	time.Sleep(begun)
-	s.forwarder.endings.mutex.Lock()
-	looks := slices.Collect(maps.Values(s.forwarder.endings.looks))
-	s.forwarder.endings.mutex.Unlock()
-	for _, l := range looks {
-		<-l.done
+// awaitProbes waits until the servers whose connections broke have been probed.
+func (s *site) awaitProbes() {
+	const settle = 20 * time.Millisecond // until a probe has started, or its result was used
+	time.Sleep(settle)
+	s.forwarder.crashes.mutex.Lock()
+	probes := slices.Collect(maps.Values(s.forwarder.crashes.probes))
+	s.forwarder.crashes.mutex.Unlock()
+	for _, p := range probes {
+		<-p.done
 	}
-	time.Sleep(begun)
+	time.Sleep(settle)
 }
 
-// Symptom: on call one can't tell a server that crashed from a connection that broke.
-// A line tells it of the first, and none of the second.
-func TestEndedServerIsTold(t *testing.T) {
+// Guards against logs that can't tell a server that crashed from a connection that broke. A line is
+// logged for the crash, and none for the broken connection.
+func TestCrashedServerIsLogged(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		path  string
@@ -63,18 +63,18 @@
 			} else {
 				s.server("a", "", abort)
 			}
-			status, _, _ := s.ask(test.path, nil)
+			status, _, _ := s.send(test.path, nil)
 			is.Equal(status, http.StatusBadGateway)
-			s.looked()
+			s.awaitProbes()
 			is.Equal(strings.Contains(s.log.String(), "server has ended"), test.ended)
 		})
 	}
 }
 
-// Symptom: a request that crashes servers goes on reaching them on a site on which answers
-// are lost as well. Sequence: a connection to a server breaks, which lives; a second later it
-// ends. Cause: what was found at the first time is taken for the second.
-func TestServerThatEndsAfterABrokenConnection(t *testing.T) {
+// Guards against a request that crashes servers and keeps reaching them on a site where answers are
+// also lost. A connection to a server breaks while the server is alive, and a second later the
+// server crashes: the result of the first probe must not be used for the second.
+func TestServerCrashAfterABrokenConnection(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
 	breaks := true
@@ -84,24 +84,24 @@
 			abort(w, r)
 		}
 	})
-	s.ask("/once/", nil)
-	s.looked()
+	s.send("/once/", nil)
+	s.awaitProbes()
 	is.True(!strings.Contains(s.log.String(), "server has ended"))
-	s.ask("/once/", nil)
-	s.looked()
+	s.send("/once/", nil)
+	s.awaitProbes()
 	is.True(strings.Contains(s.log.String(), "server has ended"))
 }
 
-// Symptom: on call the lines of a request's tries can't be brought together. Sequence: a
-// forwarder logs what identifies them; the log withholds it, as it does values under names
-// that callers' data goes by. Cause: an attribute's name. Each value must be there.
-func TestNothingThatIsNeededIsWithheld(t *testing.T) {
+// Guards against log lines of a request's tries that can't be matched with each other. A forwarder
+// logs attributes that identify the tries, but the log withholds values under the names of callers'
+// data. Each of these values must be logged.
+func TestNeededAttributesAreNotWithheld(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
 	s.crashers(4, "", 0)
 	for range 5 {
-		s.ask("/safe/", nil)
-		s.looked()
+		s.send("/safe/", nil)
+		s.awaitProbes()
 	}
 	is.True(strings.Contains(s.log.String(), "request held back"))
 	is.True(strings.Contains(s.log.String(), `"fingerprint":"`+bodyFingerprint("/safe/").String()+`"`))
--- a/internal/forwarder/dialect.go
+++ b/internal/forwarder/dialect.go
@@ -1,6 +1,6 @@
-// Package forwarder carries routed requests: it finds a request's route, asks
-// the reducer of package dispatch where to send it, sends it, judges the answer
-// and gives the caller exactly one.
+// Package forwarder forwards routed requests. For each request it finds the route, asks the reducer
+// of package dispatch for a server, sends the request, evaluates the answer and gives the caller
+// exactly one answer.
 package forwarder
 
 import (
@@ -15,62 +15,62 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Dialect reads and writes the headers by which callers, forwarders and backend
-// servers tell each other what HTTP itself has no word for.
+// Dialect reads and writes the headers in which callers, forwarders and backend servers exchange
+// what HTTP itself has no header for.
 type Dialect interface {
-	// Ask reads what a caller says of its request.
+	// ParseRequest reads what the headers state about a caller's request.
 	Ask(h http.Header) (Ask, error)
-	// Outgoing returns the header of one sending of a request.
+	// Outgoing returns the header for one send of a request.
 	Outgoing(h http.Header, s Sending) http.Header
 	// Matches reports whether an answer belongs to the request with the ID.
 	Matches(answer http.Header, id string) bool
-	// Judge reads what a server says of its answer.
+	// Verdict reads what a server states about its answer.
 	Judge(status int, answer http.Header, instance string) Verdict
-	// Notice reads what a server says of itself with an answer. The error is a
-	// *NoticeError if a part of it can't be read; the rest holds.
+	// Notice reads the state that a server reports in the headers of an answer. The error is a
+	// *NoticeError if a part of it can't be parsed; the rest is valid.
 	Notice(status int, answer http.Header) (dispatch.Notice, error)
-	// PrefillResult reads the body of the answer to a prefill.
+	// PrefillResult parses the body of the answer to a prefill.
 	PrefillResult(body []byte) (PrefillResult, error)
-	// Free is the request that frees a prefill result at its engine.
+	// Free returns the request that frees a prefill result at its engine.
 	Free(r PrefillResult) backend.Request
-	// Hold is the request that reserves memory at an engine, HoldResult reads
-	// the name of the reservation from its answer, and Drop is the request that
-	// gives the reservation back.
+	// Hold returns the request that reserves memory at an engine, HoldResult parses the name of the
+	// reservation from its answer, and Drop returns the request that releases the reservation.
 	Hold(tokens int, life time.Duration) backend.Request
 	HoldResult(body []byte) (string, error)
 	Drop(hold string) backend.Request
 }
 
-// Ask is what a caller says of its request.
+// RequestInfo holds what the headers of a caller's request state about it.
 type Ask struct {
 	// ID names the request; each try of a caller has its own.
 	ID string
-	// Call is the same for all tries of a caller at one request, and differs
-	// between requests; zero means that the caller does not say.
+	// Call is the same for all tries of a caller at one request, and differs between requests; zero
+	// means that the caller did not state it.
 	Call uint64
-	// Within is how long the caller waits; zero means that it does not say.
+	// Within is how long the caller waits; zero means that the caller did not state it.
 	Within time.Duration
-	// Prompt and Output are the tokens of a generation, the second at most.
+	// Prompt is the number of prompt tokens of a generation, Output the maximum number of its
+	// output tokens.
 	Prompt, Output int
-	// Expected is the caller's estimate of the output's tokens; zero means that
-	// there is none.
+	// Expected is the caller's estimate of the number of output tokens; zero means that there is
+	// none.
 	Expected int
 	// Resumes is set if the caller has a part of the answer already.
 	Resumes bool
-	// Credential is what the caller shows of itself.
+	// Credential is the caller's credential.
 	Credential Credential
 }
 
 // Credential is the key that a caller shows. It must not be logged.
 type Credential struct {
-	// Key is empty if none is shown, or not exactly one that can be read.
+	// Key is empty if the request has no key, or not exactly one that can be parsed.
 	Key string
 }
 
-// LogValue implements slog.LogValuer: a key never gets into a log.
+// LogValue implements slog.LogValuer; it keeps the key out of logs.
 func (Credential) LogValue() slog.Value { return slog.StringValue(logging.Withheld) }
 
-// CredentialOf reads the only value of a header as "SCHEME KEY".
+// CredentialOf parses the only value of a header as "SCHEME KEY".
 func CredentialOf(values []string, scheme string) Credential {
 	if len(values) != 1 {
 		return Credential{}
@@ -83,7 +83,7 @@
 	return Credential{Key: key}
 }
 
-// expected is the tokens of output that are likely.
+// expected returns the likely number of output tokens.
 func (a Ask) expected() int {
 	if a.Expected > 0 {
 		return min(a.Expected, a.Output)
@@ -91,12 +91,12 @@
 	return a.Output
 }
 
-// output is the tokens of output that memory is reserved for by a forwarder that
-// finds places itself.
-func (a Ask) output() int { return a.reserved(aloneMargin) }
+// output returns the number of output tokens for which a forwarder that chooses engines itself
+// reserves memory.
+func (a Ask) output() int { return a.reserved(localMargin) }
 
-// reserved is a part of the expected output, or of the most that there can be if
-// nothing is expected.
+// reserved returns the expected output times margin, at most the maximum output; without an
+// expectation it returns the maximum output.
 func (a Ask) reserved(margin float64) int {
 	if a.Expected <= 0 {
 		return a.Output
@@ -105,43 +105,43 @@
 }
 
 const (
-	// aloneMargin is how much of the estimated output is reserved while no process
-	// knows the places of all forwarders. The engine's reservations are then the
-	// only bound: they must cover what its generations will write, or it stops some
-	// of them for others and reads their prompts again, which holds up all that it
-	// works on. With 1.5 that happened to 3.5 in 100 in peaks, with 2.0 to 1.3.
-	aloneMargin = 2.0
-	// placedMargin is the same at a place that was given by the process that knows
-	// all of them. It grants no more than what the generations of an engine are
-	// expected to need, so that one which writes less makes room for one which
-	// writes more. Reserved memory can't be shared like that: with 1.0 an engine
-	// stopped 6 in 100 in peaks, with 0.4 two, and carried a tenth more than with
-	// 2.0 and no such bound.
+	// localMargin is the multiple of the expected output that is reserved while no process knows
+	// the placements of all forwarders. Then the engine's reservations are the only limit. They
+	// must cover what its generations will write; otherwise the engine preempts some of them for
+	// others and reads their prompts again, which delays all its work. In peaks that happened to
+	// 3.5 in 100 generations with 1.5, and to 1.3 with 2.0.
+	localMargin = 2.0
+	// placedMargin is the same for a placement that was granted by the allocator, which knows all
+	// placements. The allocator grants no more than what the generations of an engine are expected
+	// to need, so that a generation that writes less leaves room for one that writes more. Reserved
+	// memory can't be shared like that: in peaks an engine preempted 6 in 100 generations with 1.0
+	// and two with 0.4, and carried a tenth more than with 2.0 and without the allocator's limit.
 	placedMargin = 0.4
 )
 
-// Sending is what one sending of a request tells the server.
+// SendOptions holds what the headers of one send tell the server.
 type Sending struct {
-	// Within is what is left of the caller's time.
+	// Within is what remains of the caller's time.
 	Within time.Duration
-	// Instance is the one instance that may run it.
+	// Instance is the only server instance that may run the request.
 	Instance string
-	// PrefillOnly asks for the KV cache of the prompt and no answer.
+	// PrefillOnly requests the KV cache of the prompt and no answer.
 	PrefillOnly bool
-	// Source is where the KV cache of the prompt is fetched; empty computes it.
+	// Source is the location from which the KV cache of the prompt is fetched; if empty, the server
+	// computes it.
 	Source string
 	// Hold is the reservation that the request uses up; empty means none.
 	Hold string
-	// After is the last event that the caller has; empty begins anew.
+	// After is the last event that the caller has; if empty, the stream starts from the beginning.
 	After string
-	// Identified is set if callers show who they are: the server is told Organisation,
-	// empty for a caller that needs no key, and neither the key nor what the caller said
-	// of its organisation.
+	// Identified is set if callers are identified by keys. The server then receives Organisation,
+	// empty for a caller that needs no key, and neither the key nor an organisation that the caller
+	// stated.
 	Identified   bool
 	Organisation string
 }
 
-// Verdict is what a server's answer tells beside its body.
+// Verdict is what a server's answer states in addition to its body.
 type Verdict struct {
 	// Ran is "no" if the server states that it did not run the request.
 	Ran oriolebend.Ran
@@ -151,13 +151,13 @@
 	Moved bool
 }
 
-// PrefillResult names a computed KV cache at its engine.
+// PrefillResult identifies a computed KV cache at its engine.
 type PrefillResult struct {
 	Handle string
 	Tokens int
 }
 
-// IdentityError is a request that can't be told from others.
+// IdentityError is the error of a request without a unique name.
 type IdentityError struct{ Detail string }
 
 // Error implements error.
--- a/internal/forwarder/event.go
+++ b/internal/forwarder/event.go
@@ -12,24 +12,26 @@
 	"github.com/oriolebend/oriolebend/internal/heldbytes"
 )
 
-// event is one whole event of a stream.
+// event is one complete event of a stream.
 type event struct {
-	// id is the event's id, empty if it has none.
+	// id is the event's ID, empty if it has none.
 	id string
-	// raw is the event as it came, with the empty line that ends it.
+	// raw holds the event as it was received, with the empty line that ends it.
 	raw []byte
 }
 
-// maxEventBytes bounds one event.
+// maxEventBytes bounds the length of one event.
 const maxEventBytes = 1 << 20
 
-// usualEventBytes is how long events are as a rule; only what is beyond counts as held.
+// usualEventBytes is the usual maximum length of events; only the bytes beyond it are counted as
+// held memory.
 const usualEventBytes = 4 << 10
 
-// eventReader cuts a stream into events.
+// eventReader splits a stream into events.
 type eventReader struct {
 	reader *bufio.Reader
-	// held is the memory of an event that is longer than usual, counted how much of it.
+	// held accounts for the memory of an event that is longer than usual, counted is the part of it
+	// that is accounted for.
 	held    *heldbytes.Holding
 	counted int
 }
@@ -38,7 +40,7 @@
 	return &eventReader{reader: bufio.NewReaderSize(r, 2<<10), held: held}
 }
 
-// hold counts the bytes of the event that is being read.
+// hold accounts for the memory of the event that is being read.
 func (e *eventReader) hold(length int) error {
 	more := length - usualEventBytes - e.counted
 	if more <= 0 {
@@ -52,7 +54,7 @@
 	return nil
 }
 
-// release gives back the memory of the event before.
+// release releases the memory of the previous event.
 func (e *eventReader) release() {
 	if e.counted > 0 {
 		e.held.Shrink(int64(e.counted))
@@ -60,14 +62,14 @@
 	}
 }
 
-// LongEventError is an event over the bound.
-type LongEventError struct{ Most int }
+// LongEventError is the error of an event that exceeds the maximum length.
+type LongEventError struct{ Limit int }
 
 // Error implements error.
-func (e *LongEventError) Error() string { return fmt.Sprintf("event over %d bytes", e.Most) }
+func (e *LongEventError) Error() string { return fmt.Sprintf("event exceeds %d bytes", e.Limit) }
 
-// next returns the next whole event. The error is io.EOF at the proper end of a
-// stream, and io.ErrUnexpectedEOF if it ended in the middle of an event.
+// next returns the next complete event. The error is io.EOF at the regular end of a stream, and
+// io.ErrUnexpectedEOF if the stream ends in the middle of an event.
 func (e *eventReader) next() (event, error) {
 	e.release()
 	var current event
@@ -76,7 +78,7 @@
 		piece, err := e.reader.ReadSlice('\n')
 		current.raw = append(current.raw, piece...)
 		if len(current.raw) > maxEventBytes {
-			return event{}, &LongEventError{Most: maxEventBytes}
+			return event{}, &LongEventError{Limit: maxEventBytes}
 		}
 		if err := e.hold(len(current.raw)); err != nil {
 			return event{}, err
@@ -101,16 +103,16 @@
 	}
 }
 
-// later reports whether an event comes behind another one. IDs that are whole
-// numbers are compared as such; others only differ.
-func later(id, than string) bool {
-	if than == "" {
+// follows reports whether an event comes after another one. Numeric IDs are compared as numbers;
+// other IDs follow if they differ.
+func follows(id, previous string) bool {
+	if previous == "" {
 		return true
 	}
 	a, errA := strconv.ParseUint(id, 10, 64)
-	b, errB := strconv.ParseUint(than, 10, 64)
+	b, errB := strconv.ParseUint(previous, 10, 64)
 	if errA != nil || errB != nil {
-		return !strings.EqualFold(id, than)
+		return !strings.EqualFold(id, previous)
 	}
 	return a > b
 }
--- a/internal/forwarder/explain_test.go
+++ b/internal/forwarder/explain_test.go
@@ -13,7 +13,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// recorder keeps a log that is still written.
+// recorder keeps a log that is still being written.
 type recorder struct {
 	mutex sync.Mutex
 	lines bytes.Buffer
@@ -31,8 +31,8 @@
 	return r.lines.String()
 }
 
-// failures are the ways in which a request fails, each with what the log alone
-// must tell of it.
+// failures are the ways in which a request fails, each with the cause that must follow from the log
+// alone.
 var failures = []struct {
 	name   string
 	kv     int
@@ -52,7 +52,7 @@
 	{
 		name: "refused by its server", path: "/once/",
 		server: func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set(ownRan, "no")
+			w.Header().Set(headerRan, "no")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		},
 		cause: "status 503, sent 1 times, ran: no: as many requests waited already as may wait, here or at its server",
@@ -62,7 +62,7 @@
 		cause: "status 502, sent 1 times, ran: unknown: the connection to its server broke after it was sent",
 	},
 	{
-		name: "out of time", path: "/once/", server: stall, header: map[string]string{ownDeadline: "300"},
+		name: "out of time", path: "/once/", server: stall, header: map[string]string{headerDeadline: "300"},
 		cause: "status 504, sent 1 times, ran: unknown: its time was over",
 	},
 	{
@@ -80,13 +80,13 @@
 	},
 	{
 		name: "no memory", kv: 10000, path: "/cut/", server: (&engine{full: 1000}).ServeHTTP,
-		header: map[string]string{ownPrompt: "100", ownOutput: "50"},
+		header: map[string]string{headerPrompt: "100", headerOutput: "50"},
 		cause:  "status 503, sent 0 times, ran: no: no decode engine had memory for it in time",
 	},
 }
 
-// Symptom: on call one has the id of a request that failed, and logs. The id
-// alone leads to the cause, in each way that a request can fail.
+// Guards against logs from which the cause of a failed request can't be found. The ID of the
+// request must lead to the cause, for each way in which a request can fail.
 func TestIDLeadsToTheCause(t *testing.T) {
 	for _, failure := range failures {
 		t.Run(failure.name, func(t *testing.T) {
@@ -99,8 +99,8 @@
 				}
 				s.server("a", role, failure.server)
 			}
-			s.ask(failure.path, failure.header)
-			s.callers.Stop(t.Context()) // the line is written a moment behind the answer
+			s.send(failure.path, failure.header)
+			s.callers.Stop(t.Context()) // the line is written a moment after the answer
 			s.forwarder.Wait()
 			life, err := requestlog.Tell("r1", requestlog.Log{Name: "forwarder", Reader: strings.NewReader(s.log.String())})
 			is.NoErr(err)
--- a/internal/forwarder/fingerprint.go
+++ b/internal/forwarder/fingerprint.go
@@ -9,17 +9,17 @@
 	"github.com/oriolebend/oriolebend/internal/quarantine"
 )
 
-// fingerprintOf hashes the organisation, method, host, target and body of a request: all
-// tries of a caller at one request have the same. Headers are left out, as ids, deadlines
-// and estimates differ from try to try.
+// fingerprintOf hashes the organisation, method, host, target and body of a request: all tries of a
+// caller at one request have the same fingerprint. Headers are left out, since IDs, deadlines and
+// estimates differ from try to try.
 //
-// Without the organisation in it, or with a hash for which another request with the same
-// fingerprint can be made up, one caller could have the requests of others held back for
-// what its own did to servers.
+// The fingerprint must include the organisation, and the hash must be collision-resistant.
+// Otherwise one caller could get the requests of others quarantined for what its own requests did
+// to servers.
 func fingerprintOf(r *http1.Request, organisation string) quarantine.Fingerprint {
 	hash := sha256.New()
 	for _, part := range []string{organisation, r.Method, r.Host, r.Target} {
-		// Writes to a hash do not fail; the length tells where a part ends.
+		// Writes to a hash do not fail. The length prefix marks the end of each part.
 		_ = binary.Write(hash, binary.BigEndian, uint64(len(part)))
 		_, _ = io.WriteString(hash, part)
 	}
--- a/internal/forwarder/fingerprint_test.go
+++ b/internal/forwarder/fingerprint_test.go
@@ -9,12 +9,12 @@
 	"github.com/oriolebend/oriolebend/internal/http1"
 )
 
-// Two tries at one request have the same fingerprint, and nothing else has it.
+// Two tries at one request have the same fingerprint, and any other request has a different one.
 func TestFingerprint(t *testing.T) {
 	is := is.New(t)
 	request := func(method, host, target, body, id string) *http1.Request {
 		return &http1.Request{
-			Method: method, Host: host, Target: target, Body: []byte(body), Header: http.Header{ownRequest: {id}},
+			Method: method, Host: host, Target: target, Body: []byte(body), Header: http.Header{headerRequest: {id}},
 		}
 	}
 	first := fingerprintOf(request("POST", "h", "/a?b", "body", "r1"), "o")
@@ -28,7 +28,7 @@
 	} {
 		is.True(fingerprintOf(other, "o") != first)
 	}
-	// One organisation can't have the requests of another one held back for its own.
+	// One organisation can't get the requests of another one quarantined for its own.
 	is.True(fingerprintOf(request("POST", "h", "/a?b", "body", "r1"), "other") != first)
 	is.Equal(len(first.String()), 16)
 }
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -22,68 +22,69 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Observer counts and measures; *metrics.Metrics is one.
+// Observer counts events and records measurements; *metrics.Metrics implements it.
 type Observer interface {
-	Count(what string, reason oriolebend.Reason, organisation string)
-	Observe(what string, urgency oriolebend.Urgency, value float64)
+	Count(event string, reason oriolebend.Reason, organisation string)
+	Observe(event string, urgency oriolebend.Urgency, value float64)
 }
 
-// Config sets up a Forwarder. Dialect and Observer are required.
+// Config configures a Forwarder. Dialect and Observer are required.
 type Config struct {
 	Dialect  Dialect
 	Dispatch dispatch.Config
 	Pool     backend.PoolConfig
 	Observer Observer
 	Logger   *slog.Logger
-	// Places gives places at model engines; nil has the forwarder look for them
-	// itself.
+	// Places grants placements at model engines; if nil, the forwarder chooses engines itself.
 	Places Places
-	// Quarantine knows the requests that crash servers; nil has the forwarder keep one
-	// for itself.
+	// Quarantine knows the requests that crash servers; if nil, the forwarder uses a store of its
+	// own.
 	Quarantine *quarantine.Store
-	// Quotas counts what organisations ask for, over all forwarders; nil has no quota
+	// Quotas counts the use of quotas by organisations over all forwarders; if nil, no quota is
 	// enforced.
 	Quotas Quotas
-	// Limits counts what is sent to servers that have named a limit, over all forwarders;
-	// nil has the forwarder count for itself.
+	// Limits counts the requests that are sent to servers with a reported limit, over all
+	// forwarders; if nil, the forwarder counts its own requests.
 	Limits Limits
-	// Current reports whether the routing in force is known to be the newest, as of a few
-	// seconds ago; nil means that it always is.
+	// Current reports whether the routing in force was known to be the newest a few seconds ago;
+	// nil means that it always is.
 	Current func() bool
-	// MaxAnswerBytes bounds what is held of the answer of a plain call; the rest is passed on
-	// as it comes. Zero means 16 MiB.
+	// MaxAnswerBytes bounds the part of a plain call's answer that is held; the rest is forwarded
+	// as it arrives. Zero means 16 MiB.
 	MaxAnswerBytes int64
-	// Held counts the answers that are held, beside the bodies of requests; nil counts nothing.
+	// Held accounts for the memory of held answers, together with that of request bodies; nil
+	// counts nothing.
 	Held *heldbytes.Account
 }
 
 const defaultMaxAnswerBytes = 16 << 20
 
-// Forwarder carries routed requests of one forwarder.
+// Forwarder forwards the routed requests of one forwarder process.
 type Forwarder struct {
 	config Config
 	pool   *backend.Pool
 	start  time.Time
 
 	table atomic.Pointer[routing.Table]
-	// routed is closed once there is a routing.
+	// routed is closed when the first routing is applied.
 	routed     chan struct{}
 	routedOnce sync.Once
 
 	mutex sync.Mutex
 	state *dispatch.State
-	// known counts the servers at each address, addresses names that of each.
-	known     map[string]int
+	// serversAt counts the servers at each address, addresses holds the address of each server
+	// instance.
+	serversAt map[string]int
 	addresses map[string]string
 
-	patience patience
-	endings  endings
-	crowds   crowds
+	retries  retryDetector
+	crashes  crashDetector
+	inflight inflightBytes
 
 	background sync.WaitGroup
 }
 
-// New returns a forwarder that knows neither routes nor servers.
+// New returns a forwarder without routes and servers.
 func New(c Config) *Forwarder {
 	c.MaxAnswerBytes = cmp.Or(c.MaxAnswerBytes, defaultMaxAnswerBytes)
 	if c.Logger == nil {
@@ -93,7 +94,7 @@
 		c.Quarantine = quarantine.New(quarantine.Config{Sends: true, Logger: c.Logger})
 	}
 	if c.Limits == nil {
-		c.Limits = newOwnLimits()
+		c.Limits = newLocalLimits()
 	}
 	return &Forwarder{
 		config:    c,
@@ -101,19 +102,19 @@
 		start:     time.Now(),
 		state:     dispatch.New(c.Dispatch),
 		routed:    make(chan struct{}),
-		known:     map[string]int{},
+		serversAt: map[string]int{},
 		addresses: map[string]string{},
-		crowds:    crowds{most: int64(heldbytes.DefaultPeerShare * float64(c.Held.Limit()))},
+		inflight:  inflightBytes{limit: int64(heldbytes.DefaultPeerShare * float64(c.Held.Limit()))},
 	}
 }
 
-// now is the time since the start on the steady clock, as a time: the time of
-// day can jump, and a budget or an avoidance must not jump with it.
+// now returns the time of the start plus the monotonic time since then: the wall clock can jump,
+// and retry budgets and the times for which servers are avoided must not jump with it.
 func (f *Forwarder) now() time.Time { return f.start.Add(time.Since(f.start)) }
 
-// SetRouting brings a routing into force. An older one is ignored.
+// SetRouting applies a routing, unless the routing in force is as new or newer.
 func (f *Forwarder) SetRouting(r oriolebend.Routing) {
-	if held := f.table.Load(); held != nil && held.Routing.Version >= r.Version {
+	if current := f.table.Load(); current != nil && current.Routing.Version >= r.Version {
 		return
 	}
 	table := routing.NewTable(r)
@@ -124,7 +125,7 @@
 	f.config.Logger.Info("routing in force", "version", r.Version, "routes", len(r.Routes), "services", len(r.Services))
 }
 
-// Version is the version of the routing in force; zero means none.
+// Version returns the version of the routing in force; zero means that there is none.
 func (f *Forwarder) Version() uint64 {
 	if t := f.table.Load(); t != nil {
 		return t.Routing.Version
@@ -132,7 +133,7 @@
 	return 0
 }
 
-// Limits returns the bounds in force for callers.
+// Limits returns the limits in force for callers' requests and connections.
 func (f *Forwarder) Limits() http1.Limits {
 	t := f.table.Load()
 	if t == nil {
@@ -145,55 +146,56 @@
 	}
 }
 
-// ChangeServers takes what has changed of the backend servers, and how many
-// forwarders there are.
+// ChangeServers applies changes to the set of backend servers, and the number of forwarders.
 func (f *Forwarder) ChangeServers(changes registry.Changes, forwarders int) {
 	f.mutex.Lock()
 	for _, s := range changes.Servers {
-		f.locate(s.Instance, s.Address)
+		f.setAddress(s.Instance, s.Address)
 	}
 	for _, name := range changes.Left {
-		f.locate(name, "")
+		f.setAddress(name, "")
 	}
 	f.mutex.Unlock()
 	f.reduce(dispatch.FleetChanged{At: f.now(), Servers: changes.Servers, Left: changes.Left, Forwarders: forwarders})
 }
 
-// locate notes the address of an instance, empty if it has left. The mutex is held.
-func (f *Forwarder) locate(instance, address string) {
+// setAddress records the address of an instance; an empty address removes the instance. The mutex
+// must be held.
+func (f *Forwarder) setAddress(instance, address string) {
 	if before, known := f.addresses[instance]; known {
-		if f.known[before]--; f.known[before] == 0 {
-			delete(f.known, before)
+		if f.serversAt[before]--; f.serversAt[before] == 0 {
+			delete(f.serversAt, before)
 		}
 		delete(f.addresses, instance)
 	}
 	if address != "" {
-		f.known[address]++
+		f.serversAt[address]++
 		f.addresses[instance] = address
 	}
 }
 
-// Loads returns what was done with model engines since the last call.
+// Loads returns the work that was done with model engines since the last call.
 func (f *Forwarder) Loads() []message.ServiceLoad {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.state.Loads()
 }
 
-// Expire closes connections to servers that are not in use.
+// Expire drops outdated load history, and closes connections that were idle for too long or lead to
+// addresses without a known server.
 func (f *Forwarder) Expire() {
-	f.crowds.expire()
+	f.inflight.expire()
 	f.pool.Expire(func(address string) bool {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		return f.known[address] > 0
+		return f.serversAt[address] > 0
 	})
 }
 
-// Dialled is how many connections to servers were opened.
+// Dialled returns the number of connections to servers opened so far.
 func (f *Forwarder) Dialled() uint64 { return f.pool.Dialled() }
 
-// Wait returns once the work that goes on behind answered requests has ended.
+// Wait returns when all background work of answered requests has finished.
 func (f *Forwarder) Wait() { f.background.Wait() }
 
 func (f *Forwarder) reduce(e dispatch.Event) []reducer.Effect {
@@ -202,8 +204,8 @@
 	return reducer.Reduce(&reducer.State{Dispatch: f.state}, e)
 }
 
-// place asks the reducer where to send a request.
-func (f *Forwarder) place(n dispatch.Need) (dispatch.Grant, *refusal) {
+// choose asks the reducer for a server for a request.
+func (f *Forwarder) choose(n dispatch.Need) (dispatch.Grant, *refusal) {
 	effects := f.reduce(dispatch.Asked{At: f.now(), Need: n})
 	switch e := effects[0].(type) {
 	case dispatch.Granted:
@@ -214,32 +216,31 @@
 	return dispatch.Grant{}, &refusal{reason: oriolebend.ReasonInternal}
 }
 
-// mayRepeatAt asks the reducer whether a request may be sent to the same server
-// once more.
-func (f *Forwarder) mayRepeatAt(g dispatch.Grant) bool {
+// mayResend asks the reducer whether a request may be sent to the same server once more.
+func (f *Forwarder) mayResend(g dispatch.Grant) bool {
 	effects := f.reduce(dispatch.AskedSame{At: f.now(), Grant: g})
 	_, granted := effects[0].(dispatch.Granted)
 	return granted
 }
 
-// refusesStill is why the server of a grant is not sent its request any more, empty if it is.
-func (f *Forwarder) refusesStill(g dispatch.Grant) oriolebend.Reason {
+// refusalForGrant returns the reason why a request must not be sent any more to the server of its
+// grant, empty if it may be sent.
+func (f *Forwarder) refusalForGrant(g dispatch.Grant) oriolebend.Reason {
 	if r, refused := f.reduce(dispatch.AskedStill{At: f.now(), Grant: g})[0].(dispatch.Refused); refused {
 		return r.Reason
 	}
 	return ""
 }
 
-// readTime is how long a prefill engine takes for a prompt.
-func (f *Forwarder) readTime(service string, prompt int) time.Duration {
+// prefillTime returns how long a prefill engine takes for a prompt.
+func (f *Forwarder) prefillTime(service string, prompt int) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.state.ReadTime(service, prompt)
 }
 
-// loaded reports whether a route's service is overloaded, as far as this forwarder
-// sees.
-func (f *Forwarder) loaded(service string, target time.Duration) bool {
+// overloaded reports whether a route's service is overloaded, as far as this forwarder knows.
+func (f *Forwarder) overloaded(service string, target time.Duration) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.state.Loaded(f.now(), service, target)
@@ -256,7 +257,7 @@
 	}
 	table := f.awaitRouting(ctx, ask.Within)
 	if table == nil {
-		w.refuse(refusal{reason: oriolebend.ReasonControlAway, after: retryUnready})
+		w.refuse(refusal{reason: oriolebend.ReasonControlAway, after: retryNotReady})
 		return
 	}
 	w.version = table.Routing.Version
@@ -270,7 +271,7 @@
 	w.deadline = r.Received.Add(within)
 	ctx, cancel := context.WithDeadline(ctx, w.deadline)
 	defer cancel()
-	w.returned = f.patience.returned(w.route.Name, ask.Within)
+	w.retried = f.retries.isRetry(w.route.Name, ask.Within)
 	if !w.charge(ctx) {
 		return
 	}
@@ -281,8 +282,8 @@
 	w.call(ctx)
 }
 
-// admit finds the route, organisation and service of a request; false means that it has
-// been answered.
+// admit finds the route, the organisation and the service of a request. It returns false if it has
+// answered the request itself.
 func (w *work) admit(table *routing.Table) bool {
 	w.route = table.Match(w.request.Host, w.request.Path())
 	if w.route == nil {
@@ -296,7 +297,7 @@
 	w.fingerprint = fingerprintOf(w.request, w.organisationName())
 	w.service = table.Service(routing.Target(w.route, rand.Float64()))
 	if w.service == nil {
-		w.refuse(refusal{reason: oriolebend.ReasonUnknownService, after: retryUnready})
+		w.refuse(refusal{reason: oriolebend.ReasonUnknownService, after: retryNotReady})
 		return false
 	}
 	if left, held := w.f.config.Quarantine.Held(w.fingerprint); held {
@@ -307,25 +308,25 @@
 }
 
 const (
-	// unroutedMost is for how long a request waits for the first routing at most, and
-	// unroutedShare the part of its caller's time that it waits.
-	unroutedMost  = time.Second
-	unroutedShare = 0.6
+	// maxRoutingWait bounds how long a request waits for the first routing, and routingWaitShare is
+	// the share of its caller's time that it waits at most.
+	maxRoutingWait   = time.Second
+	routingWaitShare = 0.6
 )
 
-// awaitRouting returns the routes in force, nil if there are none yet.
+// awaitRouting returns the routing table in force, nil if there is none in time.
 //
-// A forwarder that starts has a routing as soon as control VMs have elected a leader, and
-// callers come before that. Who is told at once to come back has spent a try on it: after a
-// power loss of everything callers have spent another one on forwarders that were away, and
-// what they asked for is lost.
+// A forwarder that starts receives a routing as soon as the control VMs have elected a leader, and
+// callers connect before that. A caller whose request is refused immediately has used up one try.
+// After a power loss of the whole site callers have used another try on forwarders that were
+// unreachable, and their requests would be lost.
 func (f *Forwarder) awaitRouting(ctx context.Context, within time.Duration) *routing.Table {
 	if table := f.table.Load(); table != nil {
 		return table
 	}
-	wait := unroutedMost
+	wait := maxRoutingWait
 	if within > 0 {
-		wait = min(wait, time.Duration(unroutedShare*float64(within)))
+		wait = min(wait, time.Duration(routingWaitShare*float64(within)))
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -337,6 +338,6 @@
 	return f.table.Load()
 }
 
-// retryUnready is when a caller may come back to a forwarder that has just
-// started: it has the routing by then, or the balancer has looked away.
-const retryUnready = 500 * time.Millisecond
+// retryNotReady is the retry delay for callers of a forwarder that has just started: by then it has
+// the routing, or the load balancer no longer sends requests to it.
+const retryNotReady = 500 * time.Millisecond
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -24,16 +24,16 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// counts keeps what a forwarder counted.
+// counts records what a forwarder counted.
 type counts struct {
 	mutex sync.Mutex
 	seen  map[string]int
 }
 
-func (c *counts) Count(what string, reason oriolebend.Reason, _ string) {
+func (c *counts) Count(event string, reason oriolebend.Reason, _ string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.seen[what+" "+string(reason)]++
+	c.seen[event+" "+string(reason)]++
 }
 
 func (*counts) Observe(string, oriolebend.Urgency, float64) {}
@@ -49,9 +49,9 @@
 	backends  []*httptest.Server
 }
 
-// newSite declares three routes to the service "s": /safe/ may be repeated,
-// /once/ may not, and /stream/ is a resumable stream; "cut" is a stream that may
-// not be resumed. kv makes the service one of engines.
+// newSite declares four routes to the service "s": /safe/ may be repeated, /once/ may not, /stream/
+// is a resumable stream, and /cut/ is a stream that may not be resumed. If kv is positive, "s" is a
+// service of engines with that many KV tokens.
 func newSite(t *testing.T, kv int, options ...func(*Config)) *site {
 	t.Helper()
 	is := is.New(t)
@@ -112,21 +112,21 @@
 	return address
 }
 
-// leaves has a server say that it leaves.
-func (s *site) leaves(index int) {
+// drain reports that a server is draining.
+func (s *site) drain(index int) {
 	s.servers[index].Phase = message.PhaseDraining
 	s.forwarder.ChangeServers(registry.Changes{Servers: s.servers}, 1)
 }
 
-// ask sends a request and returns the answer's status, header and body; a body
-// that is cut ends with "[cut]".
-func (s *site) ask(path string, header map[string]string) (int, http.Header, string) {
+// send sends a request and returns the status, header and body of the answer; a body that is cut off
+// ends with "[cut]".
+func (s *site) send(path string, header map[string]string) (int, http.Header, string) {
 	s.t.Helper()
 	is := is.New(s.t)
 	request, err := http.NewRequestWithContext(s.t.Context(), http.MethodPost, "http://"+s.callers.Address()+path, strings.NewReader("body"))
 	is.NoErr(err)
 	request.Host = "h"
-	request.Header.Set(ownRequest, "r1")
+	request.Header.Set(headerRequest, "r1")
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
@@ -142,11 +142,11 @@
 	return response.StatusCode, response.Header, text
 }
 
-// abort ends the connection without an answer, as a server that dies.
+// abort closes the connection without an answer, like a server that crashes.
 func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// stall says nothing until the connection ends. net/http notices that only once
-// the body is read.
+// stall sends nothing until the connection is closed. net/http notices that only once the body has
+// been read.
 func stall(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
@@ -156,16 +156,16 @@
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-func TestAnswerIsPassedOn(t *testing.T) {
+func TestAnswerIsForwarded(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
 	s.server("a", "", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("X-Own", "kept")
 		w.WriteHeader(http.StatusTeapot)
-		fmt.Fprintf(w, "%s %s %s %s %s|%s", r.Method, r.RequestURI, r.Host, body, r.Header.Get(ownInstance), r.Header.Get(ownHold))
+		fmt.Fprintf(w, "%s %s %s %s %s|%s", r.Method, r.RequestURI, r.Host, body, r.Header.Get(headerInstance), r.Header.Get(headerHold))
 	})
-	status, header, body := s.ask("/once/x?y=%20", map[string]string{ownInstance: "forged", ownHold: "forged"})
+	status, header, body := s.send("/once/x?y=%20", map[string]string{headerInstance: "forged", headerHold: "forged"})
 	is.Equal(status, http.StatusTeapot)
 	is.Equal(header.Get("X-Own"), "kept")
 	is.Equal(body, "POST /once/x?y=%20 h body i0|")
@@ -174,23 +174,22 @@
 func TestWithoutRouteOrRouting(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
-	status, _, body := s.ask("/other/", nil)
+	status, _, body := s.send("/other/", nil)
 	is.Equal(status, http.StatusNotFound)
 	is.Equal(body, `{"reason":"unknownService","ran":"no"}`)
-	status, header, _ := s.ask("/once/", nil)
+	status, header, _ := s.send("/once/", nil)
 	is.Equal(status, http.StatusServiceUnavailable) // no server yet
 	is.Equal(header.Get("Retry-After"), "0.500")
-	// A forwarder that knows no routing must not say that there is no route.
+	// A forwarder without a routing must not answer that there is no route.
 	s.forwarder.table.Store(nil)
-	status, _, _ = s.ask("/other/", nil)
+	status, _, _ = s.send("/other/", nil)
 	is.Equal(status, http.StatusServiceUnavailable)
 }
 
-// Symptom: after a power loss of everything callers are refused for good who come in the
-// second before forwarders have their routing. Sequence: a caller's first try meets a VM
-// without power, its second one a forwarder that has started and waits for control VMs to
-// elect a leader; it has no third. Cause: a refusal by a process that is about to be able to
-// serve. A request waits for a part of what its caller allows, and no longer.
+// Guards against callers who lose their request in the second after a power loss of the whole site.
+// Their first try meets a VM without power, their second one a forwarder that has started and waits
+// for the control VMs to elect a leader, and they have no third. A request waits for the first
+// routing, but only for a share of the time that its caller allows.
 func TestRequestsWaitForTheFirstRouting(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
@@ -199,19 +198,19 @@
 	s.forwarder.table.Store(nil)
 	s.forwarder.routed, s.forwarder.routedOnce = make(chan struct{}), sync.Once{}
 	began := time.Now()
-	status, _, body := s.ask("/once/", map[string]string{ownDeadline: "100"})
+	status, _, body := s.send("/once/", map[string]string{headerDeadline: "100"})
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.Equal(body, `{"reason":"controlAway","ran":"no"}`)
 	is.True(time.Since(began) >= 60*time.Millisecond)
 	time.AfterFunc(50*time.Millisecond, func() { s.forwarder.SetRouting(routing) })
-	status, _, body = s.ask("/once/", map[string]string{ownDeadline: "15000"})
+	status, _, body = s.send("/once/", map[string]string{headerDeadline: "15000"})
 	is.Equal(status, http.StatusOK)
 	is.Equal(body, "fresh")
 }
 
-// Symptom: a call that may run once runs twice, or a caller is told "not run" of
-// one that ran. Sequence: the server dies after it has read the request. Cause: a
-// call sent again, or a refusal, after its outcome was lost.
+// Guards against a call that may run once but runs twice, and against a caller that receives "not
+// run" for a call that ran. The server crashes after it has read the request: the outcome is
+// unknown, so the call must be neither repeated nor refused.
 func TestLostOutcomeIsNotRepeated(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
@@ -222,69 +221,67 @@
 	}
 	s.server("a", "", lose)
 	s.server("a", "", lose)
-	status, _, body := s.ask("/once/", nil)
+	status, _, body := s.send("/once/", nil)
 	is.Equal(status, http.StatusBadGateway)
 	is.Equal(body, `{"reason":"outcomeLost","ran":"unknown"}`)
 	is.Equal(ran.Load(), int32(1))
 }
 
-// A call that may be repeated goes to another server after a failure, and the
-// caller sees only the success.
+// A call that may be repeated goes to another server after a failure, and the caller sees only the
+// success.
 func TestFailureIsRepeatedElsewhere(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
 	s.server("a", "", abort)
 	s.server("b", "", answer("good"))
-	status, _, body := s.ask("/safe/", nil)
+	status, _, body := s.send("/safe/", nil)
 	is.Equal(status, http.StatusOK)
 	is.Equal(body, "good")
 	is.Equal(s.counts.seen["retry outcomeLost"], 1)
 }
 
-// Symptom: callers time out while one server of several stands still. Sequence:
-// the server takes the request and says nothing. Cause: waiting for it until the
-// time is over.
-func TestSilentServerIsOvertaken(t *testing.T) {
+// Guards against callers that time out because one of several servers accepts a request and then
+// hangs.
+func TestHangingServerIsHedged(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
 	s.server("a", "", stall)
 	s.server("b", "", answer("good"))
 	began := time.Now()
-	status, _, body := s.ask("/safe/", nil)
+	status, _, body := s.send("/safe/", nil)
 	is.Equal(status, http.StatusOK)
 	is.Equal(body, "good")
 	is.True(time.Since(began) < time.Second)
 }
 
-// A server that states that it did not run the request has the caller told so,
-// with a time to come back.
-func TestNotRunIsToldAsSuch(t *testing.T) {
+// If a server states that it did not run the request, the caller receives "not run" with a retry
+// delay.
+func TestNotRunIsReported(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
 	s.server("a", "", func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(ownRan, "no")
+		w.Header().Set(headerRan, "no")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	status, header, body := s.ask("/once/", nil)
+	status, header, body := s.send("/once/", nil)
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.Equal(body, `{"reason":"queueFull","ran":"no"}`)
 	is.True(header.Get("Retry-After") != "")
 }
 
-// Symptom: a caller waits beyond what the operator allows. Sequence: the only
-// server says nothing. Cause: a deadline that is the server's alone.
+// Guards against a caller that waits longer than the deadline allows when the only server hangs.
 func TestDeadlineEndsTheWait(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
 	s.server("a", "", stall)
 	began := time.Now()
-	status, _, body := s.ask("/once/", map[string]string{ownDeadline: "300"})
+	status, _, body := s.send("/once/", map[string]string{headerDeadline: "300"})
 	is.Equal(status, http.StatusGatewayTimeout)
 	is.Equal(body, `{"reason":"deadline","ran":"unknown"}`)
 	is.True(time.Since(began) < time.Second)
 }
 
-// events writes the events from one number to another.
+// events writes the events with the numbers from one to another.
 func events(w http.ResponseWriter, from, to int) {
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(w, "id: %d\ndata: %d\n\n", i, i)
@@ -292,10 +289,10 @@
 	w.(http.Flusher).Flush()
 }
 
-// Symptom: a stream has a gap or a repeat. Sequence: the server dies in the
-// middle of an event, and another one goes on. Cause: half an event that was
-// passed on, or events that the caller has already.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// Guards against a stream with a gap or a repeat. The server crashes in the middle of an event, and
+// another one continues: the incomplete event and the events that the caller already has must not
+// be forwarded.
+func TestStreamContinuesElsewhere(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
 	s.server("a", "", func(w http.ResponseWriter, _ *http.Request) {
@@ -305,16 +302,16 @@
 		abort(nil, nil)
 	})
 	s.server("b", "", func(w http.ResponseWriter, r *http.Request) {
-		is.Equal(r.Header.Get(ownAfter), "3")
+		is.Equal(r.Header.Get(headerAfter), "3")
 		events(w, 3, 5)
 	})
-	status, _, body := s.ask("/stream/", nil)
+	status, _, body := s.send("/stream/", nil)
 	is.Equal(status, http.StatusOK)
 	is.Equal(strings.ReplaceAll(body, "\n", " "), "id: 1 data: 1  id: 2 data: 2  id: 3 data: 3  id: 4 data: 4  id: 5 data: 5  ")
 }
 
-// Symptom: half a plan looks whole. Sequence: the server of a stream that may
-// not be resumed dies. Cause: the end of the answer is sent all the same.
+// Guards against an incomplete plan that looks complete: if the server of a stream that may not be
+// resumed crashes, the regular end of the answer must not be sent.
 func TestCutStreamLooksCut(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
@@ -322,13 +319,13 @@
 		events(w, 1, 2)
 		abort(nil, nil)
 	})
-	_, _, body := s.ask("/cut/", nil)
+	_, _, body := s.send("/cut/", nil)
 	is.True(strings.HasSuffix(body, "[cut]"))
 	is.True(strings.Contains(body, "data: 2"))
 }
 
-// Symptom: an engine works on for a caller that has left. Sequence: the caller
-// closes its connection in the middle of a stream.
+// Guards against an engine that works on for a caller that has closed its connection in the middle
+// of a stream.
 func TestCallerThatLeavesIsCancelled(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
@@ -352,40 +349,39 @@
 	}
 }
 
-// engine is a stand-in for a model engine; it notes what it was asked.
+// engine is a stand-in for a model engine; it records its requests.
 type engine struct {
-	mutex sync.Mutex
-	asked []string
-	// full is how many reservations are refused, lapsed how many sendings with
-	// a KV cache.
-	full, lapsed int
+	mutex    sync.Mutex
+	requests []string
+	// full is how many reservations are refused, expired how many sends with a KV cache.
+	full, expired int
 }
 
 func (e *engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	what := r.Method + " " + r.URL.Path
-	if r.Header.Get(ownPhase) != "" {
-		what += " phase=" + r.Header.Get(ownPhase)
+	if r.Header.Get(headerPhase) != "" {
+		what += " phase=" + r.Header.Get(headerPhase)
 	}
-	if r.Header.Get(ownSource) != "" {
+	if r.Header.Get(headerSource) != "" {
 		what += " source"
 	}
-	if r.Header.Get(ownHold) != "" {
-		what += " reserved=" + r.Header.Get(ownHold)
+	if r.Header.Get(headerHold) != "" {
+		what += " reserved=" + r.Header.Get(headerHold)
 	}
-	e.asked = append(e.asked, what)
+	e.requests = append(e.requests, what)
 	switch {
 	case r.URL.Path == "/reservations" && e.full > 0:
 		e.full--
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case r.URL.Path == "/reservations":
 		_, _ = io.WriteString(w, `{"reservation":"h1"}`)
-	case r.Header.Get(ownPhase) != "":
+	case r.Header.Get(headerPhase) != "":
 		_, _ = io.WriteString(w, `{"result":"k1","tokens":100}`)
-	case r.Header.Get(ownSource) != "" && e.lapsed > 0:
-		e.lapsed--
-		w.Header().Set(ownRan, "no")
+	case r.Header.Get(headerSource) != "" && e.expired > 0:
+		e.expired--
+		w.Header().Set(headerRan, "no")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
 		events(w, 1, 2)
@@ -395,17 +391,17 @@
 func (e *engine) seen() string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return strings.Join(e.asked, "; ")
+	return strings.Join(e.requests, "; ")
 }
 
-// generation sends a stream's request with tokens.
+// generation sends a request with token counts to a stream's path.
 func (s *site) generation(path string) (int, string) {
-	status, _, body := s.ask(path, map[string]string{ownPrompt: "100", ownOutput: "50"})
+	status, _, body := s.send(path, map[string]string{headerPrompt: "100", headerOutput: "50"})
 	return status, body
 }
 
-// The order of a generation: memory is reserved where it will run, then the
-// prompt is read, then it runs with both.
+// The order of a generation: memory is reserved at its decode engine, then its prompt is read, then
+// it runs with both.
 func TestGenerationReservesBeforeItsPrefill(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10000)
@@ -419,13 +415,12 @@
 	is.Equal(decode.seen(), "POST /reservations; POST /reservations; POST /cut/ source reserved=h1")
 }
 
-// Symptom: a stream that may not be repeated fails though nothing of it ran.
-// Sequence: the prefill result lapses before its transfer. The same engine
-// computes the prompt itself.
-func TestLapsedResultIsComputedAnew(t *testing.T) {
+// Guards against a stream that may not be repeated and fails although nothing of it ran. The
+// prefill result expires before its transfer: the same engine computes the prompt itself.
+func TestExpiredResultIsRecomputed(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10000)
-	prefill, decode := &engine{}, &engine{lapsed: 1}
+	prefill, decode := &engine{}, &engine{expired: 1}
 	s.server("a", oriolebend.Prefill, prefill.ServeHTTP)
 	s.server("a", oriolebend.Decode, decode.ServeHTTP)
 	status, _ := s.generation("/cut/")
@@ -434,11 +429,10 @@
 	is.Equal(s.counts.seen["retry resultExpired"], 1)
 }
 
-// Symptom: an engine gets work long after it was told that its leaving is known.
-// Sequence: a request has its place there; its prompt waits in the queue of a prefill
-// engine for more than a second, while the decode engine leaves. Cause: a place that
-// was believed for as long as the prefill took. The request goes to another engine, and
-// the place and the prefill's result are given back.
+// Guards against an engine that gets work long after its leaving was confirmed. A request has its
+// placement there; its prompt waits in the queue of a prefill engine for more than a second, while
+// the decode engine leaves. The request goes to another engine, and the reservation and the prefill
+// result are released.
 func TestEngineThatLeftDuringThePrefill(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10000)
@@ -446,9 +440,9 @@
 	prefill, slow := &engine{}, make(chan struct{}, 1)
 	slow <- struct{}{}
 	s.server("a", oriolebend.Prefill, func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get(ownPhase) != "" && len(slow) > 0 {
+		if r.Header.Get(headerPhase) != "" && len(slow) > 0 {
 			<-slow
-			s.leaves(1)
+			s.drain(1)
 			s.server("b", oriolebend.Decode, stays.ServeHTTP)
 			time.Sleep(1100 * time.Millisecond)
 		}
@@ -463,8 +457,8 @@
 	is.True(strings.Contains(prefill.seen(), "DELETE /"))
 }
 
-// Symptom: callers wait for memory until they give up. A request that finds none
-// for three times its target is refused, as not run.
+// Guards against callers that wait for memory until they give up. A request that finds no memory
+// for three times its target is refused as not run.
 func TestNoMemoryIsRefusedInTime(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10000)
@@ -477,16 +471,16 @@
 	is.True(time.Since(began) < time.Second)
 }
 
-// Symptom: engine memory stays held by a caller that left between its
-// reservation and its run. It is given back.
-func TestReservationIsGivenBack(t *testing.T) {
+// Guards against engine memory that stays reserved for a caller that disconnected between its
+// reservation and its generation.
+func TestReservationIsReleased(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10000)
 	decode := &engine{}
 	s.server("a", oriolebend.Decode, decode.ServeHTTP)
 	s.server("a", oriolebend.Prefill, stall)
-	status, _, _ := s.ask("/cut/", map[string]string{ownPrompt: "100", ownOutput: "50", ownDeadline: "200"})
-	is.Equal(status, http.StatusServiceUnavailable) // the prompt alone is no run
+	status, _, _ := s.send("/cut/", map[string]string{headerPrompt: "100", headerOutput: "50", headerDeadline: "200"})
+	is.Equal(status, http.StatusServiceUnavailable) // reading the prompt alone does not count as a run
 	s.forwarder.Wait()
 	is.Equal(decode.seen(), "POST /reservations; DELETE /reservations/h1")
 }
--- a/internal/forwarder/held_test.go
+++ b/internal/forwarder/held_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// roomBytes is the bound of a site without room for long answers.
+	// roomBytes is the memory limit of a site that can't hold long answers.
 	roomBytes  = 256 << 10
 	longAnswer = 1 << 20
 	longBody   = 100 << 10
@@ -22,7 +22,7 @@
 
 func smallRoom(c *Config) { c.Held = heldbytes.New(heldbytes.Config{Limit: roomBytes}) }
 
-// answersLong answers with a long body, of which only a part comes if cut is set.
+// answersLong answers with a long body; if cut is set, only a part of it is sent.
 func answersLong(cut bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -46,18 +46,18 @@
 		if held.Held(heldbytes.Request)+held.Held(heldbytes.Answer) == 0 {
 			return
 		}
-		is.True(time.Since(began) < 5*time.Second) // bytes stay held
+		is.True(time.Since(began) < 5*time.Second) // memory was not released
 	}
 }
 
-// Guards against long answers that are refused, or take memory without bound, for want of
-// room to hold them: they are passed on as they come.
-func TestLongAnswerIsPassedOnWithoutRoom(t *testing.T) {
+// Guards against long answers that are refused, or that take unlimited memory, when there is no
+// memory to hold them. They are forwarded as they arrive.
+func TestLongAnswerIsForwardedWithoutMemory(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/"} {
 		is := is.New(t)
 		s := newSite(t, 0, smallRoom)
 		s.server("a", "", answersLong(false))
-		status, header, body := s.ask(path, nil)
+		status, header, body := s.send(path, nil)
 		is.Equal(status, http.StatusOK)
 		is.Equal(header.Get("Content-Length"), strconv.Itoa(longAnswer))
 		is.Equal(len(body), longAnswer)
@@ -66,77 +66,77 @@
 	}
 }
 
-// Guards against half an answer that looks whole, as its server broke off when a part of it
-// had been passed on.
-func TestHalfAnAnswerDoesNotLookWhole(t *testing.T) {
+// Guards against an incomplete answer that looks complete, because its server cut it off after a
+// part of it had been forwarded.
+func TestIncompleteAnswerDoesNotLookComplete(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0, smallRoom)
 	s.server("a", "", answersLong(true))
-	status, _, body := s.ask("/safe/", nil)
+	status, _, body := s.send("/safe/", nil)
 	is.Equal(status, http.StatusOK)
 	is.True(strings.HasSuffix(body, "[cut]"))
 	s.allGivenBack()
 }
 
-// Guards against a server that takes nothing and is sent all that this process may hold.
-func TestServerThatTakesNothingIsPassedOver(t *testing.T) {
+// Guards against a server that reads nothing and is sent all the bytes that this process may hold.
+func TestServerThatReadsNothingIsSkipped(t *testing.T) {
 	is := is.New(t)
-	c := &crowds{most: 2 * longBody}
-	is.True(c.enter("deaf", longBody))
-	is.True(c.enter("deaf", longBody))
-	is.True(!c.enter("deaf", longBody))
-	is.True(c.enter("other", longBody))
-	is.True(c.enter("deaf", 0)) // of usual length
-	c.leave("deaf", longBody)
-	is.True(c.enter("deaf", longBody))
-	is.True(c.enter("third", 10*longBody)) // one that is longer by itself can be sent
+	c := &inflightBytes{limit: 2 * longBody}
+	is.True(c.add("stuck", longBody))
+	is.True(c.add("stuck", longBody))
+	is.True(!c.add("stuck", longBody))
+	is.True(c.add("other", longBody))
+	is.True(c.add("stuck", 0)) // a request of usual length
+	c.remove("stuck", longBody)
+	is.True(c.add("stuck", longBody))
+	is.True(c.add("third", 10*longBody)) // a request that exceeds the limit alone is sent
 }
 
-// Guards against a request that is held back as one that crashes servers, though its server
-// ended under many long ones that it could not hold.
-func TestEndUnderManyLongRequestsBlamesNone(t *testing.T) {
+// Guards against a request that is quarantined although its server crashed under many long requests
+// that it could not hold.
+func TestCrashUnderManyLongRequestsBlamesNone(t *testing.T) {
 	is := is.New(t)
-	c := &crowds{}
+	c := &inflightBytes{}
 	began := time.Now()
-	is.True(c.enter("server", crowdBytes))
-	is.Equal(c.beside("server", began, crowdBytes), int64(0)) // alone, it is to blame
-	is.Equal(c.beside("server", began, 0), int64(crowdBytes)) // a ping beside it is not
-	is.True(c.enter("server", crowdBytes))
-	c.leave("server", crowdBytes) // both break off, one after the other
-	is.Equal(c.beside("server", began, crowdBytes), int64(crowdBytes))
-	c.leave("server", crowdBytes)
-	is.Equal(c.beside("server", began, crowdBytes), int64(crowdBytes))
+	is.True(c.add("server", overloadBytes))
+	is.Equal(c.maxOthers("server", began, overloadBytes), int64(0)) // alone, it is to blame
+	is.Equal(c.maxOthers("server", began, 0), int64(overloadBytes)) // a short request at the same time is not
+	is.True(c.add("server", overloadBytes))
+	c.remove("server", overloadBytes) // both fail, one after the other
+	is.Equal(c.maxOthers("server", began, overloadBytes), int64(overloadBytes))
+	c.remove("server", overloadBytes)
+	is.Equal(c.maxOthers("server", began, overloadBytes), int64(overloadBytes))
 	time.Sleep(time.Millisecond)
-	is.Equal(c.beside("server", time.Now(), 0), int64(0)) // what is sent now meets nobody
-	is.Equal(c.beside("elsewhere", began, 0), int64(0))
-	c.servers["server"].sums = []crowdSum{{at: time.Now().Add(-2 * crowdKept)}}
+	is.Equal(c.maxOthers("server", time.Now(), 0), int64(0)) // requests sent now meet no others
+	is.Equal(c.maxOthers("elsewhere", began, 0), int64(0))
+	c.servers["server"].samples = []byteSample{{at: time.Now().Add(-2 * historyPeriod)}}
 	c.expire()
 	is.Equal(len(c.servers), 0)
 }
 
-// Guards against a caller of long requests that is told that they crash servers.
-func TestManyLongRequestsAreNotHeldBack(t *testing.T) {
+// Guards against a caller of long requests that is refused because they seem to crash servers.
+func TestManyLongRequestsAreNotQuarantined(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
 	reached := s.crashers(8, "", 0)
 	for _, v := range s.servers {
-		is.True(s.forwarder.crowds.enter(v.Address, 2*crowdBytes)) // others' requests
+		is.True(s.forwarder.inflight.add(v.Address, 2*overloadBytes)) // requests of other callers
 	}
 	for range 8 {
-		s.ask("/safe/", nil)
-		s.looked()
+		s.send("/safe/", nil)
+		s.awaitProbes()
 	}
 	is.True(reached.Load() > 4)
 	_, held := s.forwarder.config.Quarantine.Held(bodyFingerprint("/safe/"))
 	is.True(!held)
 }
 
-func BenchmarkCrowdOfUsualRequests(b *testing.B) {
-	c := &crowds{most: roomBytes}
+func BenchmarkInflightBytesOfUsualRequests(b *testing.B) {
+	c := &inflightBytes{limit: roomBytes}
 	body := make([]byte, 5000)
 	for b.Loop() {
 		n := longBytes(body)
-		c.enter("server", n)
-		c.leave("server", n)
+		c.add("server", n)
+		c.remove("server", n)
 	}
 }
--- a/internal/forwarder/identify.go
+++ b/internal/forwarder/identify.go
@@ -5,9 +5,9 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// identify finds the organisation that holds the caller's key. It returns why there is
-// none where one is needed. On a public route a key is not needed, but one that is held is
-// honoured: its request counts for its organisation there as well.
+// identify finds the organisation that holds the caller's key. If the route requires a key and
+// there is no such organisation, it returns the reason. On a public route a key is not required,
+// but a valid one is honoured: the request then counts for its organisation there as well.
 func (w *work) identify(table *routing.Table) oriolebend.Reason {
 	w.identified = table.Routing.NeedsKeys()
 	if !w.identified {
@@ -26,17 +26,18 @@
 	return oriolebend.ReasonUnknownKey
 }
 
-// rejectUnless rejects a request for what the routing in force does not know, unless there
-// may be a newer one: a forwarder that is behind must not turn away what was just declared.
+// rejectUnless rejects a request that refers to something unknown to the routing in force, unless a
+// newer routing may exist: a forwarder whose routing is outdated must not reject what was just
+// declared.
 func (w *work) rejectUnless(status int, reason oriolebend.Reason) {
 	if current := w.f.config.Current; current != nil && !current() {
-		w.refuse(refusal{reason: oriolebend.ReasonControlAway, after: retryUnready})
+		w.refuse(refusal{reason: oriolebend.ReasonControlAway, after: retryNotReady})
 		return
 	}
 	w.reject(status, reason, nil)
 }
 
-// organisationName is empty for a caller that shows no key.
+// organisationName returns the name of the caller's organisation, empty if there is none.
 func (w *work) organisationName() string {
 	if w.organisation == nil {
 		return ""
@@ -44,7 +45,7 @@
 	return w.organisation.Name
 }
 
-// rank orders the request among those that compete with it.
+// rank returns the rank of the request among the requests that compete with it.
 func (w *work) rank() int {
 	if w.organisation != nil && w.organisation.Rank != nil {
 		return *w.organisation.Rank
--- a/internal/forwarder/identity_test.go
+++ b/internal/forwarder/identity_test.go
@@ -17,7 +17,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// callerSite is a site whose servers note for whom they run requests.
+// callerSite is a site whose servers record for whom they run requests.
 type callerSite struct {
 	*site
 	mutex  sync.Mutex
@@ -26,19 +26,19 @@
 	behind bool
 }
 
-// fixedQuotas gives each organisation an amount once, and says what is asked of it.
+// fixedQuotas grants each organisation an amount once, and records what is returned.
 type fixedQuotas struct {
-	mutex    sync.Mutex
-	left     map[string]float64
-	returned float64
-	away     bool
+	mutex       sync.Mutex
+	left        map[string]float64
+	returned    float64
+	unavailable bool
 }
 
 // Take implements Quotas.
 func (q *fixedQuotas) Take(_ context.Context, c Charge) (Charge, QuotaState, error) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.away {
+	if q.unavailable {
 		return Charge{}, QuotaState{}, &oriolebend.Problem{Reason: oriolebend.ReasonControlAway, RetryAfter: time.Second}
 	}
 	if q.left[c.Organisation] < c.Cost {
@@ -58,12 +58,12 @@
 
 // TestIdentity runs the files of testdata/identity. Their commands:
 //
-//	declare     brings organisations in JSON into force; public=ROUTE makes a route public
-//	quotas      ORGANISATION LEFT a line; "away" has nobody counting
+//	declare     applies organisations in JSON; public=ROUTE makes a route public
+//	quotas      one line "ORGANISATION LEFT" for each organisation; with "unavailable" no control VM counts
 //	behind      the forwarder does not know whether its routing is the newest
-//	servers     ok or refuse: what servers do
-//	ask PATH    sends the headers of the input, and prints the answer, what the server saw
-//	            and what was given back
+//	servers     ok or refuse: how servers answer
+//	ask PATH    sends the headers of the input, and prints the answer, what the server received
+//	            and what was returned to the quota
 func TestIdentity(t *testing.T) {
 	datadriven.Walk(t, "testdata/identity", func(t *testing.T, path string) {
 		s := newCallerSite(t)
@@ -76,9 +76,9 @@
 			case "behind":
 				s.behind = true
 			case "servers":
-				s.server("a", "", s.note(d.HasArg("refuse")))
+				s.server("a", "", s.record(d.HasArg("refuse")))
 			case "ask":
-				return s.askAs(d)
+				return s.sendAs(d)
 			}
 			return ""
 		})
@@ -110,7 +110,7 @@
 }
 
 func (s *callerSite) setQuotas(t *testing.T, d *datadriven.TestData) {
-	s.quotas.away = d.HasArg("away")
+	s.quotas.unavailable = d.HasArg("unavailable")
 	for line := range strings.Lines(d.Input) {
 		var name string
 		var left float64
@@ -120,14 +120,14 @@
 	}
 }
 
-// note is a server that notes who it is told to run for, and any key that reaches it.
-func (s *callerSite) note(refuse bool) http.HandlerFunc {
+// record returns a server that records the organisation it receives, and any key that reaches it.
+func (s *callerSite) record(refuse bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
-		s.seen = append(s.seen, fmt.Sprintf("for %q key %q", r.Header[ownOrganisation], r.Header[ownCredential]))
+		s.seen = append(s.seen, fmt.Sprintf("for %q key %q", r.Header[headerOrganisation], r.Header[headerCredential]))
 		s.mutex.Unlock()
 		if refuse {
-			w.Header().Set(ownRan, "no")
+			w.Header().Set(headerRan, "no")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -135,29 +135,29 @@
 	}
 }
 
-func (s *callerSite) askAs(d *datadriven.TestData) string {
+func (s *callerSite) sendAs(d *datadriven.TestData) string {
 	header := map[string]string{}
 	for line := range strings.Lines(d.Input) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
 		header[name] = value
 	}
 	s.seen, s.quotas.returned = nil, 0
-	status, answer, body := s.ask(d.CmdArgs[0].Key, header)
+	status, answer, body := s.send(d.CmdArgs[0].Key, header)
 	var out strings.Builder
 	fmt.Fprintln(&out, status, answer.Get("Retry-After"), body)
 	for _, line := range s.seen {
 		fmt.Fprintln(&out, line)
 	}
 	if s.quotas.returned > 0 {
-		fmt.Fprintln(&out, "given back", s.quotas.returned)
+		fmt.Fprintln(&out, "refunded", s.quotas.returned)
 	}
 	return out.String()
 }
 
-// A key that is taken away while its request is on its way: the request goes on, also to a
-// second server, for the organisation that held the key when it came. The next one on the
+// If a key is revoked while its request is forwarded, the request continues, also to a second
+// server, for the organisation that held the key when the request arrived. The next request on the
 // same connection is refused.
-func TestKeyTakenAwayMeanwhile(t *testing.T) {
+func TestKeyRevokedDuringARequest(t *testing.T) {
 	is := is.New(t)
 	s := newCallerSite(t)
 	with := func(version uint64, keys ...string) oriolebend.Routing {
@@ -173,7 +173,9 @@
 		s.forwarder.SetRouting(with(3))
 		abort(w, r)
 	})
-	s.server("b", "", func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.Header.Get(ownOrganisation)) })
+	s.server("b", "", func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.WriteString(w, r.Header.Get(headerOrganisation))
+	})
 	caller := &http.Client{}
 	for _, want := range []struct {
 		status int
@@ -182,7 +184,7 @@
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+s.callers.Address()+"/safe/", nil)
 		is.NoErr(err)
 		request.Host = "h"
-		request.Header.Set(ownCredential, ownScheme+" k")
+		request.Header.Set(headerCredential, credentialScheme+" k")
 		response, err := caller.Do(request)
 		is.NoErr(err)
 		body, err := io.ReadAll(response.Body)
@@ -193,9 +195,8 @@
 	}
 }
 
-// Symptom: a caller's key stands in a log. Sequence: its request is refused, by each of the
-// reasons that there are for that, and logged. Cause: what a caller shows that is logged
-// with the rest of its request.
+// Guards against a caller's key in a log. Requests are refused for each possible reason and logged;
+// what the caller shows must not be logged with the rest of its request.
 func TestKeysAreNotLogged(t *testing.T) {
 	is := is.New(t)
 	s := newCallerSite(t)
@@ -207,7 +208,7 @@
 	s.forwarder.SetRouting(r)
 	s.server("a", "", answer("good"))
 	for _, key := range []string{"secret-held", "secret-unknown"} {
-		status, _, _ := s.ask("/once/", map[string]string{ownCredential: ownScheme + " " + key})
+		status, _, _ := s.send("/once/", map[string]string{headerCredential: credentialScheme + " " + key})
 		is.True(status >= 400)
 	}
 	is.True(strings.Contains(s.log.String(), `"organisation":"o"`))
--- a/internal/forwarder/leaving_test.go
+++ b/internal/forwarder/leaving_test.go
@@ -9,32 +9,32 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a server that leaves gets requests until it ends, and ends under some of them.
-// Sequence: it says so in its answers; its announcement is late, or goes to a control VM that is
-// cut off. Cause: what it says to the forwarder itself is not read. Proof: with the word in its
-// answers alone a server gets requests on every way for as long as it runs.
-func TestLeavingSaidInAnswersHoldsOnEveryWay(t *testing.T) {
+// Guards against a server that leaves and still gets requests until it exits, some of which it then
+// breaks off. The server reports its leaving in its answers; its announcement is late, or goes to a
+// control VM that is cut off. Before the forwarder read the header itself, such a server got
+// requests from every kind of send for as long as it ran.
+func TestReportedLeavingHoldsForEverySend(t *testing.T) {
 	const (
-		// drain is for how long a server serves on that has said that it leaves.
+		// drain is how long a server that has reported its leaving continues to serve.
 		drain  = time.Second
 		length = drain + 500*time.Millisecond
 	)
-	for _, way := range ways {
-		t.Run(way.name, func(t *testing.T) {
+	for _, kind := range sendKinds {
+		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			s := newSite(t, way.kv)
+			s := newSite(t, kind.kv)
 			var mutex sync.Mutex
 			var arrivals []time.Time
-			way.start(s, func(w http.ResponseWriter) bool {
+			kind.start(s, func(w http.ResponseWriter) bool {
 				mutex.Lock()
 				defer mutex.Unlock()
 				arrivals = append(arrivals, time.Now())
-				w.Header().Set(ownLeaving, "1")
+				w.Header().Set(headerLeaving, "1")
 				return false
 			})
 			for began := time.Now(); time.Since(began) < length; time.Sleep(10 * time.Millisecond) {
-				s.ask(way.path, way.header)
+				s.send(kind.path, kind.header)
 			}
 			late := 0
 			for _, at := range arrivals {
--- a/internal/forwarder/ownlimits.go
+++ b/internal/forwarder/local_limits.go
@@ -9,40 +9,40 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/serverlimit"
 )
 
-// ownLimits counts in a forwarder that is alone.
-type ownLimits struct {
+// localLimits counts requests for server limits within this forwarder alone.
+type localLimits struct {
 	mutex sync.Mutex
 	state *serverlimit.State
 }
 
-var _ Limits = (*ownLimits)(nil)
+var _ Limits = (*localLimits)(nil)
 
-func newOwnLimits() *ownLimits {
-	l := &ownLimits{state: serverlimit.New()}
+func newLocalLimits() *localLimits {
+	l := &localLimits{state: serverlimit.New()}
 	serverlimit.Reduce(l.state, serverlimit.Leads{At: time.Now(), Lead: true})
 	return l
 }
 
-func (l *ownLimits) reduce(e serverlimit.Event) []serverlimit.Answer {
+func (l *localLimits) reduce(e serverlimit.Event) []serverlimit.Answer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return serverlimit.Reduce(l.state, e)
 }
 
 // Permit implements Limits.
-func (l *ownLimits) Permit(_ context.Context, ask LimitAsk) Permission {
+func (l *localLimits) Permit(_ context.Context, ask LimitAsk) Permission {
 	now := time.Now()
 	a := l.reduce(serverlimit.Asked{At: now, Server: ask.Server.Start(), PerSecond: ask.PerSecond, Named: now.Add(-ask.Age)})[0]
 	return Permission{Granted: a.Granted, Ended: a.Ended, After: a.After}
 }
 
 // Return implements Limits.
-func (l *ownLimits) Return(server message.BackendServer) {
+func (l *localLimits) Return(server message.BackendServer) {
 	l.reduce(serverlimit.Returned{At: time.Now(), Server: server.Start()})
 }
 
 // Ended implements Limits.
-func (l *ownLimits) Ended(server message.BackendServer, age time.Duration) {
+func (l *localLimits) Ended(server message.BackendServer, age time.Duration) {
 	now := time.Now()
 	l.reduce(serverlimit.Ended{At: now, Server: server.Start(), Sent: now.Add(-age)})
 }
--- a/internal/forwarder/own.go
+++ b/internal/forwarder/native_dialect.go
@@ -14,55 +14,53 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Headers of the product's own dialect. docs/routes.md tells what each holds.
+// Headers of the native dialect; docs/routes.md describes their values.
 const (
-	ownRequest  = "Oriolebend-Request"
-	ownCall     = "Oriolebend-Call"     // the same for all tries at one request
-	ownDeadline = "Oriolebend-Deadline" // milliseconds that are left
-	ownPrompt   = "Oriolebend-Prompt-Tokens"
-	ownOutput   = "Oriolebend-Output-Tokens"
-	ownExpected = "Oriolebend-Expected-Tokens"
-	ownInstance = "Oriolebend-Instance"
-	ownPhase    = "Oriolebend-Phase"
-	ownSource   = "Oriolebend-Source"
-	ownHold     = "Oriolebend-Reservation"
-	ownRan      = "Oriolebend-Ran"
-	ownAfter    = "Last-Event-Id"
-	ownLeaving  = "Oriolebend-Leaving" // "1": the server takes no new work
-	ownLimit    = "Oriolebend-Limit"   // requests a second from all VMs
-
-	ownOrganisation = "Oriolebend-Organisation" // whose request it is, for servers
-	ownCredential   = "Authorization"
-	ownScheme       = "Bearer"
+	headerRequest  = "Oriolebend-Request"
+	headerCall     = "Oriolebend-Call"     // the same for all tries at one request
+	headerDeadline = "Oriolebend-Deadline" // remaining milliseconds
+	headerPrompt   = "Oriolebend-Prompt-Tokens"
+	headerOutput   = "Oriolebend-Output-Tokens"
+	headerExpected = "Oriolebend-Expected-Tokens"
+	headerInstance = "Oriolebend-Instance"
+	headerPhase    = "Oriolebend-Phase"
+	headerSource   = "Oriolebend-Source"
+	headerHold     = "Oriolebend-Reservation"
+	headerRan      = "Oriolebend-Ran"
+	headerAfter    = "Last-Event-Id"
+	headerLeaving  = "Oriolebend-Leaving" // "1": the server accepts no new work
+	headerLimit    = "Oriolebend-Limit"   // requests per second from all VMs
+
+	headerOrganisation = "Oriolebend-Organisation" // the organisation of the request, sent to servers
+	headerCredential   = "Authorization"
+	credentialScheme   = "Bearer"
 )
 
-// ownRouterOnly are set by the router alone.
-var ownRouterOnly = []string{ownInstance, ownPhase, ownSource, ownHold}
+// routerHeaders are set by the router alone.
+var routerHeaders = []string{headerInstance, headerPhase, headerSource, headerHold}
 
-// Own is the dialect of the product itself. Callers that name no request get a
-// name from the forwarder's log alone.
+// NativeDialect is the router's own dialect. A request that its caller did not name has no name.
 type Own struct{}
 
 var _ Dialect = Own{}
 
-// Ask implements Dialect.
+// ParseRequest implements Dialect.
 func (Own) Ask(h http.Header) (Ask, error) {
-	ids := h[ownRequest]
+	ids := h[headerRequest]
 	if len(ids) > 1 {
 		return Ask{}, &IdentityError{Detail: fmt.Sprintf("%d request names", len(ids))}
 	}
-	ask := Ask{ID: h.Get(ownRequest), Prompt: number(h, ownPrompt), Output: number(h, ownOutput), Expected: number(h, ownExpected)}
-	ask.Within = time.Duration(number(h, ownDeadline)) * time.Millisecond
-	ask.Resumes = h.Get(ownAfter) != ""
-	ask.Credential = CredentialOf(h[ownCredential], ownScheme)
-	if call := h.Get(ownCall); call != "" {
+	ask := Ask{ID: h.Get(headerRequest), Prompt: number(h, headerPrompt), Output: number(h, headerOutput), Expected: number(h, headerExpected)}
+	ask.Within = time.Duration(number(h, headerDeadline)) * time.Millisecond
+	ask.Resumes = h.Get(headerAfter) != ""
+	ask.Credential = CredentialOf(h[headerCredential], credentialScheme)
+	if call := h.Get(headerCall); call != "" {
 		ask.Call = xxhash.Sum64String(call)
 	}
 	return ask, nil
 }
 
-// number reads a header that holds a whole number from 0; what is none counts
-// as not given.
+// number parses a header that holds a non-negative integer; any other value counts as missing.
 func number(h http.Header, name string) int {
 	value, err := strconv.Atoi(h.Get(name))
 	if err != nil {
@@ -74,51 +72,51 @@
 // Outgoing implements Dialect.
 func (Own) Outgoing(h http.Header, s Sending) http.Header {
 	out := h.Clone()
-	for _, name := range ownRouterOnly {
+	for _, name := range routerHeaders {
 		delete(out, name)
 	}
-	out.Set(ownDeadline, strconv.FormatInt(max(1, s.Within.Milliseconds()), 10))
+	out.Set(headerDeadline, strconv.FormatInt(max(1, s.Within.Milliseconds()), 10))
 	set := func(name, value string) {
 		if value != "" {
 			out.Set(name, value)
 		}
 	}
-	set(ownInstance, s.Instance)
-	set(ownSource, s.Source)
-	set(ownHold, s.Hold)
-	set(ownAfter, s.After)
+	set(headerInstance, s.Instance)
+	set(headerSource, s.Source)
+	set(headerHold, s.Hold)
+	set(headerAfter, s.After)
 	if s.Identified {
-		delete(out, ownCredential)
-		delete(out, ownOrganisation)
-		set(ownOrganisation, s.Organisation)
+		delete(out, headerCredential)
+		delete(out, headerOrganisation)
+		set(headerOrganisation, s.Organisation)
 	}
 	if s.PrefillOnly {
-		out.Set(ownPhase, string(oriolebend.Prefill))
+		out.Set(headerPhase, string(oriolebend.Prefill))
 	}
 	return out
 }
 
 // Matches implements Dialect.
 func (Own) Matches(answer http.Header, id string) bool {
-	named := answer.Get(ownRequest)
+	named := answer.Get(headerRequest)
 	return named == "" || named == id
 }
 
-// Judge implements Dialect. Servers sign nothing here: the framing of HTTP
-// tells whether an answer is whole.
+// Verdict implements Dialect. Servers sign nothing in this dialect: the framing of HTTP shows
+// whether an answer is complete.
 func (Own) Judge(status int, answer http.Header, instance string) Verdict {
 	v := Verdict{Ran: oriolebend.RanUnknown, Signed: true}
-	if answer.Get(ownRan) == string(oriolebend.RanNo) || status == http.StatusMisdirectedRequest {
+	if answer.Get(headerRan) == string(oriolebend.RanNo) || status == http.StatusMisdirectedRequest {
 		v.Ran = oriolebend.RanNo
 	}
-	other := answer.Get(ownInstance)
+	other := answer.Get(headerInstance)
 	v.Moved = status == http.StatusMisdirectedRequest && other != "" && other != instance
 	return v
 }
 
 // Notice implements Dialect.
 func (Own) Notice(status int, answer http.Header) (dispatch.Notice, error) {
-	return NoticeHeaders{Leaving: ownLeaving, Limit: ownLimit}.Read(status, answer)
+	return NoticeHeaders{Leaving: headerLeaving, Limit: headerLimit}.Read(status, answer)
 }
 
 // PrefillResult implements Dialect.
@@ -128,7 +126,7 @@
 		Tokens int    `json:"tokens"`
 	}
 	if err := json.Unmarshal(body, &answer); err != nil || answer.Result == "" {
-		return PrefillResult{}, &NamelessError{What: "prefill result", Cause: err}
+		return PrefillResult{}, &NamelessError{Missing: "prefill result", Cause: err}
 	}
 	return PrefillResult{Handle: answer.Result, Tokens: answer.Tokens}, nil
 }
@@ -149,7 +147,7 @@
 		Reservation string `json:"reservation"`
 	}
 	if err := json.Unmarshal(body, &answer); err != nil || answer.Reservation == "" {
-		return "", &NamelessError{What: "reservation", Cause: err}
+		return "", &NamelessError{Missing: "reservation", Cause: err}
 	}
 	return answer.Reservation, nil
 }
@@ -159,7 +157,7 @@
 	return EngineCall(http.MethodDelete, "/reservations/"+hold, nil)
 }
 
-// EngineCall is a call of an engine's own interface.
+// EngineCall returns a call of an engine's own interface.
 func EngineCall(method, target string, body []byte) backend.Request {
 	header := http.Header{}
 	if body != nil {
@@ -168,16 +166,17 @@
 	return backend.Request{Method: method, Target: target, Host: "engine", Header: header, Body: body}
 }
 
-// NamelessError is an answer of an engine that names nothing.
+// MissingNameError is the error of an engine's answer that lacks the name of a prefill result or
+// reservation.
 type NamelessError struct {
-	What  string
-	Cause error
+	Missing string
+	Cause   error
 }
 
 // Error implements error.
 func (e *NamelessError) Error() string {
-	return fmt.Sprintf("forwarder: an engine's answer names no %s: %v", e.What, e.Cause)
+	return fmt.Sprintf("forwarder: an engine's answer names no %s: %v", e.Missing, e.Cause)
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *NamelessError) Unwrap() error { return e.Cause }
--- a/internal/forwarder/notice_test.go
+++ b/internal/forwarder/notice_test.go
@@ -15,8 +15,8 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/dispatch"
 )
 
-// TestNoticesAreRead runs testdata/notices: each block is an answer, its status and then a
-// header a line.
+// TestNoticesAreRead runs testdata/notices: each block is an answer, with its status as the command
+// and one header per line.
 func TestNoticesAreRead(t *testing.T) {
 	datadriven.RunTest(t, "testdata/notices", func(t *testing.T, d *datadriven.TestData) string {
 		status := http.StatusOK
@@ -33,21 +33,21 @@
 	})
 }
 
-// noticeText is what a notice says, a word for each thing.
+// noticeText formats a notice, one word for each part.
 func noticeText(n dispatch.Notice, err error) string {
 	var words []string
 	if n.Leaving {
 		words = append(words, "leaving")
 	}
 	if n.Rest > 0 {
-		words = append(words, "rest="+n.Rest.String())
+		words = append(words, "backoff="+n.Rest.String())
 	}
 	if n.Limited {
 		words = append(words, "limit="+strconv.FormatFloat(n.PerSecond, 'f', -1, 64))
 	}
-	var unread *NoticeError
-	if errors.As(err, &unread) {
-		words = append(words, "unreadable="+unread.Name)
+	var invalid *NoticeError
+	if errors.As(err, &invalid) {
+		words = append(words, "invalid="+invalid.Name)
 	}
 	if len(words) == 0 {
 		return "nothing\n"
@@ -55,53 +55,52 @@
 	return strings.Join(words, " ") + "\n"
 }
 
-// Whatever a server sends, a limit that is read is a number that can be counted with, and a
-// rest has an end.
+// Whatever a server sends, a parsed limit is a finite number, and a backoff period is bounded.
 func FuzzNotice(f *testing.F) {
 	for _, text := range []string{"1.5", "0", "-1", "1e400", "NaN", "99999999999999999999999999", "1,2", ""} {
 		f.Add(text, text, text)
 	}
 	f.Fuzz(func(t *testing.T, leaving, limit, rest string) {
 		is := is.New(t)
-		n, _ := Own{}.Notice(http.StatusServiceUnavailable, http.Header{ownLeaving: {leaving}, ownLimit: {limit}, retryAfter: {rest}})
+		n, _ := Own{}.Notice(http.StatusServiceUnavailable, http.Header{headerLeaving: {leaving}, headerLimit: {limit}, retryAfter: {rest}})
 		is.True(n.PerSecond >= 0 && !math.IsInf(n.PerSecond, 0) && !math.IsNaN(n.PerSecond))
 		is.True(n.Limited || n.PerSecond == 0)
-		is.True(n.Rest >= 0 && n.Rest <= restMost)
+		is.True(n.Rest >= 0 && n.Rest <= maxBackoff)
 	})
 }
 
-// What a server says of itself is told by the log: what, by whom, and when it no longer says
-// so.
+// The state that servers report is logged: what changed, which server reported it, and when a limit
+// ends.
 func TestNoticesAreLogged(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
-	said := http.Header{}
+	reported := http.Header{}
 	s.server("a", "", func(w http.ResponseWriter, _ *http.Request) {
-		for name, values := range said {
+		for name, values := range reported {
 			w.Header()[name] = values
 		}
-		if said.Get(retryAfter) != "" {
-			w.Header().Set(ownRan, "no")
+		if reported.Get(retryAfter) != "" {
+			w.Header().Set(headerRan, "no")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	tells := func(want string) {
+	logs := func(want string) {
 		t.Helper()
-		// A request may be refused by the limit that was named before.
+		// A request may be refused because of the limit that was reported before.
 		for began := time.Now(); time.Since(began) < time.Second && !strings.Contains(s.log.String(), want); {
-			s.ask("/once/", nil)
+			s.send("/once/", nil)
 		}
 		is.True(strings.Contains(s.log.String(), want))
 	}
-	said.Set(ownLimit, "100")
-	tells(`"msg":"server names its limit","server":"i0"`)
+	reported.Set(headerLimit, "100")
+	logs(`"msg":"server names its limit","server":"i0"`)
 	is.True(strings.Contains(s.log.String(), `"perSecond":100`))
-	said.Set(ownLimit, "many")
-	tells(`"msg":"what a server says of itself can't be read","server":"i0"`)
-	is.True(!strings.Contains(s.log.String(), "no limit any more")) // nonsense ends no limit
-	said.Del(ownLimit)
-	tells(`"msg":"server names no limit any more"`)
-	said.Set(retryAfter, "2.5")
-	tells(`"msg":"server asks for rest","server":"i0"`)
+	reported.Set(headerLimit, "many")
+	logs(`"msg":"what a server says of itself can't be read","server":"i0"`)
+	is.True(!strings.Contains(s.log.String(), "no limit any more")) // an invalid header ends no limit
+	reported.Del(headerLimit)
+	logs(`"msg":"server names no limit any more"`)
+	reported.Set(retryAfter, "2.5")
+	logs(`"msg":"server asks for rest","server":"i0"`)
 	is.True(strings.Contains(s.log.String(), `"restMs":2500`))
 }
--- a/internal/forwarder/permit.go
+++ b/internal/forwarder/permit.go
@@ -10,58 +10,61 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Limits counts, over all forwarders, what is sent to servers that have named a limit.
+// Limits counts, over all forwarders, the requests that are sent to servers with a reported
+// limit.
 type Limits interface {
-	// Permit asks for the permission to send one request to a server.
+	// Permit requests the permission to send one request to a server.
 	Permit(ctx context.Context, ask LimitAsk) Permission
-	// Return gives a permission back that was not used. It must not block.
+	// Return returns a permission that was not used. It must not block.
 	Return(server message.BackendServer)
-	// Ended tells that a server named no limit in an answer to a request that was sent so
-	// long ago. It must not block.
+	// Ended reports that a server reported no limit in an answer to a request that was sent age
+	// ago. It must not block.
 	Ended(server message.BackendServer, age time.Duration)
 }
 
-// LimitAsk asks for the permission to send one request to a server.
+// PermissionRequest requests the permission to send one request to a server.
 type LimitAsk struct {
 	Server message.BackendServer
-	// PerSecond is the limit that the server named, Age how long ago it did.
+	// PerSecond is the limit that the server reported, Age the time since its last
+	// report.
 	PerSecond float64
 	Age       time.Duration
 }
 
-// Permission is the answer to a LimitAsk.
+// Permission is the answer to a PermissionRequest.
 type Permission struct {
 	Granted bool
-	// Ended is set if the server is known to have no limit any more; then it is granted.
+	// Ended is set if the server is known to have no limit any more; Granted is then set as well.
 	Ended bool
-	// After is when another one may be asked for, if it is not granted.
+	// After is the time after which another permission may be requested, if this one is not
+	// granted.
 	After time.Duration
 }
 
-// permissionHolds is for how long a permission may be used. A prompt is read meanwhile; used
-// later, permissions of many requests would reach the server at once.
-const permissionHolds = time.Second
+// permissionLifetime is how long a permission may be used; the prompt is read in the meantime. If
+// permissions were valid for longer, many requests could reach the server at once.
+const permissionLifetime = time.Second
 
-// permits are the permissions that one sending has, by server.
-type permits map[message.ServerStart]time.Time
+// permissions holds the permissions of one send, by server.
+type permissions map[message.ServerStart]time.Time
 
-// fresh reports whether there is a permission for a server that may still be used.
-func (p permits) fresh(at time.Time, server message.BackendServer) bool {
+// valid reports whether there is a permission for a server that may still be used.
+func (p permissions) valid(at time.Time, server message.BackendServer) bool {
 	since, has := p[server.Start()]
-	return has && at.Sub(since) < permissionHolds
+	return has && at.Sub(since) < permissionLifetime
 }
 
-// permit takes a permission for a server that has named a limit. True means that the request
-// may be sent there: it has a permission, or needs none.
+// acquirePermission requests a permission if the server has reported a limit. It returns true if
+// the request may be sent there, with a permission or because none is needed.
 //
-// A server that names a limit means it for all forwarders together, and each of them knows its
-// own sendings alone. Sent without asking, a hundred forwarders that each keep to the limit
-// overrun it a hundred times.
-func (w *work) permit(ctx context.Context, p permits, server message.BackendServer) bool {
+// A server reports a limit for all forwarders together, and each forwarder knows only its own
+// sends. Without permissions, a hundred forwarders that each keep to the limit would exceed it a
+// hundredfold.
+func (w *work) acquirePermission(ctx context.Context, p permissions, server message.BackendServer) bool {
 	f := w.f
 	asked := f.now()
 	limit, limited := f.limit(server)
-	if !limited || p.fresh(asked, server) {
+	if !limited || p.valid(asked, server) {
 		return true
 	}
 	answer := f.config.Limits.Permit(ctx, LimitAsk{Server: server, PerSecond: limit.PerSecond, Age: asked.Sub(limit.Named)})
@@ -76,42 +79,42 @@
 	return answer.Granted
 }
 
-// permitGrant takes permissions for both servers of a grant, or for none of them.
-func (w *work) permitGrant(ctx context.Context, p permits, g dispatch.Grant) bool {
-	if !w.permit(ctx, p, g.Server) {
+// acquirePermissions acquires permissions for both servers of a grant, or for neither.
+func (w *work) acquirePermissions(ctx context.Context, p permissions, g dispatch.Grant) bool {
+	if !w.acquirePermission(ctx, p, g.Server) {
 		return false
 	}
-	if g.Prefill == nil || w.permit(ctx, p, *g.Prefill) {
+	if g.Prefill == nil || w.acquirePermission(ctx, p, *g.Prefill) {
 		return true
 	}
-	w.f.returnPermit(p, g.Server)
+	w.f.returnPermission(p, g.Server)
 	return false
 }
 
-// returnPermit gives a permission back that was not used, if there is one.
-func (f *Forwarder) returnPermit(p permits, server message.BackendServer) {
-	if p.fresh(f.now(), server) {
+// returnPermission returns a permission that was not used, if there is one.
+func (f *Forwarder) returnPermission(p permissions, server message.BackendServer) {
+	if p.valid(f.now(), server) {
 		f.config.Limits.Return(server)
 	}
 	delete(p, server.Start())
 }
 
-// limit is the limit of a server, false if it has named none.
+// limit returns the reported limit of a server, false if there is none.
 func (f *Forwarder) limit(server message.BackendServer) (dispatch.Limit, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.state.Limit(server)
 }
 
-// closed lists the servers of a service that take nothing from this forwarder now.
-func (f *Forwarder) closed(service string) []string {
+// closedServers lists the servers of a service that accept nothing from this forwarder now.
+func (f *Forwarder) closedServers(service string) []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.state.Closed(f.now(), service)
 }
 
-// allClosed reports whether no server takes the request for what the servers have said of
-// themselves, and then why and when the first of them may.
+// allClosed reports whether the state that the servers report leaves no server for the request. The
+// refusal then holds the reason and the time until the first server may accept it.
 func (w *work) allClosed() (refusal, bool) {
 	w.f.mutex.Lock()
 	defer w.f.mutex.Unlock()
@@ -119,9 +122,9 @@
 	return refusal{reason: refused.Reason, after: refused.RetryAfter}, closed
 }
 
-// declined is why a server did not run a request, if it has said of itself that it takes
-// less; empty if it refused for another reason.
-func (f *Forwarder) declined(server message.BackendServer, v Verdict) oriolebend.Reason {
+// declineReason returns the reason why a server did not run a request, if its limit, its backoff
+// period or its leaving explains that; empty if the server refused for another reason.
+func (f *Forwarder) declineReason(server message.BackendServer, v Verdict) oriolebend.Reason {
 	if v.Ran != oriolebend.RanNo || v.Moved {
 		return ""
 	}
@@ -136,29 +139,29 @@
 	return ""
 }
 
-// leaveAlone reports whether a server is better not asked for what can be done without: it
-// rests, or has named a limit.
-func (f *Forwarder) leaveAlone(server message.BackendServer) bool {
+// avoidsOptionalCalls reports whether calls that can be omitted should not be sent to a server,
+// because it is in a backoff period or has reported a limit.
+func (f *Forwarder) avoidsOptionalCalls(server message.BackendServer) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	_, limited := f.state.Limit(server)
 	return limited || f.state.ClosedReason(f.now(), server) == oriolebend.ReasonServerRests
 }
 
-// placeCall finds a server for a plain call that may be sent to it.
+// placeCall chooses a server for a plain call that may be sent to it.
 func (w *work) placeCall(ctx context.Context) (dispatch.Grant, *refusal) {
 	need := w.need()
 	for {
-		grant, refused := w.f.place(need)
+		grant, refused := w.f.choose(need)
 		if refused != nil {
 			return grant, refused
 		}
-		if w.permit(ctx, permits{}, grant.Server) {
+		if w.acquirePermission(ctx, permissions{}, grant.Server) {
 			return grant, nil
 		}
-		w.ended(grant, dispatch.OutcomeWithheld, 0)
+		w.reportEnded(grant, dispatch.OutcomeWithheld, 0)
 		need.Excluded = append(need.Excluded, grant.Server.Instance)
-		need.Waited = true // it was counted at the first try
+		need.Waited = true // the request was counted at the first try
 		if ctx.Err() != nil {
 			return grant, &refusal{reason: backend.ReasonOfEnd(ctx)}
 		}
--- a/internal/forwarder/permit_test.go
+++ b/internal/forwarder/permit_test.go
@@ -14,53 +14,53 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/registry"
 )
 
-// limitOf names a limit in an answer.
-func limitOf(w http.ResponseWriter, perSecond string) { w.Header().Set(ownLimit, perSecond) }
+// setLimit reports a limit in an answer.
+func setLimit(w http.ResponseWriter, perSecond string) { w.Header().Set(headerLimit, perSecond) }
 
-// A limit holds for every way by which a request reaches a server.
-func TestLimitHoldsOnEveryWay(t *testing.T) {
+// A limit holds for every kind of send that reaches a server.
+func TestLimitHoldsForEverySend(t *testing.T) {
 	const (
 		perSecond = 2
 		length    = 2 * time.Second
 	)
-	for _, way := range ways {
-		t.Run(way.name, func(t *testing.T) {
+	for _, kind := range sendKinds {
+		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			s := newSite(t, way.kv)
+			s := newSite(t, kind.kv)
 			var reached atomic.Int32
-			way.start(s, func(w http.ResponseWriter) bool {
+			kind.start(s, func(w http.ResponseWriter) bool {
 				reached.Add(1)
-				limitOf(w, strconv.Itoa(perSecond))
+				setLimit(w, strconv.Itoa(perSecond))
 				return false
 			})
 			asked := 0
 			for began := time.Now(); time.Since(began) < length; time.Sleep(10 * time.Millisecond) {
-				s.ask(way.path, way.header)
+				s.send(kind.path, kind.header)
 				asked++
 			}
 			t.Logf("%d of %d requests reached the server", reached.Load(), asked)
 			is.True(asked > 40)
-			// The first request hears of the limit, and one that it is sent again as.
+			// The first request learns the limit, and a resend of it may reach the server as well.
 			is.True(reached.Load() <= 2+perSecond*int32(length.Seconds())+1)
-			is.True(reached.Load() >= 2) // somebody has to ask whether the need is over
+			is.True(reached.Load() >= 2) // some request has to find out whether the limit still applies
 		})
 	}
 }
 
-// A request that no server takes by its limit is refused at once, as not run, with the time at
-// which one may.
+// A request that no server accepts because of its limit is refused immediately, as not run, with
+// the delay until one may accept it.
 func TestAllServersAreAtTheirLimit(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
 	for range 2 {
-		s.server("a", "", func(w http.ResponseWriter, _ *http.Request) { limitOf(w, "2") })
+		s.server("a", "", func(w http.ResponseWriter, _ *http.Request) { setLimit(w, "2") })
 	}
 	for range 3 {
-		s.ask("/once/", nil)
+		s.send("/once/", nil)
 	}
 	began := time.Now()
-	status, header, body := s.ask("/once/", nil)
+	status, header, body := s.send("/once/", nil)
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.Equal(body, `{"reason":"serverLimit","ran":"no"}`)
 	is.True(time.Since(began) < 100*time.Millisecond)
@@ -68,81 +68,81 @@
 	is.NoErr(err)
 	is.True(after > 0 && after <= 0.55)
 	time.Sleep(time.Duration(after * float64(time.Second)))
-	status, _, _ = s.ask("/once/", nil)
-	is.Equal(status, http.StatusOK) // the time was true
+	status, _, _ = s.send("/once/", nil)
+	is.Equal(status, http.StatusOK) // the delay was correct
 }
 
-// Symptom: plain requests are refused as overloaded while servers are idle. Sequence: a server
-// in need turns away what is beyond its limit. Cause: its refusals taken for a full queue,
-// which makes answers late. They are neither that nor a failure of the server.
+// Guards against plain requests that are refused as overloaded while servers are idle. A server
+// with a limit refuses the requests beyond it. These refusals must count neither as a full queue,
+// which makes answers late, nor as a failure of the server.
 func TestServerAtItsLimitIsNotFailing(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
-	var need atomic.Bool
-	need.Store(true)
+	var overloaded atomic.Bool
+	overloaded.Store(true)
 	s.server("a", "", func(w http.ResponseWriter, _ *http.Request) {
-		if need.Load() {
-			limitOf(w, "50")
+		if overloaded.Load() {
+			setLimit(w, "50")
 			notRun(w)
 		}
 	})
 	s.server("b", "", answer("good"))
 	for range 60 {
-		status, _, _ := s.ask("/safe/", nil)
+		status, _, _ := s.send("/safe/", nil)
 		is.Equal(status, http.StatusOK)
 		time.Sleep(5 * time.Millisecond)
 	}
 	is.Equal(s.counts.seen["refusal overloaded"], 0)
 	is.True(s.counts.seen["retry serverLimit"] > 0)
-	need.Store(false)
-	s.leaves(1)
+	overloaded.Store(false)
+	s.drain(1)
 	status := 0
 	for began := time.Now(); status != http.StatusOK && time.Since(began) < time.Second; time.Sleep(10 * time.Millisecond) {
-		status, _, _ = s.ask("/once/", nil)
+		status, _, _ = s.send("/once/", nil)
 	}
 	for range 20 {
-		status, _, _ = s.ask("/once/", nil)
-		is.Equal(status, http.StatusOK) // its need is over, and nothing is held against it
+		status, _, _ = s.send("/once/", nil)
+		is.Equal(status, http.StatusOK) // the limit has ended and has no further effect
 	}
 }
 
-// Nonsense in one server's answers costs it and no other server anything.
-func TestNonsenseOfOneServer(t *testing.T) {
+// Invalid limits in one server's answers affect neither that server nor others.
+func TestInvalidLimitOfOneServer(t *testing.T) {
 	for _, limit := range []string{"-1", "many", "1e999", "NaN"} {
 		t.Run(limit, func(t *testing.T) {
 			is := is.New(t)
 			s := newSite(t, 0)
-			s.server("a", "", func(w http.ResponseWriter, _ *http.Request) { limitOf(w, limit) })
+			s.server("a", "", func(w http.ResponseWriter, _ *http.Request) { setLimit(w, limit) })
 			s.server("b", "", answer("good"))
 			for range 20 {
-				status, _, _ := s.ask("/once/", nil)
+				status, _, _ := s.send("/once/", nil)
 				is.Equal(status, http.StatusOK)
 			}
 		})
 	}
 }
 
-// A start of a server that has the address of another one is not held to what that one said.
-func TestLimitEndsWithTheStart(t *testing.T) {
+// A new incarnation at the address of another server is not bound by the limit of that server.
+func TestLimitEndsWithTheIncarnation(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
 	var limited atomic.Bool
 	limited.Store(true)
 	s.server("a", "", func(w http.ResponseWriter, _ *http.Request) {
 		if limited.Load() {
-			limitOf(w, "0")
+			setLimit(w, "0")
 		}
 	})
-	status, _, _ := s.ask("/once/", nil)
+	status, _, _ := s.send("/once/", nil)
 	is.Equal(status, http.StatusOK)
-	status, _, _ = s.ask("/once/", nil)
+	status, _, _ = s.send("/once/", nil)
 	is.Equal(status, http.StatusServiceUnavailable)
 	limited.Store(false)
 	s.forwarder.ChangeServers(registry.Changes{Servers: []message.BackendServer{{
 		Instance: "later", Service: "s", Address: s.servers[0].Address, FailureDomain: "a", Phase: message.PhaseReady,
 	}}, Left: []string{"i0"}}, 1)
 	for i := range 5 {
-		status, _, body := s.ask("/once/", nil)
+		status, _, body := s.send("/once/", nil)
 		is.Equal(fmt.Sprint(i, status, body), fmt.Sprint(i, http.StatusOK, ""))
 	}
 }
--- a/internal/forwarder/promise_test.go
+++ b/internal/forwarder/promise_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a request that runs twice, as its server's own failure was passed on with a
-// status that promises callers that it has not run.
-func TestPromiseOfAServerThatMayHaveRunIsNotPassedOn(t *testing.T) {
+// Guards against a request that runs twice because its server's own failure was forwarded with a
+// status that promises callers that the request has not run.
+func TestNotRunStatusOfAServerThatMayHaveRunIsNotForwarded(t *testing.T) {
 	promises := []int{
 		http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable,
 	}
@@ -26,9 +26,9 @@
 					runs++
 					w.WriteHeader(status)
 				})
-				got, _, _ := s.ask(path, nil)
+				got, _, _ := s.send(path, nil)
 				if path == "/safe/" {
-					is.Equal(got, status) // it may be sent again, whatever happened
+					is.Equal(got, status) // the request may be sent again in any case
 					return
 				}
 				is.Equal(got, http.StatusBadGateway)
--- a/internal/forwarder/quarantine_test.go
+++ b/internal/forwarder/quarantine_test.go
@@ -16,8 +16,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// crashers adds servers that end when they are sent anything, after some events of a
-// stream, and counts what reaches them.
+// crashers adds servers that crash when they are sent a request, after some events of a stream, and
+// counts the requests that reach them.
 func (s *site) crashers(count int, role oriolebend.PoolRole, after int) *atomic.Int32 {
 	reached := &atomic.Int32{}
 	for range count {
@@ -31,19 +31,19 @@
 	return reached
 }
 
-// bodyFingerprint is the fingerprint of what ask sends to a path.
+// bodyFingerprint returns the fingerprint of the request that send sends to a path.
 func bodyFingerprint(path string) quarantine.Fingerprint {
 	return fingerprintOf(&http1.Request{Method: http.MethodPost, Host: "h", Target: path, Body: []byte("body")}, "")
 }
 
-// Symptom: a request ends all servers of a service, three or more for each try of its
-// caller. Sequence: it may be repeated, so that each loss is followed by a sending to
-// another server. Cause: sendings that are bounded for one try alone. It is refused as not
-// run once three servers have ended, in whatever way it comes; what others ask for is not.
+// Guards against a request that crashes all servers of a service, three or more for each try of its
+// caller. The request may be repeated, so that each crash is followed by a send to another server,
+// and the number of sends is bounded for one try alone. After three crashes the request is refused
+// as not run on every kind of route; other requests are not.
 func TestRequestThatCrashesServersIsRefused(t *testing.T) {
 	for _, test := range []struct {
 		name, path string
-		// events are passed on before the server ends.
+		// events are forwarded before the server crashes.
 		events int
 	}{
 		{name: "plain", path: "/safe/"},
@@ -57,31 +57,31 @@
 			s := newSite(t, 0)
 			reached := s.crashers(8, "", test.events)
 			for range 8 {
-				s.ask(test.path, nil)
-				s.looked()
+				s.send(test.path, nil)
+				s.awaitProbes()
 			}
 			is.True(reached.Load() >= quarantine.Limit)
-			is.True(reached.Load() <= quarantine.Limit+1) // two attempts may be under way
-			status, header, body := s.ask(test.path, nil)
+			is.True(reached.Load() <= quarantine.Limit+1) // two attempts may be in flight
+			status, header, body := s.send(test.path, nil)
 			is.Equal(status, http.StatusServiceUnavailable)
 			is.Equal(body, `{"reason":"crashesServers","ran":"no"}`)
 			after, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 			is.NoErr(err)
 			is.True(after >= 599)
 			for i := range s.servers {
-				s.leaves(i)
+				s.drain(i)
 			}
 			s.server("a", "", func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 2) })
-			status, _, _ = s.ask(test.path+"other", nil)
+			status, _, _ = s.send(test.path+"other", nil)
 			is.Equal(status, http.StatusOK)
 		})
 	}
 }
 
-// Symptom: proper requests are refused for ten minutes after a bad hour. Sequence: the
-// same request meets servers whose connections break, or that are lost with their VMs; or
-// it was answered a moment before. Cause: every loss taken for a crash, and every crash
-// for the request's own.
+// Guards against valid requests that are refused for ten minutes after many failures. The same
+// request meets servers whose connections break or that are lost with their VMs, or it was answered
+// a moment before. Not every lost connection is a crash, and not every crash is caused by the
+// request.
 func TestLossesAreNotCrashes(t *testing.T) {
 	t.Run("connections break", func(t *testing.T) {
 		is := is.New(t)
@@ -90,8 +90,8 @@
 			s.server("a", "", abort)
 		}
 		for range 6 {
-			s.ask("/once/", nil)
-			s.looked()
+			s.send("/once/", nil)
+			s.awaitProbes()
 		}
 		_, held := s.forwarder.config.Quarantine.Reported()
 		is.Equal(held, 0)
@@ -100,13 +100,13 @@
 		is := is.New(t)
 		s := newSite(t, 0)
 		s.server("a", "", answer("sound"))
-		status, _, _ := s.ask("/safe/", nil)
+		status, _, _ := s.send("/safe/", nil)
 		is.Equal(status, http.StatusOK)
-		s.leaves(0)
+		s.drain(0)
 		s.crashers(6, "", 0)
 		for range 6 {
-			s.ask("/safe/", nil)
-			s.looked()
+			s.send("/safe/", nil)
+			s.awaitProbes()
 		}
 		reported, held := s.forwarder.config.Quarantine.Reported()
 		is.Equal(reported, 1)
@@ -118,27 +118,27 @@
 		for range 4 {
 			s.crasher("", func(w http.ResponseWriter, _ *http.Request) {
 				events(w, 1, 1)
-				time.Sleep(justBegun + 100*time.Millisecond)
+				time.Sleep(earlyStreamPeriod + 100*time.Millisecond)
 			})
 		}
 		for range 4 {
-			s.ask("/cut/", nil)
-			s.looked()
+			s.send("/cut/", nil)
+			s.awaitProbes()
 		}
 		reported, _ := s.forwarder.config.Quarantine.Reported()
 		is.Equal(reported, 0)
 	})
 }
 
-// Symptom: a request reaches a server after it was known to crash servers. Sequence: it
-// waits for memory, or for its prompt to be read, when another forwarder tells what it
-// did. Cause: a look at its arrival alone. Its reservation and its prefill are given back.
-func TestRequestIsHeldWhileItWaits(t *testing.T) {
+// Guards against a request that reaches a server after it is known to crash servers. While it waits
+// for memory or for its prefill, another forwarder reports the crashes: checking the quarantine on
+// arrival alone is not enough. Its reservation and its prefill result are released.
+func TestWaitingRequestIsQuarantined(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10000)
 	decode, prefill := &engine{}, &engine{}
 	s.server("a", oriolebend.Prefill, func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get(ownPhase) != "" {
+		if r.Header.Get(headerPhase) != "" {
 			var reports []message.CrashReport
 			for i := range quarantine.Limit {
 				reports = append(reports, message.CrashReport{Fingerprint: uint64(bodyFingerprint("/cut/")), Instance: fmt.Sprint(i)})
--- a/internal/forwarder/quota.go
+++ b/internal/forwarder/quota.go
@@ -9,39 +9,39 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Quotas counts what organisations ask for over all forwarders.
+// Quotas counts the use of quotas by organisations over all forwarders.
 type Quotas interface {
-	// Take takes what a request costs from an organisation's quota. The error is a
-	// *oriolebend.Problem, with reason quota if the organisation has used it up and
-	// controlAway if nobody could be asked.
+	// Take charges a request to an organisation's quota. The error is a *oriolebend.Problem, with
+	// reason quota if the quota is used up and controlAway if no control VM could be asked.
 	Take(ctx context.Context, c Charge) (Charge, QuotaState, error)
-	// Return gives back what a request has taken that did not run. It must not block.
+	// Return refunds the charge of a request that did not run. It must not block.
 	Return(c Charge)
 }
 
-// Charge is what one request takes of a quota.
+// Charge is what one request uses of a quota.
 type Charge struct {
 	Organisation string
-	// Cost is in the unit of the quota; zero takes nothing.
+	// Cost is in the unit of the quota; zero charges nothing.
 	Cost float64
 	// Call is the same for all tries of a caller at one request.
 	Call uint64
 	// Late is set if the caller was refused before, and has missed its target.
 	Late bool
-	// Keeper is who counted it, set by Take.
+	// CountedBy is the control VM that counted the charge, set by Take.
 	Keeper string
 }
 
-// QuotaState is what whoever counted a charge knew of the quota.
+// QuotaState is the state of a quota at the control VM that counted a charge.
 type QuotaState struct {
-	// Keeper is who counted, empty if nobody could be asked.
+	// CountedBy is the control VM that counted, empty if none could be asked.
 	Keeper string
-	// Left is what could be taken then, and Since for how long the keeper has counted.
+	// Left is what remained of the quota at that time, and Since how long that control VM had
+	// counted.
 	Left  float64
 	Since time.Duration
 }
 
-// attributes are those of the line of a refused request.
+// attributes returns the log attributes of a refused request.
 func (s QuotaState) attributes(o *oriolebend.Organisation) []slog.Attr {
 	if o == nil {
 		return nil
@@ -53,8 +53,8 @@
 	}
 }
 
-// charge takes what the request costs from its organisation's quota; false means that it
-// has been answered.
+// charge charges the request to its organisation's quota. It returns false if it has answered the
+// request itself.
 func (w *work) charge(ctx context.Context) bool {
 	quotas := w.f.config.Quotas
 	if quotas == nil || w.organisation == nil || !w.organisation.Quota.Bounded() {
@@ -62,7 +62,7 @@
 	}
 	charge := Charge{
 		Organisation: w.organisation.Name, Call: uint64(w.fingerprint),
-		Cost: w.organisation.Quota.Cost(w.ask.Prompt + w.ask.Output), Late: w.returned && !w.ask.Resumes,
+		Cost: w.organisation.Quota.Cost(w.ask.Prompt + w.ask.Output), Late: w.retried && !w.ask.Resumes,
 	}
 	taken, state, err := quotas.Take(ctx, charge)
 	w.quota = state
@@ -74,17 +74,17 @@
 	return true
 }
 
-// quotaRefusal tells the caller of a charge that could not be made.
+// quotaRefusal returns the refusal for a failed charge.
 func quotaRefusal(err error) refusal {
 	var problem *oriolebend.Problem
 	if !errors.As(err, &problem) {
-		return refusal{reason: oriolebend.ReasonInternal, after: retryUnready}
+		return refusal{reason: oriolebend.ReasonInternal, after: retryNotReady}
 	}
 	return refusal{reason: problem.Reason, after: problem.RetryAfter}
 }
 
-// refund gives back what a request has taken that did not run: it got nothing for it. One
-// whose prompt was read has cost an engine as much as one that ran.
+// refund returns the charge of a request that did not run, since its caller got nothing for it. A
+// request whose prompt was read is not refunded: it has cost an engine as much as one that ran.
 func (w *work) refund() {
 	if w.charged.Cost > 0 && !w.prompted {
 		w.f.config.Quotas.Return(w.charged)
--- a/internal/forwarder/ways_test.go
+++ b/internal/forwarder/send_kinds_test.go
@@ -8,30 +8,30 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// needy is called for each request that reaches a server in need. True means that it has
-// answered.
-type needy func(w http.ResponseWriter) bool
+// serverHook is called for each request that reaches the server under test. It returns true if it
+// has answered.
+type serverHook func(w http.ResponseWriter) bool
 
-// way is a way by which a request reaches a server in need.
-type way struct {
+// sendKind is a kind of send by which a request reaches the server under test.
+type sendKind struct {
 	name   string
 	path   string
 	header map[string]string
 	kv     int
 	// start adds the servers of a site.
-	start func(s *site, n needy)
+	start func(s *site, hook serverHook)
 }
 
 // generation is the header of a request for a generation.
-var generation = map[string]string{ownPrompt: "1000", ownOutput: "10"}
+var generation = map[string]string{headerPrompt: "1000", headerOutput: "10"}
 
 // notRun refuses a request without running it.
 func notRun(w http.ResponseWriter) {
-	w.Header().Set(ownRan, "no")
+	w.Header().Set(headerRan, "no")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// generator answers a decode engine's own calls, and generations by a handler.
+// generator answers a decode engine's own calls itself, and passes generations to a handler.
 func generator(generate http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/reservations") {
@@ -42,49 +42,49 @@
 	}
 }
 
-var ways = []way{
+var sendKinds = []sendKind{
 	{
 		name: "plain calls", path: "/once/",
-		start: func(s *site, n needy) {
-			s.server("a", "", func(w http.ResponseWriter, _ *http.Request) { n(w) })
+		start: func(s *site, hook serverHook) {
+			s.server("a", "", func(w http.ResponseWriter, _ *http.Request) { hook(w) })
 		},
 	},
 	{
-		name: "second sendings of plain calls", path: "/safe/",
-		start: func(s *site, n needy) {
+		name: "second sends of plain calls", path: "/safe/",
+		start: func(s *site, hook serverHook) {
 			s.server("a", "", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
-			s.server("b", "", func(w http.ResponseWriter, _ *http.Request) { n(w) })
+			s.server("b", "", func(w http.ResponseWriter, _ *http.Request) { hook(w) })
 		},
 	},
 	{
 		name: "streams", path: "/stream/", header: generation, kv: 1 << 20,
-		start: func(s *site, n needy) {
+		start: func(s *site, hook serverHook) {
 			s.server("a", oriolebend.Decode, generator(func(w http.ResponseWriter, _ *http.Request) {
-				if !n(w) {
+				if !hook(w) {
 					events(w, 1, 2)
 				}
 			}))
 		},
 	},
 	{
-		name: "streams that go on elsewhere", path: "/stream/", header: generation, kv: 1 << 20,
-		start: func(s *site, n needy) {
+		name: "streams that continue elsewhere", path: "/stream/", header: generation, kv: 1 << 20,
+		start: func(s *site, hook serverHook) {
 			s.server("a", oriolebend.Decode, generator(func(w http.ResponseWriter, _ *http.Request) {
 				events(w, 1, 1)
 				abort(nil, nil)
 			}))
 			s.server("b", oriolebend.Decode, generator(func(w http.ResponseWriter, _ *http.Request) {
-				if !n(w) {
+				if !hook(w) {
 					events(w, 2, 3)
 				}
 			}))
 		},
 	},
 	{
-		name: "prompts read apart", path: "/stream/", header: generation, kv: 1 << 20,
-		start: func(s *site, n needy) {
+		name: "separate prefills", path: "/stream/", header: generation, kv: 1 << 20,
+		start: func(s *site, hook serverHook) {
 			s.server("a", oriolebend.Prefill, func(w http.ResponseWriter, r *http.Request) {
-				if r.Header.Get(ownPhase) != "" && !n(w) {
+				if r.Header.Get(headerPhase) != "" && !hook(w) {
 					_, _ = io.WriteString(w, `{"result":"r","tokens":1000}`)
 				}
 			})
@@ -92,16 +92,16 @@
 		},
 	},
 	{
-		name: "second sendings to the same server", path: "/stream/", header: generation, kv: 1 << 20,
-		start: func(s *site, n needy) {
+		name: "second sends to the same server", path: "/stream/", header: generation, kv: 1 << 20,
+		start: func(s *site, hook serverHook) {
 			s.server("a", oriolebend.Prefill, func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = io.WriteString(w, `{"result":"r","tokens":1000}`)
 			})
 			s.server("a", oriolebend.Decode, generator(func(w http.ResponseWriter, r *http.Request) {
 				switch {
-				case n(w):
-				case r.Header.Get(ownSource) != "":
-					notRun(w) // the result can't be had
+				case hook(w):
+				case r.Header.Get(headerSource) != "":
+					notRun(w) // the prefill result is not available
 				default:
 					events(w, 1, 2)
 				}
@@ -110,12 +110,12 @@
 	},
 }
 
-// reservations are a way by which a call reaches an engine that is not a caller's request.
-var reservations = way{
+// reservations is a kind of send whose call to the engine is not a caller's request.
+var reservations = sendKind{
 	name: "reservations", path: "/stream/", header: generation, kv: 1 << 20,
-	start: func(s *site, n needy) {
+	start: func(s *site, hook serverHook) {
 		s.server("a", oriolebend.Decode, func(w http.ResponseWriter, r *http.Request) {
-			if strings.HasPrefix(r.URL.Path, "/reservations") && !n(w) {
+			if strings.HasPrefix(r.URL.Path, "/reservations") && !hook(w) {
 				_, _ = io.WriteString(w, `{"reservation":"r"}`)
 			}
 		})
--- a/internal/forwarder/work.go
+++ b/internal/forwarder/work.go
@@ -17,7 +17,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// work is one request on its way.
+// work is the state of one request while it is forwarded.
 type work struct {
 	f       *Forwarder
 	request *http1.Request
@@ -25,84 +25,84 @@
 	ask     Ask
 	route   *oriolebend.Route
 	service *oriolebend.RouteService
-	// organisation holds the caller's key; nil if it needs none and shows none.
+	// organisation is the organisation that holds the caller's key; nil if the caller needs no key
+	// and shows none.
 	organisation *oriolebend.Organisation
-	// identified is set if callers of the routing in force show keys.
+	// identified is set if the routing in force requires keys from callers.
 	identified bool
-	// charged is what the request has taken of its organisation's quota, quota what was
-	// known of that.
+	// charged is the part of its organisation's quota that the request has used, quota the state of
+	// the quota when it was charged.
 	charged  Charge
 	quota    QuotaState
 	version  uint64
 	deadline time.Time
-	// fingerprint is what the request asks for.
+	// fingerprint identifies the content of the request over all tries of its caller.
 	fingerprint quarantine.Fingerprint
-	// returned is set if the caller seems to have been refused before.
-	returned bool
+	// retried is set if the caller seems to have been refused before.
+	retried bool
 
-	// answers are the memory of answers to its sendings.
+	// answers holds the memory of the answers to the sends of this request.
 	answers []*heldbytes.Holding
 
 	// sent counts the servers that the request was sent to, tried names them.
 	sent  int
 	tried []string
-	// declined is why the last server that refused it did, if it had said of itself that it
-	// takes less.
+	// declined is the reason of the last server that did not run the request because of a limit, a
+	// backoff period or its leaving that it had reported before; empty if the last refusal was for
+	// another reason.
 	declined oriolebend.Reason
-	// passes counts the servers that could not be sent it, as they take too slowly.
-	passes int
-	// prefills counts the prefills that were asked for in vain, before a sending that
-	// was not made. A second one counts as a repeat.
+	// skipped counts the servers that the request could not be sent to because they read too
+	// slowly.
+	skipped int
+	// prefills counts the prefills that were requested in vain, before a send that was not made. A
+	// second one counts as a repeat.
 	prefills int
 	// prompted is set once a prefill engine was asked to read the prompt.
 	prompted bool
-	// ran is what is known of the request over all sendings: "yes" or "unknown"
-	// once one of them may have run.
+	// ran is the combined result of all sends: "yes" or "unknown" once one of them may have run.
 	ran oriolebend.Ran
-	// placed, read and first are when a stream had its place, its prompt read
-	// and its first event, counted from its arrival; zero if it did not come to
-	// that.
-	placed, read, first time.Duration
+	// placed, prefilled and first are the times from the arrival of a stream's request to its
+	// placement, the end of its prefill and its first event; zero if that did not happen.
+	placed, prefilled, first time.Duration
 	// pause is the longest time between two events of a stream.
 	pause time.Duration
 }
 
-// refusal is why a request is not sent, or not sent again.
+// refusal is the reason why a request is not sent, or not sent again.
 type refusal struct {
 	reason oriolebend.Reason
 	after  time.Duration
 }
 
-// need is what the next sending asks of a server.
+// need returns the requirements of the next send.
 func (w *work) need() dispatch.Need {
 	return dispatch.Need{
 		Service: w.service.Name, Prompt: w.ask.Prompt, Output: w.ask.output(),
 		FirstWithin: time.Duration(w.route.AnswerWithin), Arrived: w.request.Received,
-		PauseWithin: time.Duration(w.route.PauseWithin), Returned: w.returned,
+		PauseWithin: time.Duration(w.route.PauseWithin), Returned: w.retried,
 		FailureDomain: w.f.config.Dispatch.FailureDomain,
 		Tried:         w.tried, Again: w.sent+w.prefills > 0,
 	}
 }
 
-// mayHaveRun notes that a sending may have run.
-func (w *work) mayHaveRun(ran oriolebend.Ran) {
+// recordRan records that a send may have run the request.
+func (w *work) recordRan(ran oriolebend.Ran) {
 	if ran != oriolebend.RanNo && w.ran != oriolebend.RanYes {
 		w.ran = ran
 	}
 }
 
-// notRun reports whether no sending can have run.
+// notRun reports whether no send can have run the request.
 func (w *work) notRun() bool { return w.ran == "" || w.ran == oriolebend.RanNo }
 
-// left is what is left of the caller's time.
-func (w *work) left() time.Duration { return time.Until(w.deadline) }
+// remaining returns what remains of the caller's time.
+func (w *work) remaining() time.Duration { return time.Until(w.deadline) }
 
-// mayGoOn reports whether another sending is allowed at all: the operator's
-// bound, the caller's time, the repeat rule of the route, and what the request did to
-// servers before.
-func (w *work) mayGoOn(ctx context.Context) bool {
+// maySendAgain reports whether another send is allowed by the operator's limit, the caller's time,
+// the repeat rule of the route and the quarantine.
+func (w *work) maySendAgain(ctx context.Context) bool {
 	const worthwhile = 5 * time.Millisecond
-	if ctx.Err() != nil || w.sent >= max(1, w.route.Attempts) || w.left() < worthwhile {
+	if ctx.Err() != nil || w.sent >= max(1, w.route.Attempts) || w.remaining() < worthwhile {
 		return false
 	}
 	if _, held := w.f.config.Quarantine.Held(w.fingerprint); held {
@@ -111,9 +111,9 @@
 	return w.notRun() || w.route.Repeat.Repeatable()
 }
 
-// outgoing is the request as it goes to a server.
+// outgoing returns the request as it is sent to a server.
 func (w *work) outgoing(s Sending) backend.Request {
-	s.Within = w.left()
+	s.Within = w.remaining()
 	s.Identified, s.Organisation = w.identified, w.organisationName()
 	return backend.Request{
 		Method: w.request.Method, Target: w.request.Target, Host: w.request.Host, Body: w.request.Body,
@@ -123,28 +123,27 @@
 	}
 }
 
-// Connections that have lain unused for longer are not used again. A server may
-// drop an unused connection without notice, and what is sent on it next is
-// reset: a request that may run only once is then lost, since nobody can tell
-// whether it ran.
+// Connections that were idle for longer are not used again. A server may drop an idle connection
+// without notice, and the next request on it is reset. A request that may run only once is then
+// lost, since it is unknown whether it ran.
 const (
-	freshForOnce   = 2 * time.Second
-	freshForRepeat = 8 * time.Second
+	maxIdleOnce       = 2 * time.Second
+	maxIdleRepeatable = 8 * time.Second
 )
 
 func (w *work) freshness() time.Duration {
 	if w.route.Repeat.Repeatable() {
-		return freshForRepeat
+		return maxIdleRepeatable
 	}
-	return freshForOnce
+	return maxIdleOnce
 }
 
-// ended reports the end of a sending to the reducer.
-func (w *work) ended(g dispatch.Grant, outcome dispatch.Outcome, took time.Duration) {
-	w.f.ended(dispatch.Ended{At: w.f.now(), Grant: g, Outcome: outcome, Took: took})
+// reportEnded reports the end of a send to the reducer.
+func (w *work) reportEnded(g dispatch.Grant, outcome dispatch.Outcome, took time.Duration) {
+	w.f.reportEnded(dispatch.Ended{At: w.f.now(), Grant: g, Outcome: outcome, Took: took})
 }
 
-// reasonOf is the reason of a failed exchange.
+// reasonOf returns the reason of a failed exchange.
 func reasonOf(err error) oriolebend.Reason {
 	var e *backend.Error
 	if errors.As(err, &e) {
@@ -153,7 +152,7 @@
 	return oriolebend.ReasonOutcomeLost
 }
 
-// ranOf is what a failed exchange tells of its request.
+// ranOf returns whether the request of a failed exchange may have run.
 func ranOf(err error) oriolebend.Ran {
 	var e *backend.Error
 	if errors.As(err, &e) {
@@ -162,7 +161,7 @@
 	return oriolebend.RanUnknown
 }
 
-// outcomeOf judges a server by a failed exchange.
+// outcomeOf classifies a failed exchange for the reducer.
 func outcomeOf(err error) dispatch.Outcome {
 	switch reasonOf(err) {
 	case oriolebend.ReasonCallerCancelled:
@@ -173,8 +172,7 @@
 	return dispatch.OutcomeBroken
 }
 
-// refuse answers a request that has not run and will not, and says when to come
-// back.
+// refuse answers a request that has not run and will not, with a retry delay.
 func (w *work) refuse(r refusal) {
 	w.f.config.Observer.Count("refusal", r.reason, w.organisationName())
 	w.refund()
@@ -186,23 +184,23 @@
 	if r.reason == oriolebend.ReasonQuota {
 		status = http.StatusTooManyRequests
 	}
-	w.own(status, header, r.reason, oriolebend.RanNo)
+	w.respond(status, header, r.reason, oriolebend.RanNo)
 }
 
-// reject answers a request that is wrong in itself.
+// reject answers a request that is invalid in itself.
 func (w *work) reject(status int, reason oriolebend.Reason, cause error) {
 	w.f.config.Observer.Count("refusal", reason, "")
 	if cause != nil {
 		w.f.config.Logger.Info("request malformed", "request", w.ask.ID, "error", cause)
 	}
-	w.own(status, http.Header{}, reason, oriolebend.RanNo)
+	w.respond(status, http.Header{}, reason, oriolebend.RanNo)
 }
 
-// giveUp answers a request that has no answer of a server: as not run if that
-// is certain, else as failed, which promises nothing.
+// giveUp answers a request that got no answer from a server: as not run if that is certain, else as
+// failed, which promises nothing.
 func (w *work) giveUp(ctx context.Context, reason oriolebend.Reason, after time.Duration) {
 	if w.answer.Begun() {
-		w.log(0, reason, w.ran) // the connection is cut; the answer can't look whole
+		w.log(0, reason, w.ran) // the connection is closed, so that the answer can't look complete
 		w.f.config.Observer.Count("givenUp", reason, "")
 		return
 	}
@@ -215,7 +213,7 @@
 		status = http.StatusGatewayTimeout
 	}
 	w.f.config.Observer.Count("givenUp", reason, "")
-	w.own(status, http.Header{}, reason, w.ran)
+	w.respond(status, http.Header{}, reason, w.ran)
 }
 
 // problem is the body of an answer of the router itself.
@@ -224,18 +222,18 @@
 	Ran    oriolebend.Ran    `json:"ran"`
 }
 
-// own sends an answer of the router itself.
-func (w *work) own(status int, header http.Header, reason oriolebend.Reason, ran oriolebend.Ran) {
+// respond sends an answer of the router itself.
+func (w *work) respond(status int, header http.Header, reason oriolebend.Reason, ran oriolebend.Ran) {
 	header.Set("Content-Type", "application/json")
 	body, err := json.Marshal(problem{Reason: reason, Ran: ran})
 	if err != nil {
-		body = nil // two plain words always encode
+		body = nil // a struct of two strings always encodes
 	}
 	w.answer.Whole(status, header, body)
 	w.log(status, reason, ran)
 }
 
-// log writes the one line that tells what became of a request, and why.
+// log writes the one log line that states the result of a request and its reason.
 func (w *work) log(status int, reason oriolebend.Reason, ran oriolebend.Ran) {
 	attributes := []slog.Attr{
 		slog.String("request", w.ask.ID), slog.String("fingerprint", w.fingerprint.String()), slog.Int("status", status),
@@ -249,7 +247,7 @@
 	if w.ask.Prompt > 0 {
 		attributes = append(attributes,
 			slog.Int("promptTokens", w.ask.Prompt), slog.Int("outputTokens", w.ask.Output),
-			slog.Int64("placedMs", w.placed.Milliseconds()), slog.Int64("readMs", w.read.Milliseconds()),
+			slog.Int64("placedMs", w.placed.Milliseconds()), slog.Int64("readMs", w.prefilled.Milliseconds()),
 			slog.Int64("firstMs", w.first.Milliseconds()), slog.Int64("pauseMs", w.pause.Milliseconds()))
 	}
 	if w.identified {
@@ -267,8 +265,8 @@
 	w.f.config.Logger.LogAttrs(context.Background(), slog.LevelInfo, "request answered", attributes...)
 }
 
-// logSending writes a line for a sending that did not bring the answer.
-func (w *work) logSending(g dispatch.Grant, what string, status int, reason oriolebend.Reason, err error) {
+// logSend logs a send that did not bring the answer.
+func (w *work) logSend(g dispatch.Grant, text string, status int, reason oriolebend.Reason, err error) {
 	attributes := []slog.Attr{
 		slog.String("request", w.ask.ID), slog.String("fingerprint", w.fingerprint.String()),
 		slog.String("server", g.Server.Instance),
@@ -283,5 +281,5 @@
 	if err != nil {
 		attributes = append(attributes, slog.String("error", err.Error()))
 	}
-	w.f.config.Logger.LogAttrs(context.Background(), slog.LevelInfo, what, attributes...)
+	w.f.config.Logger.LogAttrs(context.Background(), slog.LevelInfo, text, attributes...)
 }
