--- a/internal/places/allocator.go
+++ b/internal/places/allocator.go
@@ -1,5 +1,5 @@
-// Package places carries what forwarders ask of whoever gives places at model engines, and
-// the answers: a Giver in each control VM, a Client in each forwarder.
+// Package places carries placement requests between forwarders and the control VM that grants
+// placements at model engines: an Allocator runs in each control VM, a Client in each forwarder.
 package places
 
 import (
@@ -20,25 +20,23 @@
 )
 
 const (
-	// giveEvery is how often requests that wait are looked through: an engine
-	// that was found full is asked again after a tenth of a second.
-	giveEvery = 50 * time.Millisecond
-	// summaryEvery is how often the places are logged while they are short.
-	summaryEvery = time.Second
+	// tickInterval is how often waiting requests are reconsidered: an engine that was found full is
+	// tried again after a tenth of a second.
+	tickInterval = 50 * time.Millisecond
+	// summaryInterval is how often a summary is logged while placements are short.
+	summaryInterval = time.Second
 )
 
-// Giver gives forwarders places at model engines while its control VM leads.
+// Allocator grants forwarders placements at model engines while its control VM leads.
 //
-// Each forwarder sees only its own share of an engine's work. While many look for
-// the last free memory on their own, most tries meet a full engine, memory lies
-// idle for as long as it takes to find it, and requests that are late already
-// take it from those that could be in time. One process that knows all places
-// finds it at once, and in the right order. Its word is no more than a hint: the
-// engine's own reservation decides, and without a leader forwarders look for
-// themselves.
+// Each forwarder sees only its own share of an engine's work. If many forwarders search for the
+// last free memory on their own, most tries meet a full engine, memory stays idle until it is
+// found, and requests that are already late take it from requests that could be in time. One
+// process that knows all placements finds free memory immediately and assigns it in the right
+// order. A placement is only a hint: the engine's own reservation decides, and without a leader
+// forwarders choose engines themselves.
 type Giver struct {
-	// Leads reports whether this control VM leads, Replaced whether another one is
-	// known to.
+	// Leads reports whether this control VM leads, Replaced whether another one is known to lead.
 	Leads, Replaced func() bool
 	Logger          *slog.Logger
 
@@ -46,60 +44,62 @@
 	state    *reducer.State
 	sessions map[uint64]session
 	// nodes holds the session of each forwarder.
-	nodes   map[string]uint64
-	last    uint64
-	routing oriolebend.Routing
-	servers registry.Servers
-	// giving is set while places are given: from when this control VM leads until
-	// another one is known to. Places are hints, so that two who give them for a
-	// moment break nothing. A group without a quorum elects nobody for as long as it
-	// is cut in two; were there no places meanwhile, each forwarder would look for
-	// the last free memory on its own.
-	giving bool
+	nodes       map[string]uint64
+	lastSession uint64
+	routing     oriolebend.Routing
+	servers     registry.Servers
+	// active is set while placements are granted: from when this control VM leads until another one
+	// is known to lead. Placements are hints, so that two allocators may be active for a moment. A
+	// group without a quorum elects no leader for as long as it is partitioned; if no placements
+	// were granted during that time, each forwarder would search for the last free memory on its
+	// own.
+	active bool
 }
 
 var _ routewatch.Sink = (*Giver)(nil)
 
-// session is a session of a forwarder.
+// session is a session with a forwarder.
 type session struct {
 	*peer.Outbox
-	// failureDomain is where the forwarder stands.
+	// failureDomain is the failure domain of the forwarder.
 	failureDomain string
 }
 
-// Prepare makes the giver ready; it must be called before all else.
+// Prepare initializes the allocator; it must be called before any other method.
 func (g *Giver) Prepare() {
 	g.sessions, g.nodes = map[uint64]session{}, map[string]uint64{}
 	g.servers = registry.Servers{}
 	g.reset()
 }
 
-// reset forgets all places. The mutex is held, or nobody else knows p yet.
+// reset discards all placements. The mutex must be held, unless no other goroutine can use the
+// allocator yet.
 func (g *Giver) reset() {
 	g.state = &reducer.State{Placement: placement.New(uint64(time.Now().UnixNano()))}
 	g.reduce(g.fleet())
 }
 
-// Run serves those that wait until ctx ends.
+// Run serves waiting requests until ctx ends.
 func (g *Giver) Run(ctx context.Context) {
-	told := time.Now()
-	for pause.For(ctx, giveEvery) {
+	summarized := time.Now()
+	for pause.For(ctx, tickInterval) {
 		leads, replaced := g.Leads(), g.Replaced()
 		g.mutex.Lock()
-		if g.giving && time.Since(told) >= summaryEvery {
-			told = time.Now()
-			g.summarize(told)
+		if g.active && time.Since(summarized) >= summaryInterval {
+			summarized = time.Now()
+			g.summarize(summarized)
 		}
-		if g.giving && !leads && replaced {
-			g.abdicate()
+		if g.active && !leads && replaced {
+			g.stepDown()
 		}
-		g.giving = leads || g.giving && !replaced
+		g.active = leads || g.active && !replaced
 		g.reduce(placement.Ticked{At: time.Now()})
 		g.mutex.Unlock()
 	}
 }
 
-// summarize logs what the places are, while anybody waits. The mutex is held.
+// summarize logs the state of the placements if requests wait or engines were found full. The mutex
+// must be held.
 func (g *Giver) summarize(at time.Time) {
 	s := g.state.Placement.Summarize(at)
 	if s.Waiting == 0 && s.Full == 0 {
@@ -111,17 +111,16 @@
 	}
 }
 
-// abdicate ends all sessions; the next leader gives the places. The mutex is
-// held.
-func (g *Giver) abdicate() {
+// stepDown ends all sessions; the next leader grants placements. The mutex must be held.
+func (g *Giver) stepDown() {
 	for _, o := range g.sessions {
 		o.End()
 	}
 	g.reset()
-	g.Logger.Info("gives no more places, another control VM leads")
+	g.Logger.Info("placement allocator stopped, another control VM leads")
 }
 
-// reduce feeds the reducer and sends its answers. The mutex is held.
+// reduce passes an event to the reducer and sends the resulting answers. The mutex must be held.
 func (g *Giver) reduce(e placement.Event) {
 	for _, effect := range reducer.Reduce(g.state, e) {
 		answer, ok := effect.(placement.Answer)
@@ -145,16 +144,16 @@
 	return m
 }
 
-// Serve is the peer.Handler for forwarders that ask for places.
+// Serve is the peer.Handler for forwarders that request placements.
 func (g *Giver) Serve(ctx context.Context, s peer.Stream) {
 	first, err := s.Receive()
 	open, ok := first.(message.PlaceOpen)
-	if err != nil || !ok || !g.gives() {
+	if err != nil || !ok || !g.isActive() {
 		return
 	}
 	o := peer.NewOutbox(s)
-	session := g.begin(o, open)
-	defer g.end(session)
+	session := g.startSession(o, open)
+	defer g.endSession(session)
 	defer context.AfterFunc(ctx, func() { _ = s.Close() })()
 	go o.Write()
 	for {
@@ -166,51 +165,51 @@
 		if !ok {
 			return
 		}
-		g.take(session, event)
+		g.applyEvent(session, event)
 	}
 }
 
-// gives reports whether places are given here. One that has just started and leads
-// already may not know the services yet; asked for a place, it would refuse what it
-// does not know, where forwarders can find one themselves.
-func (g *Giver) gives() bool {
+// isActive reports whether placements are granted here. A control VM that has just started and
+// already leads may not know the services yet; it would refuse requests for unknown services,
+// although forwarders can choose engines for them.
+func (g *Giver) isActive() bool {
 	leads := g.Leads()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.routing.Version > 0 && (leads || g.giving)
+	return g.routing.Version > 0 && (leads || g.active)
 }
 
-func (g *Giver) begin(o *peer.Outbox, open message.PlaceOpen) uint64 {
+func (g *Giver) startSession(o *peer.Outbox, open message.PlaceOpen) uint64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if earlier := g.nodes[open.Node]; earlier != 0 {
-		// What it had counts no more: it tells of what it still has, and what a
-		// process before it had ended with that.
-		g.silence(earlier)
+		// The new session reports all placements that the forwarder still uses. Those of an earlier
+		// process of the forwarder ended with that process.
+		g.closeSession(earlier)
 		g.reduce(placement.SessionLost{At: time.Now(), Session: earlier})
 	}
-	g.last++
-	g.sessions[g.last] = session{Outbox: o, failureDomain: open.FailureDomain}
-	g.nodes[open.Node] = g.last
+	g.lastSession++
+	g.sessions[g.lastSession] = session{Outbox: o, failureDomain: open.FailureDomain}
+	g.nodes[open.Node] = g.lastSession
 	for _, q := range open.Held {
 		g.reduce(placement.Resumed{
-			At: time.Now().Add(-q.Age), Key: placement.Key{Session: g.last, ID: q.ID}, Need: needOf(q),
+			At: time.Now().Add(-q.Age), Key: placement.Key{Session: g.lastSession, ID: q.ID}, Need: needOf(q),
 			Server:  message.ServerStart{Instance: q.Server, Incarnation: q.ServerStart},
 			Prefill: message.ServerStart{Instance: q.Prefill, Incarnation: q.PrefillStart},
 		})
 	}
-	g.Logger.Info("gives places", "forwarder", open.Node, "held", len(open.Held), "forwarders", len(g.sessions))
-	return g.last
+	g.Logger.Info("placement allocator serves a forwarder", "forwarder", open.Node, "held", len(open.Held), "forwarders", len(g.sessions))
+	return g.lastSession
 }
 
-func (g *Giver) end(session uint64) {
+func (g *Giver) endSession(session uint64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.silence(session)
+	g.closeSession(session)
 }
 
-// silence ends a session; its places are kept for a while. The mutex is held.
-func (g *Giver) silence(session uint64) {
+// closeSession ends a session; its placements are kept for a while. The mutex must be held.
+func (g *Giver) closeSession(session uint64) {
 	if s, open := g.sessions[session]; open {
 		delete(g.sessions, session)
 		s.End()
@@ -225,8 +224,8 @@
 	}
 }
 
-// take feeds one step of a question to the reducer.
-func (g *Giver) take(session uint64, m message.PlaceEvent) {
+// applyEvent passes one step of a placement request to the reducer.
+func (g *Giver) applyEvent(session uint64, m message.PlaceEvent) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
@@ -253,7 +252,7 @@
 	}
 }
 
-// fleet is what is known of engines. The mutex is held.
+// fleet returns the known services and engines. The mutex must be held.
 func (g *Giver) fleet() placement.Fleet {
 	return placement.Fleet{
 		Services: dispatch.Services{Services: g.routing.Services},
@@ -286,7 +285,7 @@
 	return g.routing.Version
 }
 
-// Loads implements routewatch.Sink; a control VM puts no load on engines.
+// Loads implements routewatch.Sink; a control VM causes no load on engines.
 func (g *Giver) Loads() []message.ServiceLoad { return nil }
 
 // Expire implements routewatch.Sink.
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -15,87 +15,90 @@
 )
 
 const (
-	// askAgain is the pause before another leader is asked for places.
-	askAgain = 100 * time.Millisecond
-	// otherSeen is how many times in a row another leader must be named, since a
-	// control VM that is cut off may name the last one for a moment.
-	otherSeen = 2
-	// openWithin bounds the opening of a session.
-	openWithin = time.Second
-	// answerMargin is how much later than the end of its wait a question's
-	// answer is still waited for; then the leader counts as gone.
+	// reconnectDelay is the pause before the next attempt to open a session with a leader, and
+	// between two checks for another leader.
+	reconnectDelay = 100 * time.Millisecond
+	// leaderConfirmations is how many times in a row another leader must be confirmed, since a control
+	// VM that is cut off may name the previous one for a moment.
+	leaderConfirmations = 2
+	// openTimeout bounds the opening of a session.
+	openTimeout = time.Second
+	// answerMargin is how long after the end of its wait the answer to a placement request is still
+	// awaited; then the leader counts as unreachable.
 	answerMargin = 300 * time.Millisecond
-	// probeAfter is for how long nothing comes before a sign of life is asked for, and
-	// probeWithin how long that may take.
-	probeAfter  = 100 * time.Millisecond
-	probeWithin = 250 * time.Millisecond
+	// probeAfter is how long the session may be quiet before a probe is sent, and probeTimeout how
+	// long the answer to the probe may take.
+	probeAfter   = 100 * time.Millisecond
+	probeTimeout = 250 * time.Millisecond
 )
 
-// Client asks the leading control VM for places at model engines. It
-// implements forwarder.Places.
+// Client requests placements at model engines from the leading control VM. It implements
+// forwarder.Places.
 type Client struct {
 	Node          string
 	FailureDomain string
 	Dialer        peer.Dialer
-	// Leader is the peer address of the control VM that leads, empty if none is
-	// known. The last one that did goes on giving places until another one leads.
+	// Leader returns the peer address of the leading control VM, empty if none is known. The
+	// previous leader goes on granting placements until another one leads.
 	Leader func() string
 	Logger *slog.Logger
 
-	mutex sync.Mutex
-	last  uint64
-	open  *peer.Outbox
-	// asked holds who waits for an answer, held the places that are in use.
-	asked map[uint64]chan message.PlaceAnswer
-	held  map[uint64]heldPlace
-	// heard is when something came over the session last, probed when a sign of life was
-	// asked for since, zero if none was. silent is set while none comes.
-	heard, probed time.Time
-	silent        bool
+	mutex  sync.Mutex
+	lastID uint64
+	outbox *peer.Outbox
+	// pending holds the channels of the requests that wait for an answer, held the placements in
+	// use.
+	pending map[uint64]chan message.PlaceAnswer
+	held    map[uint64]heldPlacement
+	// lastReceived is when the session last received a message. probeSent is when a probe was sent
+	// since then, zero if none was. unresponsive is set from the time at which a probe has timed
+	// out until the next message.
+	lastReceived, probeSent time.Time
+	unresponsive            bool
 }
 
 var _ forwarder.Places = (*Client)(nil)
 
-// heldPlace is a place in use, and since when.
-type heldPlace struct {
+// heldPlacementment is a placement in use, and the time since when it is used.
+type heldPlacement struct {
 	message.PlaceQuestion
 	since time.Time
 }
 
-// Prepare makes the client ready; it must be called before all else.
+// Prepare initializes the client; it must be called before any other method.
 func (c *Client) Prepare() {
-	c.asked = map[uint64]chan message.PlaceAnswer{}
-	c.held = map[uint64]heldPlace{}
+	c.pending = map[uint64]chan message.PlaceAnswer{}
+	c.held = map[uint64]heldPlacement{}
 }
 
-// Run keeps a session with the leader until ctx ends.
+// Run keeps a session with the leader open until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	address := ""
 	for ctx.Err() == nil {
 		address = cmp.Or(c.Leader(), address)
 		if address != "" {
-			c.session(ctx, address)
+			c.runSession(ctx, address)
 		}
-		pause.For(ctx, askAgain)
+		pause.For(ctx, reconnectDelay)
 	}
 }
 
-// awaitOther returns once another control VM than the one with an address has led
-// for a moment. A leader that is frozen or cut off does not end its sessions: what
-// is asked of it would wait for an answer until the caller leaves.
-func (c *Client) awaitOther(ctx context.Context, address string) {
-	for seen := 0; seen < otherSeen && ctx.Err() == nil; pause.For(ctx, askAgain) {
+// awaitNewLeader returns once another control VM than the one at the address has led for a moment.
+// A leader that is frozen or cut off does not end its sessions: requests sent to it would wait for
+// an answer until their callers give up.
+func (c *Client) awaitNewLeader(ctx context.Context, address string) {
+	for confirmed := 0; confirmed < leaderConfirmations && ctx.Err() == nil; pause.For(ctx, reconnectDelay) {
 		leader := c.Leader()
 		if leader == "" || leader == address {
-			seen = 0
+			confirmed = 0
 			continue
 		}
-		seen++
+		confirmed++
 	}
 }
 
-func (c *Client) session(ctx context.Context, address string) {
-	opening, cancel := context.WithTimeout(ctx, openWithin)
+func (c *Client) runSession(ctx context.Context, address string) {
+	opening, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	s, err := c.Dialer.Open(opening, address)
 	if err != nil {
@@ -107,11 +110,11 @@
 	defer context.AfterFunc(ctx, func() { _ = s.Close() })()
 	go func() {
 		defer cancel()
-		c.awaitOther(ctx, address)
+		c.awaitNewLeader(ctx, address)
 	}()
 	o := peer.NewOutbox(s)
-	c.begin(o)
-	defer c.end()
+	c.startSession(o)
+	defer c.endSession()
 	go o.Write()
 	for {
 		m, err := s.Receive()
@@ -119,12 +122,12 @@
 			return
 		}
 		if answer, ok := m.(message.PlaceAnswer); ok {
-			c.answered(answer)
+			c.handleAnswer(answer)
 		}
 	}
 }
 
-func (c *Client) begin(o *peer.Outbox) {
+func (c *Client) startSession(o *peer.Outbox) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	open := message.PlaceOpen{Node: c.Node, FailureDomain: c.FailureDomain}
@@ -133,77 +136,77 @@
 		open.Held = append(open.Held, h.PlaceQuestion)
 	}
 	o.Put(open)
-	c.open = o
-	c.heard, c.probed, c.silent = time.Now(), time.Time{}, false
+	c.outbox = o
+	c.lastReceived, c.probeSent, c.unresponsive = time.Now(), time.Time{}, false
 }
 
-// end has those that wait look for places themselves.
-func (c *Client) end() {
+// endSession ends the wait of all pending requests; their forwarder then chooses engines itself.
+func (c *Client) endSession() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.open = nil
-	for id, waiting := range c.asked {
-		delete(c.asked, id)
+	c.outbox = nil
+	for id, waiting := range c.pending {
+		delete(c.pending, id)
 		close(waiting)
 	}
 }
 
-func (c *Client) answered(a message.PlaceAnswer) {
+func (c *Client) handleAnswer(a message.PlaceAnswer) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.silent {
-		c.Logger.Info("the control VM that gives places answers again")
+	if c.unresponsive {
+		c.Logger.Info("the control VM that grants placements responds again")
 	}
-	c.heard, c.probed, c.silent = time.Now(), time.Time{}, false
-	waiting := c.asked[a.ID]
+	c.lastReceived, c.probeSent, c.unresponsive = time.Now(), time.Time{}, false
+	waiting := c.pending[a.ID]
 	if waiting == nil {
-		// The request has left meanwhile; its place must not stay taken.
+		// The request has been cancelled in the meantime; its placement must be released.
 		if a.Server != nil {
-			c.tell(message.PlaceEvent{ID: a.ID, Step: message.PlaceEnded, Outcome: string(dispatch.OutcomeCancelled)})
+			c.sendEvent(message.PlaceEvent{ID: a.ID, Step: message.PlaceEnded, Outcome: string(dispatch.OutcomeCancelled)})
 		}
 		return
 	}
-	delete(c.asked, a.ID)
+	delete(c.pending, a.ID)
 	waiting <- a
 }
 
-// tell sends an event, if there is a session. The mutex is held.
-func (c *Client) tell(e message.PlaceEvent) {
-	if c.open != nil {
-		c.open.Put(e)
+// sendEvent sends an event if there is a session. The mutex must be held.
+func (c *Client) sendEvent(e message.PlaceEvent) {
+	if c.outbox != nil {
+		c.outbox.Put(e)
 	}
 }
 
 // Place implements forwarder.Places.
 func (c *Client) Place(ctx context.Context, q forwarder.PlaceRequest) (dispatch.Effect, bool) {
-	id, waiting := c.ask(q)
+	id, waiting := c.sendRequest(q)
 	if waiting == nil {
 		return nil, false
 	}
-	answer, ok, came := c.await(ctx, waiting, q.Within+answerMargin)
-	if came && ctx.Err() == nil {
-		return c.effect(q, answer), ok
+	answer, ok, received := c.await(ctx, waiting, q.Within+answerMargin)
+	if received && ctx.Err() == nil {
+		return c.applyAnswer(q, answer), ok
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !came && c.asked[id] == nil { // the answer came in this moment
-		answer, came = <-waiting
-		ok = came
+	if !received && c.pending[id] == nil { // the answer has just arrived
+		answer, received = <-waiting
+		ok = received
 	}
-	if came {
+	if received {
 		if ok && answer.Server != nil {
-			c.tell(message.PlaceEvent{ID: id, Step: message.PlaceEnded, Outcome: string(dispatch.OutcomeCancelled)})
+			c.sendEvent(message.PlaceEvent{ID: id, Step: message.PlaceEnded, Outcome: string(dispatch.OutcomeCancelled)})
 		}
 		return nil, false
 	}
-	delete(c.asked, id)
-	c.tell(message.PlaceEvent{ID: id, Step: message.PlaceWithdrawn})
+	delete(c.pending, id)
+	c.sendEvent(message.PlaceEvent{ID: id, Step: message.PlaceWithdrawn})
 	return nil, false
 }
 
-// await waits for an answer. came is false if none has come; ok is false if the session
-// has ended.
-func (c *Client) await(ctx context.Context, waiting <-chan message.PlaceAnswer, within time.Duration) (answer message.PlaceAnswer, ok, came bool) {
+// await waits for an answer. received is false if none has arrived; ok is false if the session has
+// ended.
+func (c *Client) await(ctx context.Context, waiting <-chan message.PlaceAnswer, within time.Duration) (answer message.PlaceAnswer, ok, received bool) {
 	timer := time.NewTimer(within)
 	defer timer.Stop()
 	probe := time.NewTicker(probeAfter)
@@ -213,7 +216,7 @@
 		case answer, ok = <-waiting:
 			return answer, ok, true
 		case <-probe.C:
-			if c.isSilent() {
+			if c.checkLeader() {
 				return answer, false, false
 			}
 		case <-timer.C:
@@ -224,59 +227,59 @@
 	}
 }
 
-// isSilent reports whether the control VM that gives places does not answer at all, and
-// asks it for a sign of life if nothing has come for a while.
+// checkLeader reports whether the control VM that grants placements is unresponsive, and sends it a
+// probe if nothing was received for a while.
 //
-// A request may wait for its place while memory is short, so that no answer to one question
-// tells little. A control VM that stands still ends no session, and another one leads only
-// after a second, in which each generation that is asked for waits for it and is late.
-func (c *Client) isSilent() bool {
+// A request may wait for its placement while memory is short, so that a missing answer to one
+// request proves little. A control VM that hangs ends no session, and another one leads only after
+// a second. Every generation requested in that second would wait for the old leader and be late.
+func (c *Client) checkLeader() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
 	switch {
-	case c.open == nil || now.Sub(c.heard) < probeAfter:
-	case c.probed.IsZero():
-		c.probed = now
-		c.tell(message.PlaceEvent{Step: message.PlaceProbed})
-	case !c.silent && now.Sub(c.probed) >= probeWithin:
-		c.silent = true
-		c.Logger.Info("the control VM that gives places does not answer", "silentMs", now.Sub(c.heard).Milliseconds())
+	case c.outbox == nil || now.Sub(c.lastReceived) < probeAfter:
+	case c.probeSent.IsZero():
+		c.probeSent = now
+		c.sendEvent(message.PlaceEvent{Step: message.PlaceProbed})
+	case !c.unresponsive && now.Sub(c.probeSent) >= probeTimeout:
+		c.unresponsive = true
+		c.Logger.Info("the control VM that grants placements does not respond", "silentMs", now.Sub(c.lastReceived).Milliseconds())
 	}
-	return c.silent
+	return c.unresponsive
 }
 
-func (c *Client) ask(q forwarder.PlaceRequest) (uint64, chan message.PlaceAnswer) {
+func (c *Client) sendRequest(q forwarder.PlaceRequest) (uint64, chan message.PlaceAnswer) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.open == nil || c.silent {
+	if c.outbox == nil || c.unresponsive {
 		return 0, nil
 	}
-	c.last++
+	c.lastID++
 	waiting := make(chan message.PlaceAnswer, 1)
-	c.asked[c.last] = waiting
-	c.tell(message.PlaceEvent{ID: c.last, Step: message.PlaceAsked, Question: &message.PlaceQuestion{
-		ID: c.last, Service: q.Need.Service, Prompt: q.Need.Prompt, Output: q.Need.Output, Rank: q.Rank, Call: q.Call,
+	c.pending[c.lastID] = waiting
+	c.sendEvent(message.PlaceEvent{ID: c.lastID, Step: message.PlaceAsked, Question: &message.PlaceQuestion{
+		ID: c.lastID, Service: q.Need.Service, Prompt: q.Need.Prompt, Output: q.Need.Output, Rank: q.Rank, Call: q.Call,
 		InTime: q.InTime, Within: q.Within, Tried: q.Need.Tried, Excluded: q.Need.Excluded,
 		FirstWithin: q.Need.FirstWithin, PauseWithin: q.Need.PauseWithin,
 	}})
-	return c.last, waiting
+	return c.lastID, waiting
 }
 
-func (c *Client) effect(q forwarder.PlaceRequest, a message.PlaceAnswer) dispatch.Effect {
+func (c *Client) applyAnswer(q forwarder.PlaceRequest, a message.PlaceAnswer) dispatch.Effect {
 	if a.Server == nil {
 		return dispatch.Refused{Reason: a.Reason, RetryAfter: a.RetryAfter}
 	}
-	question := placeOf(q.Need, *a.Server, a.Prefill)
+	question := placementOf(q.Need, *a.Server, a.Prefill)
 	question.ID = a.ID
 	c.mutex.Lock()
-	c.held[a.ID] = heldPlace{PlaceQuestion: question, since: time.Now()}
+	c.held[a.ID] = heldPlacement{PlaceQuestion: question, since: time.Now()}
 	c.mutex.Unlock()
 	return dispatch.Granted{Grant: dispatch.Grant{Need: q.Need, Server: *a.Server, Prefill: a.Prefill, Ahead: a.Ahead, Remote: a.ID}}
 }
 
-// placeOf tells what a request has at its engines.
-func placeOf(n dispatch.Need, server message.BackendServer, prefill *message.BackendServer) message.PlaceQuestion {
+// placementOf describes the engines and the memory of a placement.
+func placementOf(n dispatch.Need, server message.BackendServer, prefill *message.BackendServer) message.PlaceQuestion {
 	question := message.PlaceQuestion{
 		Service: n.Service, Prompt: n.Prompt, Output: n.Output, Server: server.Instance, ServerStart: server.Incarnation,
 	}
@@ -286,39 +289,39 @@
 	return question
 }
 
-// Found implements forwarder.Places. The place is told with the next session: while
-// there is none, forwarders find places themselves, and a new leader that did not
-// know of them would send requests to engines that are full.
+// RegisterLocal implements forwarder.Places. The placement is reported when the next session
+// starts. Forwarders choose engines themselves while there is no session, and a new leader that did
+// not know of these placements would send requests to engines that are full.
 func (c *Client) Found(g dispatch.Grant) uint64 {
-	question := placeOf(g.Need, g.Server, g.Prefill)
+	question := placementOf(g.Need, g.Server, g.Prefill)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.last++
-	question.ID = c.last
-	c.held[c.last] = heldPlace{PlaceQuestion: question, since: time.Now()}
-	return c.last
+	c.lastID++
+	question.ID = c.lastID
+	c.held[c.lastID] = heldPlacement{PlaceQuestion: question, since: time.Now()}
+	return c.lastID
 }
 
-// number is the number under which a place is told.
-func number(g dispatch.Grant) uint64 { return cmp.Or(g.Remote, g.Told) }
+// placementID returns the number that identifies a placement to the allocator.
+func placementID(g dispatch.Grant) uint64 { return cmp.Or(g.Remote, g.Told) }
 
 // PromptRead implements forwarder.Places.
 func (c *Client) PromptRead(e dispatch.PromptRead) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	id := number(e.Grant)
+	id := placementID(e.Grant)
 	if q, found := c.held[id]; found {
 		q.Prefill = ""
 		c.held[id] = q
 	}
-	c.tell(message.PlaceEvent{ID: id, Step: message.PlaceRead, Took: e.Took, Failed: e.Failed, Unused: e.Unused})
+	c.sendEvent(message.PlaceEvent{ID: id, Step: message.PlaceRead, Took: e.Took, Failed: e.Failed, Unused: e.Unused})
 }
 
 // Ended implements forwarder.Places.
 func (c *Client) Ended(e dispatch.Ended) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	id := number(e.Grant)
+	id := placementID(e.Grant)
 	delete(c.held, id)
-	c.tell(message.PlaceEvent{ID: id, Step: message.PlaceEnded, Outcome: string(e.Outcome), Took: e.Took})
+	c.sendEvent(message.PlaceEvent{ID: id, Step: message.PlaceEnded, Outcome: string(e.Outcome), Took: e.Took})
 }
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -18,14 +18,14 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// placeSite is two control VMs that can give places and a forwarder that asks
-// whoever leads.
+// placeSite is two control VMs that can grant placements, and a forwarder that requests them from
+// the leader.
 type placeSite struct {
 	network *peertest.Network
 	client  *Client
 	leader  atomic.Pointer[string]
 	givers  map[string]*Giver
-	// frozen is the control VM that goes on as it was.
+	// frozen is the control VM whose view of the leader is frozen.
 	frozen atomic.Pointer[string]
 }
 
@@ -60,13 +60,13 @@
 	return s
 }
 
-// lead has the control VM with an address lead, or nobody.
+// lead makes the control VM with an address the leader; an empty address means that there is none.
 func (s *placeSite) lead(address string) { s.leader.Store(&address) }
 
-// freeze has a control VM believe for good that it leads.
+// freeze makes a control VM believe for good that it leads.
 func (s *placeSite) freeze(name string) { s.frozen.Store(&name) }
 
-// view is the leader that a control VM knows.
+// view returns the leader that a control VM knows.
 func (s *placeSite) view(name string) string {
 	if *s.frozen.Load() == name {
 		return name + ":1"
@@ -74,34 +74,34 @@
 	return *s.leader.Load()
 }
 
-// ask asks for a place for tokens and waits for up to a second.
-func (s *placeSite) ask(ctx context.Context, tokens int) (dispatch.Effect, bool) {
+// request requests a placement for tokens and waits for up to a second.
+func (s *placeSite) request(ctx context.Context, tokens int) (dispatch.Effect, bool) {
 	return s.client.Place(ctx, forwarder.PlaceRequest{
 		Need: dispatch.Need{Service: "s", Prompt: tokens}, InTime: time.Second, Within: time.Second,
 	})
 }
 
-// granted asks for tokens and checks that a place is given.
+// granted requests tokens and checks that a placement is granted.
 func (s *placeSite) granted(ctx context.Context, is *is.I, tokens int) dispatch.Grant {
 	is.Helper()
-	effect, asked := s.ask(ctx, tokens)
+	effect, asked := s.request(ctx, tokens)
 	is.True(asked)
 	e, granted := effect.(dispatch.Granted)
 	is.True(granted)
 	return e.Grant
 }
 
-// refused asks for tokens and checks that there is no room for them.
+// refused requests tokens and checks that the request is refused for lack of memory.
 func (s *placeSite) refused(ctx context.Context, is *is.I, tokens int) {
 	is.Helper()
-	effect, asked := s.ask(ctx, tokens)
+	effect, asked := s.request(ctx, tokens)
 	is.True(asked)
 	e, refused := effect.(dispatch.Refused)
 	is.True(refused)
 	is.Equal(e.Reason, oriolebend.ReasonNoMemory)
 }
 
-// onPlaceSite runs a test on a new site, on the clock of synctest.
+// onPlaceSite runs a test on a new site, with the clock of synctest.
 func onPlaceSite(t *testing.T, test func(ctx context.Context, is *is.I, s *placeSite)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -111,12 +111,12 @@
 	})
 }
 
-// Places are given by whoever leads; without a leader the forwarder is told to
-// look for itself. A new leader learns the places that are in use.
-func TestPlacesFollowTheLeader(t *testing.T) {
+// The leader grants placements; without a leader the forwarder has to choose engines itself. A new
+// leader learns the placements in use.
+func TestPlacementsFollowTheLeader(t *testing.T) {
 	onPlaceSite(t, func(ctx context.Context, is *is.I, s *placeSite) {
-		_, asked := s.ask(ctx, 900)
-		is.True(!asked) // nobody leads
+		_, asked := s.request(ctx, 900)
+		is.True(!asked) // there is no leader
 		s.lead("one:1")
 		time.Sleep(time.Second)
 		grant := s.granted(ctx, is, 900)
@@ -124,34 +124,34 @@
 		is.Equal(grant.Prefill.Instance, "p")
 		s.lead("two:1")
 		time.Sleep(time.Second)
-		s.refused(ctx, is, 900) // 1,020 tokens are granted, 900 are in use
+		s.refused(ctx, is, 900) // 1,020 tokens can be granted, 900 are in use
 		s.client.PromptRead(dispatch.PromptRead{Grant: grant})
 		s.client.Ended(dispatch.Ended{Grant: grant, Outcome: dispatch.OutcomeAnswered})
 		s.granted(ctx, is, 900)
 	})
 }
 
-// Symptom: an engine's memory is never given again. Sequence: a request leaves in
-// the moment in which its place is given, or its forwarder dies. Cause: a place
-// whose owner is gone.
-func TestPlaceOfOneThatLeftIsGivenBack(t *testing.T) {
+// Guards against engine memory that is never granted again, because the owner of a placement no
+// longer exists: a request is cancelled at the moment at which its placement is granted, or its
+// forwarder exits.
+func TestPlacementOfACancelledRequestIsReleased(t *testing.T) {
 	onPlaceSite(t, func(ctx context.Context, is *is.I, s *placeSite) {
 		s.lead("one:1")
 		time.Sleep(time.Second)
 		for range 5 {
 			leaving, leave := context.WithCancel(ctx)
 			leave()
-			s.ask(leaving, 900)
+			s.request(leaving, 900)
 		}
 		time.Sleep(time.Second)
 		s.granted(ctx, is, 900)
 	})
 }
 
-// Symptom: after half a minute without a leader the new one sends requests to engines
-// that refuse them. Sequence: forwarders find places themselves, a leader is elected,
-// and knows of none of them. They are told with the session, and given back by it.
-func TestPlacesFoundWithoutALeaderAreTold(t *testing.T) {
+// Guards against a new leader that, after half a minute without a leader, sends requests to engines
+// that refuse them. Forwarders choose engines themselves, a leader is elected, and it knows none of
+// these placements. They are reported when the session starts, and released over it.
+func TestPlacementsWithoutALeaderAreReported(t *testing.T) {
 	onPlaceSite(t, func(ctx context.Context, is *is.I, s *placeSite) {
 		grant := dispatch.Grant{
 			Need: dispatch.Need{Service: "s", Prompt: 900}, Server: message.BackendServer{Instance: "d"},
@@ -167,10 +167,10 @@
 	})
 }
 
-// Symptom: requests are refused while engines are half empty. Sequence: the connection
-// of a forwarder falls silent, and it opens another one and tells its places anew.
-// Cause: until the first connection timed out, they counted twice.
-func TestPlacesOfAForwarderThatReturnsCountOnce(t *testing.T) {
+// Guards against requests that are refused while engines have half of their memory free. The
+// connection of a forwarder times out, and the forwarder opens another one and reports its
+// placements again: they must not count twice until the first connection has timed out.
+func TestPlacementsOfAReconnectedForwarderCountOnce(t *testing.T) {
 	onPlaceSite(t, func(ctx context.Context, is *is.I, s *placeSite) {
 		s.lead("one:1")
 		time.Sleep(time.Second)
@@ -185,10 +185,10 @@
 	})
 }
 
-// Symptom: in a burst each forwarder looks for memory on its own, and finds it too
-// late. Sequence: the control VMs are cut in two halves, and nobody can be elected.
-// The one that led goes on giving places, until another leads.
-func TestPlacesAreGivenWithoutAQuorum(t *testing.T) {
+// Guards against forwarders that search for memory on their own in a burst, and find it too late.
+// The control VMs are partitioned into two halves, and no leader can be elected. The previous
+// leader goes on granting placements until another one leads.
+func TestPlacementsAreGrantedWithoutAQuorum(t *testing.T) {
 	onPlaceSite(t, func(ctx context.Context, is *is.I, s *placeSite) {
 		s.lead("one:1")
 		time.Sleep(time.Second)
@@ -197,45 +197,46 @@
 		s.granted(ctx, is, 900)
 		s.lead("two:1")
 		time.Sleep(time.Second)
-		is.True(!s.givers["one"].gives())
-		is.True(s.givers["two"].gives())
+		is.True(!s.givers["one"].isActive())
+		is.True(s.givers["two"].isActive())
 	})
 }
 
-// Symptom: all generations are late that are asked for in the second after the leader has
-// frozen. Sequence: it does not end its sessions, and no other one leads yet; each request
-// waits for its answer. Cause: a wait for places that does not tell one who is asked and has
-// none from one who is not there. The forwarder looks for places itself meanwhile, and asks
-// again as soon as there is a sign of life; who waits while memory is short waits on.
-func TestSilentLeaderIsNotAwaited(t *testing.T) {
+// Guards against generations that are late because they are requested in the second after the
+// leader has frozen. It does not end its sessions, and no other control VM leads yet, so that each
+// request waits for its answer. The wait must distinguish a leader that has no memory to grant from
+// one that does not respond. The forwarder chooses engines itself in the meantime, and requests
+// placements again as soon as the leader responds; requests that wait because memory is short
+// continue to wait.
+func TestUnresponsiveLeaderIsNotAwaited(t *testing.T) {
 	onPlaceSite(t, func(ctx context.Context, is *is.I, s *placeSite) {
 		s.lead("one:1")
 		time.Sleep(time.Second)
 		s.granted(ctx, is, 900)
 		began := time.Now()
-		s.refused(ctx, is, 900) // its memory is short, and it lives
+		s.refused(ctx, is, 900) // memory is short, and the leader responds
 		is.True(time.Since(began) >= time.Second)
 		s.network.Cut("one", "f")
 		began = time.Now()
-		_, asked := s.ask(ctx, 900)
+		_, asked := s.request(ctx, 900)
 		is.True(!asked)
-		is.True(time.Since(began) < probeAfter+probeWithin+probeAfter)
+		is.True(time.Since(began) < probeAfter+probeTimeout+probeAfter)
 		began = time.Now()
-		_, asked = s.ask(ctx, 900)
+		_, asked = s.request(ctx, 900)
 		is.True(!asked)
 		is.True(time.Since(began) == 0)
 	})
 }
 
-// Symptom: for seconds after the leader freezes requests wait and are then refused.
-// Sequence: a new leader is elected; the frozen one does not end its sessions, and
-// what was asked of it gets no answer. The forwarder turns to the new one.
-func TestPlacesOfAFrozenLeaderAreNotAwaited(t *testing.T) {
+// Guards against requests that wait for seconds after the leader freezes and are then refused. A
+// new leader is elected; the frozen one does not end its sessions, and requests sent to it get no
+// answer. The forwarder must turn to the new one.
+func TestPlacementsOfAFrozenLeaderAreNotAwaited(t *testing.T) {
 	onPlaceSite(t, func(ctx context.Context, is *is.I, s *placeSite) {
 		s.lead("one:1")
 		time.Sleep(time.Second)
 		s.freeze("one")
-		s.network.Cut("one", "f") // its answers do not come
+		s.network.Cut("one", "f") // its answers are lost
 		s.lead("two:1")
 		time.Sleep(time.Second)
 		s.granted(ctx, is, 900)
