--- a/internal/places/allocator.go
+++ b/internal/places/allocator.go
@@ -35,7 +35,7 @@
 // process that knows all placements finds free memory immediately and assigns it in the right
 // order. A placement is only a hint: the engine's own reservation decides, and without a leader
 // forwarders choose engines themselves.
-type Giver struct {
+type Allocator struct {
 	// Leads reports whether this control VM leads, Replaced whether another one is known to lead.
 	Leads, Replaced func() bool
 	Logger          *slog.Logger
@@ -56,7 +56,7 @@
 	active bool
 }
 
-var _ routewatch.Sink = (*Giver)(nil)
+var _ routewatch.Sink = (*Allocator)(nil)
 
 // session is a session with a forwarder.
 type session struct {
@@ -66,68 +66,68 @@
 }
 
 // Prepare initializes the allocator; it must be called before any other method.
-func (g *Giver) Prepare() {
-	g.sessions, g.nodes = map[uint64]session{}, map[string]uint64{}
-	g.servers = registry.Servers{}
-	g.reset()
+func (a *Allocator) Prepare() {
+	a.sessions, a.nodes = map[uint64]session{}, map[string]uint64{}
+	a.servers = registry.Servers{}
+	a.reset()
 }
 
 // reset discards all placements. The mutex must be held, unless no other goroutine can use the
 // allocator yet.
-func (g *Giver) reset() {
-	g.state = &reducer.State{Placement: placement.New(uint64(time.Now().UnixNano()))}
-	g.reduce(g.fleet())
+func (a *Allocator) reset() {
+	a.state = &reducer.State{Placement: placement.New(uint64(time.Now().UnixNano()))}
+	a.reduce(a.fleet())
 }
 
 // Run serves waiting requests until ctx ends.
-func (g *Giver) Run(ctx context.Context) {
+func (a *Allocator) Run(ctx context.Context) {
 	summarized := time.Now()
 	for pause.For(ctx, tickInterval) {
-		leads, replaced := g.Leads(), g.Replaced()
-		g.mutex.Lock()
-		if g.active && time.Since(summarized) >= summaryInterval {
+		leads, replaced := a.Leads(), a.Replaced()
+		a.mutex.Lock()
+		if a.active && time.Since(summarized) >= summaryInterval {
 			summarized = time.Now()
-			g.summarize(summarized)
+			a.summarize(summarized)
 		}
-		if g.active && !leads && replaced {
-			g.stepDown()
+		if a.active && !leads && replaced {
+			a.stepDown()
 		}
-		g.active = leads || g.active && !replaced
-		g.reduce(placement.Ticked{At: time.Now()})
-		g.mutex.Unlock()
+		a.active = leads || a.active && !replaced
+		a.reduce(placement.Ticked{At: time.Now()})
+		a.mutex.Unlock()
 	}
 }
 
 // summarize logs the state of the placements if requests wait or engines were found full. The mutex
 // must be held.
-func (g *Giver) summarize(at time.Time) {
-	s := g.state.Placement.Summarize(at)
+func (a *Allocator) summarize(at time.Time) {
+	s := a.state.Placement.Summarize(at)
 	if s.Waiting == 0 && s.Full == 0 {
 		return
 	}
 	for service, free := range s.FreeShare {
-		g.Logger.Info("places are short", "service", service, "freeShare", free, "waiting", s.Waiting,
+		a.Logger.Info("places are short", "service", service, "freeShare", free, "waiting", s.Waiting,
 			"places", s.Places, "granted", s.Granted, "full", s.Full, "hopeless", s.Hopeless, "returned", s.Returned)
 	}
 }
 
 // stepDown ends all sessions; the next leader grants placements. The mutex must be held.
-func (g *Giver) stepDown() {
-	for _, o := range g.sessions {
+func (a *Allocator) stepDown() {
+	for _, o := range a.sessions {
 		o.End()
 	}
-	g.reset()
-	g.Logger.Info("placement allocator stopped, another control VM leads")
+	a.reset()
+	a.Logger.Info("placement allocator stopped, another control VM leads")
 }
 
 // reduce passes an event to the reducer and sends the resulting answers. The mutex must be held.
-func (g *Giver) reduce(e placement.Event) {
-	for _, effect := range reducer.Reduce(g.state, e) {
+func (a *Allocator) reduce(e placement.Event) {
+	for _, effect := range reducer.Reduce(a.state, e) {
 		answer, ok := effect.(placement.Answer)
 		if !ok {
 			continue
 		}
-		if session, open := g.sessions[answer.Key.Session]; open {
+		if session, open := a.sessions[answer.Key.Session]; open {
 			session.Put(answerMessage(answer))
 		}
 	}
@@ -145,15 +145,15 @@
 }
 
 // Serve is the peer.Handler for forwarders that request placements.
-func (g *Giver) Serve(ctx context.Context, s peer.Stream) {
+func (a *Allocator) Serve(ctx context.Context, s peer.Stream) {
 	first, err := s.Receive()
 	open, ok := first.(message.PlaceOpen)
-	if err != nil || !ok || !g.isActive() {
+	if err != nil || !ok || !a.isActive() {
 		return
 	}
 	o := peer.NewOutbox(s)
-	session := g.startSession(o, open)
-	defer g.endSession(session)
+	session := a.startSession(o, open)
+	defer a.endSession(session)
 	defer context.AfterFunc(ctx, func() { _ = s.Close() })()
 	go o.Write()
 	for {
@@ -165,55 +165,55 @@
 		if !ok {
 			return
 		}
-		g.applyEvent(session, event)
+		a.applyEvent(session, event)
 	}
 }
 
 // isActive reports whether placements are granted here. A control VM that has just started and
 // already leads may not know the services yet; it would refuse requests for unknown services,
 // although forwarders can choose engines for them.
-func (g *Giver) isActive() bool {
-	leads := g.Leads()
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.routing.Version > 0 && (leads || g.active)
+func (a *Allocator) isActive() bool {
+	leads := a.Leads()
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	return a.routing.Version > 0 && (leads || a.active)
 }
 
-func (g *Giver) startSession(o *peer.Outbox, open message.PlaceOpen) uint64 {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if earlier := g.nodes[open.Node]; earlier != 0 {
+func (a *Allocator) startSession(o *peer.Outbox, open message.PlaceOpen) uint64 {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if earlier := a.nodes[open.Node]; earlier != 0 {
 		// The new session reports all placements that the forwarder still uses. Those of an earlier
 		// process of the forwarder ended with that process.
-		g.closeSession(earlier)
-		g.reduce(placement.SessionLost{At: time.Now(), Session: earlier})
+		a.closeSession(earlier)
+		a.reduce(placement.SessionLost{At: time.Now(), Session: earlier})
 	}
-	g.lastSession++
-	g.sessions[g.lastSession] = session{Outbox: o, failureDomain: open.FailureDomain}
-	g.nodes[open.Node] = g.lastSession
+	a.lastSession++
+	a.sessions[a.lastSession] = session{Outbox: o, failureDomain: open.FailureDomain}
+	a.nodes[open.Node] = a.lastSession
 	for _, q := range open.Held {
-		g.reduce(placement.Resumed{
-			At: time.Now().Add(-q.Age), Key: placement.Key{Session: g.lastSession, ID: q.ID}, Need: needOf(q),
+		a.reduce(placement.Resumed{
+			At: time.Now().Add(-q.Age), Key: placement.Key{Session: a.lastSession, ID: q.ID}, Need: needOf(q),
 			Server:  message.ServerStart{Instance: q.Server, Incarnation: q.ServerStart},
 			Prefill: message.ServerStart{Instance: q.Prefill, Incarnation: q.PrefillStart},
 		})
 	}
-	g.Logger.Info("placement allocator serves a forwarder", "forwarder", open.Node, "held", len(open.Held), "forwarders", len(g.sessions))
-	return g.lastSession
+	a.Logger.Info("placement allocator serves a forwarder", "forwarder", open.Node, "held", len(open.Held), "forwarders", len(a.sessions))
+	return a.lastSession
 }
 
-func (g *Giver) endSession(session uint64) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.closeSession(session)
+func (a *Allocator) endSession(session uint64) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	a.closeSession(session)
 }
 
 // closeSession ends a session; its placements are kept for a while. The mutex must be held.
-func (g *Giver) closeSession(session uint64) {
-	if s, open := g.sessions[session]; open {
-		delete(g.sessions, session)
+func (a *Allocator) closeSession(session uint64) {
+	if s, open := a.sessions[session]; open {
+		delete(a.sessions, session)
 		s.End()
-		g.reduce(placement.SessionSilent{At: time.Now(), Session: session})
+		a.reduce(placement.SessionSilent{At: time.Now(), Session: session})
 	}
 }
 
@@ -225,68 +225,68 @@
 }
 
 // applyEvent passes one step of a placement request to the reducer.
-func (g *Giver) applyEvent(session uint64, m message.PlaceEvent) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+func (a *Allocator) applyEvent(session uint64, m message.PlaceEvent) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
 	now := time.Now()
 	key := placement.Key{Session: session, ID: m.ID}
 	switch m.Step {
 	case message.PlaceAsked:
 		if q := m.Question; q != nil {
 			need := needOf(*q)
-			need.FailureDomain = g.sessions[session].failureDomain
-			g.reduce(placement.Asked{
+			need.FailureDomain = a.sessions[session].failureDomain
+			a.reduce(placement.Asked{
 				At: now, Key: key, Need: need, Rank: q.Rank, Call: q.Call, InTime: now.Add(q.InTime), Until: now.Add(q.Within),
 			})
 		}
 	case message.PlaceProbed:
-		if s, open := g.sessions[session]; open {
+		if s, open := a.sessions[session]; open {
 			s.Put(message.PlaceAnswer{})
 		}
 	case message.PlaceWithdrawn:
-		g.reduce(placement.Withdrawn{At: now, Key: key})
+		a.reduce(placement.Withdrawn{At: now, Key: key})
 	case message.PlaceRead:
-		g.reduce(placement.PromptRead{At: now, Key: key, Took: m.Took, Failed: m.Failed, Unused: m.Unused})
+		a.reduce(placement.PromptRead{At: now, Key: key, Took: m.Took, Failed: m.Failed, Unused: m.Unused})
 	case message.PlaceEnded:
-		g.reduce(placement.Ended{At: now, Key: key, Outcome: dispatch.Outcome(m.Outcome), Took: m.Took})
+		a.reduce(placement.Ended{At: now, Key: key, Outcome: dispatch.Outcome(m.Outcome), Took: m.Took})
 	}
 }
 
 // fleet returns the known services and engines. The mutex must be held.
-func (g *Giver) fleet() placement.Fleet {
+func (a *Allocator) fleet() placement.Fleet {
 	return placement.Fleet{
-		Services: dispatch.Services{Services: g.routing.Services},
-		Servers:  dispatch.Fleet{At: time.Now(), Servers: g.servers.List(), Forwarders: 1},
+		Services: dispatch.Services{Services: a.routing.Services},
+		Servers:  dispatch.Fleet{At: time.Now(), Servers: a.servers.List(), Forwarders: 1},
 	}
 }
 
 // SetRouting implements routewatch.Sink.
-func (g *Giver) SetRouting(r oriolebend.Routing) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if r.Version > g.routing.Version {
-		g.routing = r
-		g.reduce(g.fleet())
+func (a *Allocator) SetRouting(r oriolebend.Routing) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if r.Version > a.routing.Version {
+		a.routing = r
+		a.reduce(a.fleet())
 	}
 }
 
 // ChangeServers implements routewatch.Sink.
-func (g *Giver) ChangeServers(changes registry.Changes, _ int) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.servers.Apply(changes)
-	g.reduce(placement.FleetChanged{At: time.Now(), Servers: changes.Servers, Left: changes.Left, Forwarders: 1})
+func (a *Allocator) ChangeServers(changes registry.Changes, _ int) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	a.servers.Apply(changes)
+	a.reduce(placement.FleetChanged{At: time.Now(), Servers: changes.Servers, Left: changes.Left, Forwarders: 1})
 }
 
 // Version implements routewatch.Sink.
-func (g *Giver) Version() uint64 {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.routing.Version
+func (a *Allocator) Version() uint64 {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	return a.routing.Version
 }
 
 // Loads implements routewatch.Sink; a control VM causes no load on engines.
-func (g *Giver) Loads() []message.ServiceLoad { return nil }
+func (a *Allocator) Loads() []message.ServiceLoad { return nil }
 
 // Expire implements routewatch.Sink.
-func (g *Giver) Expire() {}
+func (a *Allocator) Expire() {}
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -21,35 +21,35 @@
 // placeSite is two control VMs that can grant placements, and a forwarder that requests them from
 // the leader.
 type placeSite struct {
-	network *peertest.Network
-	client  *Client
-	leader  atomic.Pointer[string]
-	givers  map[string]*Giver
+	network    *peertest.Network
+	client     *Client
+	leader     atomic.Pointer[string]
+	allocators map[string]*Allocator
 	// frozen is the control VM whose view of the leader is frozen.
 	frozen atomic.Pointer[string]
 }
 
 func newPlaceSite(ctx context.Context) *placeSite {
-	s := &placeSite{network: peertest.NewNetwork(1), givers: map[string]*Giver{}}
+	s := &placeSite{network: peertest.NewNetwork(1), allocators: map[string]*Allocator{}}
 	s.lead("")
 	s.freeze("")
 	for _, name := range []string{"one", "two"} {
-		p := &Giver{
+		a := &Allocator{
 			Leads:    func() bool { return s.view(name) == name+":1" },
 			Replaced: func() bool { leader := s.view(name); return leader != "" && leader != name+":1" },
 			Logger:   slog.New(slog.DiscardHandler),
 		}
-		p.Prepare()
-		p.SetRouting(oriolebend.Routing{Version: 1, Services: []oriolebend.RouteService{{
+		a.Prepare()
+		a.SetRouting(oriolebend.Routing{Version: 1, Services: []oriolebend.RouteService{{
 			Name: "s", Engine: &oriolebend.EngineLimits{KVTokens: 1000},
 		}}})
-		p.ChangeServers(registry.Changes{Servers: []message.BackendServer{
+		a.ChangeServers(registry.Changes{Servers: []message.BackendServer{
 			{Instance: "p", Service: "s", Phase: message.PhaseReady, Role: oriolebend.Prefill},
 			{Instance: "d", Service: "s", Phase: message.PhaseReady, Role: oriolebend.Decode},
 		}}, 1)
-		s.givers[name] = p
-		s.network.Listen(ctx, name+":1", name, p.Serve)
-		go p.Run(ctx)
+		s.allocators[name] = a
+		s.network.Listen(ctx, name+":1", name, a.Serve)
+		go a.Run(ctx)
 	}
 	s.client = &Client{
 		Node: "f", Dialer: s.network.Dialer("f"), Leader: func() string { return *s.leader.Load() },
@@ -197,8 +197,8 @@
 		s.granted(ctx, is, 900)
 		s.lead("two:1")
 		time.Sleep(time.Second)
-		is.True(!s.givers["one"].isActive())
-		is.True(s.givers["two"].isActive())
+		is.True(!s.allocators["one"].isActive())
+		is.True(s.allocators["two"].isActive())
 	})
 }
 
--- a/internal/role/controlprocess.go
+++ b/internal/role/controlprocess.go
@@ -46,7 +46,7 @@
 	routes    *routewatch.Server
 	joiner    *Joiner
 	pools     *PoolKeeper
-	places    *places.Giver
+	places    *places.Allocator
 	observer  *routewatch.Follower
 	crashes   *quarantine.Store
 	keeper    *crashreports.Keeper
--- a/internal/role/controlrouting.go
+++ b/internal/role/controlrouting.go
@@ -105,7 +105,7 @@
 // leads.
 func (c *ControlProcess) observe(name string) {
 	p := c.process
-	c.places = &places.Giver{Leads: c.Leads, Replaced: c.replaced, Logger: p.Logger}
+	c.places = &places.Allocator{Leads: c.Leads, Replaced: c.replaced, Logger: p.Logger}
 	c.places.Prepare()
 	sinks := routewatch.Sinks{c.places}
 	if p.Orders != nil {
