--- a/internal/cli/roles.go
+++ b/internal/cli/roles.go
@@ -35,7 +35,7 @@
 
 func forwarderCommand(errOut io.Writer) *ff.Command {
 	return roleCommand(errOut, settings.RoleForwarder, "carry callers' requests along declared routes", func(p role.Process) (stoppable, error) {
-		return role.StartForwarder(p, forwarder.Own{})
+		return role.StartForwarder(p, forwarder.NativeDialect{})
 	})
 }
 
--- a/internal/forwarder/bench_test.go
+++ b/internal/forwarder/bench_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	f := New(Config{Dialect: Own{}, Observer: &counts{seen: map[string]int{}}, Logger: logger, Dispatch: dispatch.Config{Seed: 1}})
+	f := New(Config{Dialect: NativeDialect{}, Observer: &counts{seen: map[string]int{}}, Logger: logger, Dispatch: dispatch.Config{Seed: 1}})
 	r := oriolebend.Routing{Version: 1, Services: []oriolebend.RouteService{{Name: "s"}}}
 	r.Routes = []oriolebend.Route{{
 		Name: "r", Host: "h", PathPrefix: "/p/", Attempts: 1, Timeout: oriolebend.Duration(time.Second),
@@ -58,7 +58,7 @@
 		Method: "POST", Host: "h", Target: "/p/x", Header: header, Body: bytes.Repeat([]byte("x"), benchBody), Received: time.Now(),
 	}
 	w := &work{f: f, request: request, deadline: time.Now().Add(time.Hour)}
-	ask, err := Own{}.Ask(header)
+	ask, err := NativeDialect{}.Ask(header)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 		name string
 		run  func()
 	}{
-		{"ask", func() { _, _ = Own{}.Ask(w.request.Header) }},
+		{"ask", func() { _, _ = NativeDialect{}.Ask(w.request.Header) }},
 		{"route", func() { table.Match("h", "/p/x") }},
 		{"identity", func() { w.identify(table) }},
 		{"fingerprint", func() { fingerprintOf(w.request, "o7") }},
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -60,7 +60,7 @@
 	logger, err := logging.New(settings.Log{Format: "json"}, log)
 	is.NoErr(err)
 	config := Config{
-		Dialect: Own{}, Dispatch: dispatch.Config{FailureDomain: "a", Seed: 1, RetrySlack: 1000}, Observer: c,
+		Dialect: NativeDialect{}, Dispatch: dispatch.Config{FailureDomain: "a", Seed: 1, RetrySlack: 1000}, Observer: c,
 		Logger: logger,
 	}
 	for _, set := range options {
--- a/internal/forwarder/native_dialect.go
+++ b/internal/forwarder/native_dialect.go
@@ -40,12 +40,12 @@
 var routerHeaders = []string{headerInstance, headerPhase, headerSource, headerHold}
 
 // NativeDialect is the router's own dialect. A request that its caller did not name has no name.
-type Own struct{}
+type NativeDialect struct{}
 
-var _ Dialect = Own{}
+var _ Dialect = NativeDialect{}
 
 // ParseRequest implements Dialect.
-func (Own) Ask(h http.Header) (Ask, error) {
+func (NativeDialect) Ask(h http.Header) (Ask, error) {
 	ids := h[headerRequest]
 	if len(ids) > 1 {
 		return Ask{}, &IdentityError{Detail: fmt.Sprintf("%d request names", len(ids))}
@@ -70,7 +70,7 @@
 }
 
 // Outgoing implements Dialect.
-func (Own) Outgoing(h http.Header, s Sending) http.Header {
+func (NativeDialect) Outgoing(h http.Header, s Sending) http.Header {
 	out := h.Clone()
 	for _, name := range routerHeaders {
 		delete(out, name)
@@ -97,14 +97,14 @@
 }
 
 // Matches implements Dialect.
-func (Own) Matches(answer http.Header, id string) bool {
+func (NativeDialect) Matches(answer http.Header, id string) bool {
 	named := answer.Get(headerRequest)
 	return named == "" || named == id
 }
 
 // Verdict implements Dialect. Servers sign nothing in this dialect: the framing of HTTP shows
 // whether an answer is complete.
-func (Own) Judge(status int, answer http.Header, instance string) Verdict {
+func (NativeDialect) Judge(status int, answer http.Header, instance string) Verdict {
 	v := Verdict{Ran: oriolebend.RanUnknown, Signed: true}
 	if answer.Get(headerRan) == string(oriolebend.RanNo) || status == http.StatusMisdirectedRequest {
 		v.Ran = oriolebend.RanNo
@@ -115,12 +115,12 @@
 }
 
 // Notice implements Dialect.
-func (Own) Notice(status int, answer http.Header) (dispatch.Notice, error) {
+func (NativeDialect) Notice(status int, answer http.Header) (dispatch.Notice, error) {
 	return NoticeHeaders{Leaving: headerLeaving, Limit: headerLimit}.Read(status, answer)
 }
 
 // PrefillResult implements Dialect.
-func (Own) PrefillResult(body []byte) (PrefillResult, error) {
+func (NativeDialect) PrefillResult(body []byte) (PrefillResult, error) {
 	var answer struct {
 		Result string `json:"result"`
 		Tokens int    `json:"tokens"`
@@ -132,17 +132,17 @@
 }
 
 // Free implements Dialect.
-func (Own) Free(r PrefillResult) backend.Request {
+func (NativeDialect) Free(r PrefillResult) backend.Request {
 	return EngineCall(http.MethodDelete, "/results/"+r.Handle, nil)
 }
 
 // Hold implements Dialect.
-func (Own) Hold(tokens int, life time.Duration) backend.Request {
+func (NativeDialect) Hold(tokens int, life time.Duration) backend.Request {
 	return EngineCall(http.MethodPost, "/reservations", fmt.Appendf(nil, `{"tokens":%d,"lifeMs":%d}`, tokens, life.Milliseconds()))
 }
 
 // HoldResult implements Dialect.
-func (Own) HoldResult(body []byte) (string, error) {
+func (NativeDialect) HoldResult(body []byte) (string, error) {
 	var answer struct {
 		Reservation string `json:"reservation"`
 	}
@@ -153,7 +153,7 @@
 }
 
 // Drop implements Dialect.
-func (Own) Drop(hold string) backend.Request {
+func (NativeDialect) Drop(hold string) backend.Request {
 	return EngineCall(http.MethodDelete, "/reservations/"+hold, nil)
 }
 
--- a/internal/forwarder/notice_test.go
+++ b/internal/forwarder/notice_test.go
@@ -28,7 +28,7 @@
 			name, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
 			header.Add(name, value)
 		}
-		notice, err := Own{}.Notice(status, header)
+		notice, err := NativeDialect{}.Notice(status, header)
 		return noticeText(notice, err)
 	})
 }
@@ -62,7 +62,7 @@
 	}
 	f.Fuzz(func(t *testing.T, leaving, limit, rest string) {
 		is := is.New(t)
-		n, _ := Own{}.Notice(http.StatusServiceUnavailable, http.Header{headerLeaving: {leaving}, headerLimit: {limit}, retryAfter: {rest}})
+		n, _ := NativeDialect{}.Notice(http.StatusServiceUnavailable, http.Header{headerLeaving: {leaving}, headerLimit: {limit}, retryAfter: {rest}})
 		is.True(n.PerSecond >= 0 && !math.IsInf(n.PerSecond, 0) && !math.IsNaN(n.PerSecond))
 		is.True(n.Limited || n.PerSecond == 0)
 		is.True(n.Rest >= 0 && n.Rest <= maxBackoff)
--- a/internal/role/crashing_test.go
+++ b/internal/role/crashing_test.go
@@ -216,7 +216,7 @@
 	s.declare(1, "s")
 	var forwarders []*ForwarderProcess
 	for _, ip := range []string{"127.0.1.6", "127.0.1.7", "127.0.1.8"} {
-		f, err := StartForwarder(s.forwarderProcess(ip), forwarder.Own{})
+		f, err := StartForwarder(s.forwarderProcess(ip), forwarder.NativeDialect{})
 		is.NoErr(err)
 		t.Cleanup(func() { _ = f.Kill() })
 		forwarders = append(forwarders, f)
@@ -284,7 +284,7 @@
 	for _, ip := range seededControls {
 		s.startControl(ip, false)
 	}
-	f, err := StartForwarder(s.forwarderProcess("127.0.1.9"), forwarder.Own{})
+	f, err := StartForwarder(s.forwarderProcess("127.0.1.9"), forwarder.NativeDialect{})
 	is.NoErr(err)
 	t.Cleanup(func() { _ = f.Kill() })
 	s.eventually("the forwarder is ready", f.Ready)
--- a/internal/role/limited_test.go
+++ b/internal/role/limited_test.go
@@ -137,7 +137,7 @@
 	}
 	s.declare(1, "s")
 	for i := range 6 {
-		f, err := StartForwarder(s.forwarderProcess(fmt.Sprintf("127.0.1.%d", 10+i)), forwarder.Own{})
+		f, err := StartForwarder(s.forwarderProcess(fmt.Sprintf("127.0.1.%d", 10+i)), forwarder.NativeDialect{})
 		is.NoErr(err)
 		t.Cleanup(func() { _ = f.Kill() })
 		s.forwarders = append(s.forwarders, f)
--- a/internal/role/organisations_test.go
+++ b/internal/role/organisations_test.go
@@ -38,7 +38,7 @@
 	t.Cleanup(backend.Close)
 	s.server = message.BackendServer{Instance: "i-1", Service: "s", Address: backend.Listener.Addr().String(), Phase: message.PhaseReady}
 	for _, ip := range []string{"127.0.1.6", "127.0.1.7"} {
-		f, err := StartForwarder(s.forwarderProcess(ip), forwarder.Own{})
+		f, err := StartForwarder(s.forwarderProcess(ip), forwarder.NativeDialect{})
 		is.New(t).NoErr(err)
 		t.Cleanup(func() { _ = f.Kill() })
 		s.forwarders = append(s.forwarders, f)
@@ -112,7 +112,7 @@
 		s.kill(ip)
 	}
 	is.NoErr(s.forwarders[0].Kill())
-	restarted, err := StartForwarder(s.forwarderProcess("127.0.1.6"), forwarder.Own{})
+	restarted, err := StartForwarder(s.forwarderProcess("127.0.1.6"), forwarder.NativeDialect{})
 	is.NoErr(err)
 	defer restarted.Kill()
 	status, _ := s.askWith(restarted, "key-old")
--- a/internal/role/routes_test.go
+++ b/internal/role/routes_test.go
@@ -200,7 +200,7 @@
 func TestRoutesWholePath(t *testing.T) {
 	is := is.New(t)
 	s := newRouteSite(t)
-	f, err := StartForwarder(s.forwarderProcess("127.0.1.6"), forwarder.Own{})
+	f, err := StartForwarder(s.forwarderProcess("127.0.1.6"), forwarder.NativeDialect{})
 	is.NoErr(err)
 	defer f.Kill()
 	is.True(!f.Ready())
@@ -261,7 +261,7 @@
 	relay, err := StartRelay(s.process(peer.RoleControl, "127.0.1.5", false))
 	is.NoErr(err)
 	defer func() { is.NoErr(relay.Stop(t.Context())) }()
-	f, err := StartForwarder(s.forwarderProcess("127.0.1.6"), forwarder.Own{})
+	f, err := StartForwarder(s.forwarderProcess("127.0.1.6"), forwarder.NativeDialect{})
 	is.NoErr(err)
 	defer f.Kill()
 	for _, ip := range seededControls {
@@ -331,7 +331,7 @@
 	for _, ip := range seededControls {
 		s.startControl(ip, true)
 	}
-	f, err := StartForwarder(s.forwarderProcess("127.0.1.6"), forwarder.Own{})
+	f, err := StartForwarder(s.forwarderProcess("127.0.1.6"), forwarder.NativeDialect{})
 	is.NoErr(err)
 	defer f.Kill()
 	call := func(method, path, body string) (int, string) {
