--- a/internal/forwarder/native_dialect.go
+++ b/internal/forwarder/native_dialect.go
@@ -126,7 +126,7 @@
 		Tokens int    `json:"tokens"`
 	}
 	if err := json.Unmarshal(body, &answer); err != nil || answer.Result == "" {
-		return PrefillResult{}, &NamelessError{Missing: "prefill result", Cause: err}
+		return PrefillResult{}, &MissingNameError{Missing: "prefill result", Cause: err}
 	}
 	return PrefillResult{Handle: answer.Result, Tokens: answer.Tokens}, nil
 }
@@ -147,7 +147,7 @@
 		Reservation string `json:"reservation"`
 	}
 	if err := json.Unmarshal(body, &answer); err != nil || answer.Reservation == "" {
-		return "", &NamelessError{Missing: "reservation", Cause: err}
+		return "", &MissingNameError{Missing: "reservation", Cause: err}
 	}
 	return answer.Reservation, nil
 }
@@ -168,15 +168,15 @@
 
 // MissingNameError is the error of an engine's answer that lacks the name of a prefill result or
 // reservation.
-type NamelessError struct {
+type MissingNameError struct {
 	Missing string
 	Cause   error
 }
 
 // Error implements error.
-func (e *NamelessError) Error() string {
+func (e *MissingNameError) Error() string {
 	return fmt.Sprintf("forwarder: an engine's answer names no %s: %v", e.Missing, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *NamelessError) Unwrap() error { return e.Cause }
+func (e *MissingNameError) Unwrap() error { return e.Cause }
