--- a/internal/forwarder/bench_test.go
+++ b/internal/forwarder/bench_test.go
@@ -58,7 +58,7 @@
 		Method: "POST", Host: "h", Target: "/p/x", Header: header, Body: bytes.Repeat([]byte("x"), benchBody), Received: time.Now(),
 	}
 	w := &work{f: f, request: request, deadline: time.Now().Add(time.Hour)}
-	ask, err := NativeDialect{}.Ask(header)
+	ask, err := NativeDialect{}.ParseRequest(header)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 		name string
 		run  func()
 	}{
-		{"ask", func() { _, _ = NativeDialect{}.Ask(w.request.Header) }},
+		{"ask", func() { _, _ = NativeDialect{}.ParseRequest(w.request.Header) }},
 		{"route", func() { table.Match("h", "/p/x") }},
 		{"identity", func() { w.identify(table) }},
 		{"fingerprint", func() { fingerprintOf(w.request, "o7") }},
--- a/internal/forwarder/dialect.go
+++ b/internal/forwarder/dialect.go
@@ -19,7 +19,7 @@
 // what HTTP itself has no header for.
 type Dialect interface {
 	// ParseRequest reads what the headers state about a caller's request.
-	Ask(h http.Header) (Ask, error)
+	ParseRequest(h http.Header) (Ask, error)
 	// Outgoing returns the header for one send of a request.
 	Outgoing(h http.Header, s Sending) http.Header
 	// Matches reports whether an answer belongs to the request with the ID.
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -249,7 +249,7 @@
 // Serve answers one request; it is an http1.Handler.
 func (f *Forwarder) Serve(ctx context.Context, r *http1.Request, a *http1.Answer) {
 	w := &work{f: f, request: r, answer: a}
-	ask, err := f.config.Dialect.Ask(r.Header)
+	ask, err := f.config.Dialect.ParseRequest(r.Header)
 	w.ask = ask
 	if err != nil {
 		w.reject(http.StatusBadRequest, oriolebend.ReasonMalformed, err)
--- a/internal/forwarder/native_dialect.go
+++ b/internal/forwarder/native_dialect.go
@@ -45,7 +45,7 @@
 var _ Dialect = NativeDialect{}
 
 // ParseRequest implements Dialect.
-func (NativeDialect) Ask(h http.Header) (Ask, error) {
+func (NativeDialect) ParseRequest(h http.Header) (Ask, error) {
 	ids := h[headerRequest]
 	if len(ids) > 1 {
 		return Ask{}, &IdentityError{Detail: fmt.Sprintf("%d request names", len(ids))}
