--- a/internal/forwarder/dialect.go
+++ b/internal/forwarder/dialect.go
@@ -19,7 +19,7 @@
 // what HTTP itself has no header for.
 type Dialect interface {
 	// ParseRequest reads what the headers state about a caller's request.
-	ParseRequest(h http.Header) (Ask, error)
+	ParseRequest(h http.Header) (RequestInfo, error)
 	// Outgoing returns the header for one send of a request.
 	Outgoing(h http.Header, s Sending) http.Header
 	// Matches reports whether an answer belongs to the request with the ID.
@@ -41,7 +41,7 @@
 }
 
 // RequestInfo holds what the headers of a caller's request state about it.
-type Ask struct {
+type RequestInfo struct {
 	// ID names the request; each try of a caller has its own.
 	ID string
 	// Call is the same for all tries of a caller at one request, and differs between requests; zero
@@ -84,7 +84,7 @@
 }
 
 // expected returns the likely number of output tokens.
-func (a Ask) expected() int {
+func (a RequestInfo) expected() int {
 	if a.Expected > 0 {
 		return min(a.Expected, a.Output)
 	}
@@ -93,11 +93,11 @@
 
 // output returns the number of output tokens for which a forwarder that chooses engines itself
 // reserves memory.
-func (a Ask) output() int { return a.reserved(localMargin) }
+func (a RequestInfo) output() int { return a.reserved(localMargin) }
 
 // reserved returns the expected output times margin, at most the maximum output; without an
 // expectation it returns the maximum output.
-func (a Ask) reserved(margin float64) int {
+func (a RequestInfo) reserved(margin float64) int {
 	if a.Expected <= 0 {
 		return a.Output
 	}
--- a/internal/forwarder/native_dialect.go
+++ b/internal/forwarder/native_dialect.go
@@ -45,12 +45,12 @@
 var _ Dialect = NativeDialect{}
 
 // ParseRequest implements Dialect.
-func (NativeDialect) ParseRequest(h http.Header) (Ask, error) {
+func (NativeDialect) ParseRequest(h http.Header) (RequestInfo, error) {
 	ids := h[headerRequest]
 	if len(ids) > 1 {
-		return Ask{}, &IdentityError{Detail: fmt.Sprintf("%d request names", len(ids))}
+		return RequestInfo{}, &IdentityError{Detail: fmt.Sprintf("%d request names", len(ids))}
 	}
-	ask := Ask{ID: h.Get(headerRequest), Prompt: number(h, headerPrompt), Output: number(h, headerOutput), Expected: number(h, headerExpected)}
+	ask := RequestInfo{ID: h.Get(headerRequest), Prompt: number(h, headerPrompt), Output: number(h, headerOutput), Expected: number(h, headerExpected)}
 	ask.Within = time.Duration(number(h, headerDeadline)) * time.Millisecond
 	ask.Resumes = h.Get(headerAfter) != ""
 	ask.Credential = CredentialOf(h[headerCredential], credentialScheme)
--- a/internal/forwarder/work.go
+++ b/internal/forwarder/work.go
@@ -22,7 +22,7 @@
 	f       *Forwarder
 	request *http1.Request
 	answer  *http1.Answer
-	ask     Ask
+	ask     RequestInfo
 	route   *oriolebend.Route
 	service *oriolebend.RouteService
 	// organisation is the organisation that holds the caller's key; nil if the caller needs no key
