--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -154,7 +154,7 @@
 		w.reportEnded(g, outcomeOf(r.err), 0)
 		return r
 	}
-	r.verdict = w.f.config.Dialect.Judge(r.status, r.header, g.Server.Instance)
+	r.verdict = w.f.config.Dialect.Verdict(r.status, r.header, g.Server.Instance)
 	r.declined = w.f.declineReason(g.Server, r.verdict)
 	w.reportEnded(g, r.outcome(), response.Took)
 	return r
--- a/internal/forwarder/dialect.go
+++ b/internal/forwarder/dialect.go
@@ -25,7 +25,7 @@
 	// Matches reports whether an answer belongs to the request with the ID.
 	Matches(answer http.Header, id string) bool
 	// Verdict reads what a server states about its answer.
-	Judge(status int, answer http.Header, instance string) Verdict
+	Verdict(status int, answer http.Header, instance string) Verdict
 	// Notice reads the state that a server reports in the headers of an answer. The error is a
 	// *NoticeError if a part of it can't be parsed; the rest is valid.
 	Notice(status int, answer http.Header) (dispatch.Notice, error)
--- a/internal/forwarder/native_dialect.go
+++ b/internal/forwarder/native_dialect.go
@@ -104,7 +104,7 @@
 
 // Verdict implements Dialect. Servers sign nothing in this dialect: the framing of HTTP shows
 // whether an answer is complete.
-func (NativeDialect) Judge(status int, answer http.Header, instance string) Verdict {
+func (NativeDialect) Verdict(status int, answer http.Header, instance string) Verdict {
 	v := Verdict{Ran: oriolebend.RanUnknown, Signed: true}
 	if answer.Get(headerRan) == string(oriolebend.RanNo) || status == http.StatusMisdirectedRequest {
 		v.Ran = oriolebend.RanNo
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -127,7 +127,7 @@
 		return streamResult{reason: reasonOf(err), unsent: reasonOf(err) == oriolebend.ReasonMemoryShort}
 	}
 	defer response.Close()
-	verdict := s.f.config.Dialect.Judge(response.Status, response.Header, s.grant.Server.Instance)
+	verdict := s.f.config.Dialect.Verdict(response.Status, response.Header, s.grant.Server.Instance)
 	if response.Status == http.StatusOK && verdict.Signed && verdict.Ran != oriolebend.RanNo {
 		return s.forwardEvents(response)
 	}
