--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -122,7 +122,7 @@
 	}
 	w.sent++
 	w.tried = append(w.tried, grant.Server.Instance)
-	request := w.outgoing(Sending{Instance: grant.Server.Instance})
+	request := w.outgoing(SendOptions{Instance: grant.Server.Instance})
 	held := w.f.config.Held.Open(heldbytes.Answer, grant.Server.Address)
 	w.answers = append(w.answers, held)
 	w.f.background.Go(func() { results <- w.exchange(ctx, grant, request, held) })
--- a/internal/forwarder/dialect.go
+++ b/internal/forwarder/dialect.go
@@ -21,7 +21,7 @@
 	// ParseRequest reads what the headers state about a caller's request.
 	ParseRequest(h http.Header) (RequestInfo, error)
 	// Outgoing returns the header for one send of a request.
-	Outgoing(h http.Header, s Sending) http.Header
+	Outgoing(h http.Header, s SendOptions) http.Header
 	// Matches reports whether an answer belongs to the request with the ID.
 	Matches(answer http.Header, id string) bool
 	// Verdict reads what a server states about its answer.
@@ -120,7 +120,7 @@
 )
 
 // SendOptions holds what the headers of one send tell the server.
-type Sending struct {
+type SendOptions struct {
 	// Within is what remains of the caller's time.
 	Within time.Duration
 	// Instance is the only server instance that may run the request.
--- a/internal/forwarder/native_dialect.go
+++ b/internal/forwarder/native_dialect.go
@@ -70,7 +70,7 @@
 }
 
 // Outgoing implements Dialect.
-func (NativeDialect) Outgoing(h http.Header, s Sending) http.Header {
+func (NativeDialect) Outgoing(h http.Header, s SendOptions) http.Header {
 	out := h.Clone()
 	for _, name := range routerHeaders {
 		delete(out, name)
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -113,7 +113,7 @@
 // decode sends the request to the grant's server. source identifies the KV cache to fetch; if nil,
 // the server computes it.
 func (s *streamSend) decode(ctx context.Context, source *PrefillResult) streamResult {
-	options := Sending{Instance: s.grant.Server.Instance, Hold: s.reservation, After: s.lastEvent}
+	options := SendOptions{Instance: s.grant.Server.Instance, Hold: s.reservation, After: s.lastEvent}
 	if source != nil {
 		options.Source = s.grant.Prefill.Address + "/" + source.Handle
 	}
--- a/internal/forwarder/work.go
+++ b/internal/forwarder/work.go
@@ -112,7 +112,7 @@
 }
 
 // outgoing returns the request as it is sent to a server.
-func (w *work) outgoing(s Sending) backend.Request {
+func (w *work) outgoing(s SendOptions) backend.Request {
 	s.Within = w.remaining()
 	s.Identified, s.Organisation = w.identified, w.organisationName()
 	return backend.Request{
