--- a/internal/forwarder/local_limits.go
+++ b/internal/forwarder/local_limits.go
@@ -30,7 +30,7 @@
 }
 
 // Permit implements Limits.
-func (l *localLimits) Permit(_ context.Context, ask LimitAsk) Permission {
+func (l *localLimits) Permit(_ context.Context, ask PermissionRequest) Permission {
 	now := time.Now()
 	a := l.reduce(serverlimit.Asked{At: now, Server: ask.Server.Start(), PerSecond: ask.PerSecond, Named: now.Add(-ask.Age)})[0]
 	return Permission{Granted: a.Granted, Ended: a.Ended, After: a.After}
--- a/internal/forwarder/permit.go
+++ b/internal/forwarder/permit.go
@@ -14,7 +14,7 @@
 // limit.
 type Limits interface {
 	// Permit requests the permission to send one request to a server.
-	Permit(ctx context.Context, ask LimitAsk) Permission
+	Permit(ctx context.Context, ask PermissionRequest) Permission
 	// Return returns a permission that was not used. It must not block.
 	Return(server message.BackendServer)
 	// Ended reports that a server reported no limit in an answer to a request that was sent age
@@ -23,7 +23,7 @@
 }
 
 // PermissionRequest requests the permission to send one request to a server.
-type LimitAsk struct {
+type PermissionRequest struct {
 	Server message.BackendServer
 	// PerSecond is the limit that the server reported, Age the time since its last
 	// report.
@@ -67,7 +67,7 @@
 	if !limited || p.valid(asked, server) {
 		return true
 	}
-	answer := f.config.Limits.Permit(ctx, LimitAsk{Server: server, PerSecond: limit.PerSecond, Age: asked.Sub(limit.Named)})
+	answer := f.config.Limits.Permit(ctx, PermissionRequest{Server: server, PerSecond: limit.PerSecond, Age: asked.Sub(limit.Named)})
 	switch {
 	case answer.Ended:
 		f.reduce(dispatch.LimitEnded{At: asked, Server: server})
--- a/internal/serverlimit/client.go
+++ b/internal/serverlimit/client.go
@@ -51,7 +51,7 @@
 // Permit implements forwarder.Limits. Without a control VM that counts nothing is permitted:
 // forwarders that each allowed themselves a part would send more together than any of them
 // can know.
-func (c *Client) Permit(ctx context.Context, ask forwarder.LimitAsk) forwarder.Permission {
+func (c *Client) Permit(ctx context.Context, ask forwarder.PermissionRequest) forwarder.Permission {
 	leader := c.Leader()
 	if wait := c.waits(leader); wait > 0 {
 		return forwarder.Permission{After: wait}
--- a/internal/serverlimit/serverlimit_test.go
+++ b/internal/serverlimit/serverlimit_test.go
@@ -68,7 +68,7 @@
 
 // ask asks for the server, which has just named a limit of two a second.
 func ask(c *Client) forwarder.Permission {
-	return c.Permit(context.Background(), forwarder.LimitAsk{Server: needy, PerSecond: 2})
+	return c.Permit(context.Background(), forwarder.PermissionRequest{Server: needy, PerSecond: 2})
 }
 
 // The leader counts for all forwarders, takes back what was not used, and tells all of them
@@ -89,7 +89,7 @@
 		first.Ended(needy, time.Millisecond)
 		synctest.Wait()
 		is.True(!g.keepers["c0:1"].Limited(needy))
-		answer := second.Permit(context.Background(), forwarder.LimitAsk{Server: needy, PerSecond: 2, Age: 20 * time.Millisecond})
+		answer := second.Permit(context.Background(), forwarder.PermissionRequest{Server: needy, PerSecond: 2, Age: 20 * time.Millisecond})
 		is.Equal(answer, forwarder.Permission{Granted: true, Ended: true})
 		first.Close()
 		second.Close()
@@ -146,7 +146,7 @@
 		left, leave := context.WithCancel(context.Background())
 		leave()
 		for range 20 {
-			is.Equal(c.Permit(left, forwarder.LimitAsk{Server: needy, PerSecond: 2}), forwarder.Permission{}) // others may ask
+			is.Equal(c.Permit(left, forwarder.PermissionRequest{Server: needy, PerSecond: 2}), forwarder.Permission{}) // others may ask
 			synctest.Wait()
 		}
 		is.True(ask(c).Granted)
