--- a/internal/forwarder/placement.go
+++ b/internal/forwarder/placement.go
@@ -16,7 +16,7 @@
 type Places interface {
 	// Place waits for a placement. It returns false if no process could be asked; the forwarder
 	// then chooses engines itself.
-	Place(ctx context.Context, r PlaceRequest) (dispatch.Effect, bool)
+	Place(ctx context.Context, r PlacementRequest) (dispatch.Effect, bool)
 	// RegisterLocal reports a placement that the forwarder chose itself, so that the next allocator
 	// knows of it. The returned number identifies the placement in later calls.
 	Found(g dispatch.Grant) uint64
@@ -26,7 +26,7 @@
 }
 
 // PlacementRequest describes the placement that a request needs.
-type PlaceRequest struct {
+type PlacementRequest struct {
 	Need dispatch.Need
 	Rank int
 	// Call is the same for all tries of a caller at one request.
@@ -151,7 +151,7 @@
 func (w *work) sendPlacementRequest(ctx context.Context, need dispatch.Need) (dispatch.Effect, bool) {
 	target := float64(w.route.AnswerWithin)
 	age := time.Since(w.request.Received)
-	return w.f.config.Places.Place(ctx, PlaceRequest{
+	return w.f.config.Places.Place(ctx, PlacementRequest{
 		Need: need, Rank: w.rank(), Call: w.ask.Call,
 		InTime: w.placementSlack(age),
 		Within: min(time.Duration(maxWaitFactor*target)-age, w.remaining()),
--- a/internal/forwarder/placement_test.go
+++ b/internal/forwarder/placement_test.go
@@ -23,7 +23,7 @@
 	ended   []dispatch.Outcome
 }
 
-func (o *outdatedPlaces) Place(_ context.Context, r PlaceRequest) (dispatch.Effect, bool) {
+func (o *outdatedPlaces) Place(_ context.Context, r PlacementRequest) (dispatch.Effect, bool) {
 	for i, e := range o.engines {
 		if !slices.Contains(r.Need.Tried, e.Instance) && !slices.Contains(r.Need.Excluded, e.Instance) {
 			return dispatch.Granted{Grant: dispatch.Grant{Need: r.Need, Server: e, Remote: uint64(i) + 1}}, true
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -178,7 +178,7 @@
 }
 
 // Place implements forwarder.Places.
-func (c *Client) Place(ctx context.Context, q forwarder.PlaceRequest) (dispatch.Effect, bool) {
+func (c *Client) Place(ctx context.Context, q forwarder.PlacementRequest) (dispatch.Effect, bool) {
 	id, waiting := c.sendRequest(q)
 	if waiting == nil {
 		return nil, false
@@ -249,7 +249,7 @@
 	return c.unresponsive
 }
 
-func (c *Client) sendRequest(q forwarder.PlaceRequest) (uint64, chan message.PlaceAnswer) {
+func (c *Client) sendRequest(q forwarder.PlacementRequest) (uint64, chan message.PlaceAnswer) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.outbox == nil || c.unresponsive {
@@ -266,7 +266,7 @@
 	return c.lastID, waiting
 }
 
-func (c *Client) applyAnswer(q forwarder.PlaceRequest, a message.PlaceAnswer) dispatch.Effect {
+func (c *Client) applyAnswer(q forwarder.PlacementRequest, a message.PlaceAnswer) dispatch.Effect {
 	if a.Server == nil {
 		return dispatch.Refused{Reason: a.Reason, RetryAfter: a.RetryAfter}
 	}
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -76,7 +76,7 @@
 
 // request requests a placement for tokens and waits for up to a second.
 func (s *placeSite) request(ctx context.Context, tokens int) (dispatch.Effect, bool) {
-	return s.client.Place(ctx, forwarder.PlaceRequest{
+	return s.client.Place(ctx, forwarder.PlacementRequest{
 		Need: dispatch.Need{Service: "s", Prompt: tokens}, InTime: time.Second, Within: time.Second,
 	})
 }
