--- a/internal/forwarder/placement.go
+++ b/internal/forwarder/placement.go
@@ -19,7 +19,7 @@
 	Place(ctx context.Context, r PlacementRequest) (dispatch.Effect, bool)
 	// RegisterLocal reports a placement that the forwarder chose itself, so that the next allocator
 	// knows of it. The returned number identifies the placement in later calls.
-	Found(g dispatch.Grant) uint64
+	RegisterLocal(g dispatch.Grant) uint64
 	// PromptRead and Ended report the progress and the end of a placement.
 	PromptRead(e dispatch.PromptRead)
 	Ended(e dispatch.Ended)
@@ -74,7 +74,7 @@
 		need.Waited = waited
 		grant, refused := w.f.choose(need)
 		if refused == nil && w.f.config.Places != nil && need.Prompt > 0 {
-			grant.Told = w.f.config.Places.Found(grant)
+			grant.Told = w.f.config.Places.RegisterLocal(grant)
 		}
 		if refused == nil || refused.reason != oriolebend.ReasonNoMemory {
 			return grant, refused
--- a/internal/forwarder/placement_test.go
+++ b/internal/forwarder/placement_test.go
@@ -32,8 +32,8 @@
 	return nil, false
 }
 
-func (o *outdatedPlaces) Found(dispatch.Grant) uint64    { return 0 }
-func (o *outdatedPlaces) PromptRead(dispatch.PromptRead) {}
+func (o *outdatedPlaces) RegisterLocal(dispatch.Grant) uint64 { return 0 }
+func (o *outdatedPlaces) PromptRead(dispatch.PromptRead)      {}
 
 func (o *outdatedPlaces) Ended(e dispatch.Ended) {
 	o.mutex.Lock()
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -292,7 +292,7 @@
 // RegisterLocal implements forwarder.Places. The placement is reported when the next session
 // starts. Forwarders choose engines themselves while there is no session, and a new leader that did
 // not know of these placements would send requests to engines that are full.
-func (c *Client) Found(g dispatch.Grant) uint64 {
+func (c *Client) RegisterLocal(g dispatch.Grant) uint64 {
 	question := placementOf(g.Need, g.Server, g.Prefill)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
