--- a/internal/forwarder/quota.go
+++ b/internal/forwarder/quota.go
@@ -28,7 +28,7 @@
 	// Late is set if the caller was refused before, and has missed its target.
 	Late bool
 	// CountedBy is the control VM that counted the charge, set by Take.
-	Keeper string
+	CountedBy string
 }
 
 // QuotaState is the state of a quota at the control VM that counted a charge.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		reason = err.(*oriolebend.Problem).Reason
 	}
-	return charge.Keeper, reason, time.Since(began)
+	return charge.CountedBy, reason, time.Since(began)
 }
 
 var tenASecond = oriolebend.Quota{PerSecond: 10, Burst: 10}
@@ -115,7 +115,7 @@
 		}
 		_, reason, _ := take(t, first, 5)
 		is.Equal(reason, oriolebend.ReasonQuota)
-		second.Return(forwarder.Charge{Organisation: "o", Cost: 5, Keeper: "c0:1"})
+		second.Return(forwarder.Charge{Organisation: "o", Cost: 5, CountedBy: "c0:1"})
 		synctest.Wait()
 		keeper, _, _ := take(t, first, 5)
 		is.Equal(keeper, "c0:1")
