--- a/internal/forwarder/identity_test.go
+++ b/internal/forwarder/identity_test.go
@@ -42,11 +42,11 @@
 		return Charge{}, QuotaState{}, &oriolebend.Problem{Reason: oriolebend.ReasonControlAway, RetryAfter: time.Second}
 	}
 	if q.left[c.Organisation] < c.Cost {
-		state := QuotaState{Keeper: "c1", Left: q.left[c.Organisation], Since: time.Minute}
+		state := QuotaState{CountedBy: "c1", Left: q.left[c.Organisation], Since: time.Minute}
 		return Charge{}, state, &oriolebend.Problem{Reason: oriolebend.ReasonQuota, RetryAfter: 1500 * time.Millisecond}
 	}
 	q.left[c.Organisation] -= c.Cost
-	return c, QuotaState{Keeper: "c1"}, nil
+	return c, QuotaState{CountedBy: "c1"}, nil
 }
 
 // Return implements Quotas.
--- a/internal/forwarder/quota.go
+++ b/internal/forwarder/quota.go
@@ -34,7 +34,7 @@
 // QuotaState is the state of a quota at the control VM that counted a charge.
 type QuotaState struct {
 	// CountedBy is the control VM that counted, empty if none could be asked.
-	Keeper string
+	CountedBy string
 	// Left is what remained of the quota at that time, and Since how long that control VM had
 	// counted.
 	Left  float64
@@ -48,7 +48,7 @@
 	}
 	return []slog.Attr{
 		slog.Float64("quotaPerSecond", o.Quota.PerSecond), slog.Float64("quotaBurst", o.Quota.Burst),
-		slog.Float64("quotaLeft", s.Left), slog.String("quotaKeeper", s.Keeper),
+		slog.Float64("quotaLeft", s.Left), slog.String("quotaKeeper", s.CountedBy),
 		slog.Int64("quotaKnownMs", s.Since.Milliseconds()),
 	}
 }
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -77,7 +77,7 @@
 			c.failed(address, err)
 			continue
 		}
-		state = forwarder.QuotaState{Keeper: address, Left: answer.Left, Since: answer.Since}
+		state = forwarder.QuotaState{CountedBy: address, Left: answer.Left, Since: answer.Since}
 		if answer.Granted {
 			charge.CountedBy = address
 			return charge, state, nil
