--- a/internal/forwarder/bench_test.go
+++ b/internal/forwarder/bench_test.go
@@ -58,11 +58,11 @@
 		Method: "POST", Host: "h", Target: "/p/x", Header: header, Body: bytes.Repeat([]byte("x"), benchBody), Received: time.Now(),
 	}
 	w := &work{f: f, request: request, deadline: time.Now().Add(time.Hour)}
-	ask, err := NativeDialect{}.ParseRequest(header)
+	info, err := NativeDialect{}.ParseRequest(header)
 	if err != nil {
 		b.Fatal(err)
 	}
-	w.ask = ask
+	w.info = info
 	return w, f.table.Load()
 }
 
--- a/internal/forwarder/dialect.go
+++ b/internal/forwarder/dialect.go
@@ -84,24 +84,24 @@
 }
 
 // expected returns the likely number of output tokens.
-func (a RequestInfo) expected() int {
-	if a.Expected > 0 {
-		return min(a.Expected, a.Output)
+func (i RequestInfo) expected() int {
+	if i.Expected > 0 {
+		return min(i.Expected, i.Output)
 	}
-	return a.Output
+	return i.Output
 }
 
 // output returns the number of output tokens for which a forwarder that chooses engines itself
 // reserves memory.
-func (a RequestInfo) output() int { return a.reserved(localMargin) }
+func (i RequestInfo) output() int { return i.reserved(localMargin) }
 
 // reserved returns the expected output times margin, at most the maximum output; without an
 // expectation it returns the maximum output.
-func (a RequestInfo) reserved(margin float64) int {
-	if a.Expected <= 0 {
-		return a.Output
+func (i RequestInfo) reserved(margin float64) int {
+	if i.Expected <= 0 {
+		return i.Output
 	}
-	return min(a.Output, int(float64(a.Expected)*margin))
+	return min(i.Output, int(float64(i.Expected)*margin))
 }
 
 const (
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -249,13 +249,13 @@
 // Serve answers one request; it is an http1.Handler.
 func (f *Forwarder) Serve(ctx context.Context, r *http1.Request, a *http1.Answer) {
 	w := &work{f: f, request: r, answer: a}
-	ask, err := f.config.Dialect.ParseRequest(r.Header)
-	w.ask = ask
+	info, err := f.config.Dialect.ParseRequest(r.Header)
+	w.info = info
 	if err != nil {
 		w.reject(http.StatusBadRequest, oriolebend.ReasonMalformed, err)
 		return
 	}
-	table := f.awaitRouting(ctx, ask.Within)
+	table := f.awaitRouting(ctx, info.Within)
 	if table == nil {
 		w.refuse(refusal{reason: oriolebend.ReasonControlAway, after: retryNotReady})
 		return
@@ -265,13 +265,13 @@
 		return
 	}
 	within := time.Duration(w.route.Timeout)
-	if ask.Within > 0 {
-		within = min(within, ask.Within)
+	if info.Within > 0 {
+		within = min(within, info.Within)
 	}
 	w.deadline = r.Received.Add(within)
 	ctx, cancel := context.WithDeadline(ctx, w.deadline)
 	defer cancel()
-	w.retried = f.retries.isRetry(w.route.Name, ask.Within)
+	w.retried = f.retries.isRetry(w.route.Name, info.Within)
 	if !w.charge(ctx) {
 		return
 	}
--- a/internal/forwarder/identify.go
+++ b/internal/forwarder/identify.go
@@ -13,7 +13,7 @@
 	if !w.identified {
 		return ""
 	}
-	key := w.ask.Credential.Key
+	key := w.info.Credential.Key
 	w.organisation = table.Owner(key)
 	switch {
 	case w.organisation != nil || w.route.Public:
--- a/internal/forwarder/inflight_bytes.go
+++ b/internal/forwarder/inflight_bytes.go
@@ -143,6 +143,6 @@
 		return false
 	}
 	w.f.config.Logger.Info("server has ended under many long requests", "server", server.Instance,
-		"request", w.ask.ID, "ownBytes", own, "otherBytes", others)
+		"request", w.info.ID, "ownBytes", own, "otherBytes", others)
 	return true
 }
--- a/internal/forwarder/local_limits.go
+++ b/internal/forwarder/local_limits.go
@@ -30,9 +30,9 @@
 }
 
 // Permit implements Limits.
-func (l *localLimits) Permit(_ context.Context, ask PermissionRequest) Permission {
+func (l *localLimits) Permit(_ context.Context, request PermissionRequest) Permission {
 	now := time.Now()
-	a := l.reduce(serverlimit.Asked{At: now, Server: ask.Server.Start(), PerSecond: ask.PerSecond, Named: now.Add(-ask.Age)})[0]
+	a := l.reduce(serverlimit.Asked{At: now, Server: request.Server.Start(), PerSecond: request.PerSecond, Named: now.Add(-request.Age)})[0]
 	return Permission{Granted: a.Granted, Ended: a.Ended, After: a.After}
 }
 
--- a/internal/forwarder/native_dialect.go
+++ b/internal/forwarder/native_dialect.go
@@ -50,14 +50,14 @@
 	if len(ids) > 1 {
 		return RequestInfo{}, &IdentityError{Detail: fmt.Sprintf("%d request names", len(ids))}
 	}
-	ask := RequestInfo{ID: h.Get(headerRequest), Prompt: number(h, headerPrompt), Output: number(h, headerOutput), Expected: number(h, headerExpected)}
-	ask.Within = time.Duration(number(h, headerDeadline)) * time.Millisecond
-	ask.Resumes = h.Get(headerAfter) != ""
-	ask.Credential = CredentialOf(h[headerCredential], credentialScheme)
+	info := RequestInfo{ID: h.Get(headerRequest), Prompt: number(h, headerPrompt), Output: number(h, headerOutput), Expected: number(h, headerExpected)}
+	info.Within = time.Duration(number(h, headerDeadline)) * time.Millisecond
+	info.Resumes = h.Get(headerAfter) != ""
+	info.Credential = CredentialOf(h[headerCredential], credentialScheme)
 	if call := h.Get(headerCall); call != "" {
-		ask.Call = xxhash.Sum64String(call)
+		info.Call = xxhash.Sum64String(call)
 	}
-	return ask, nil
+	return info, nil
 }
 
 // number parses a header that holds a non-negative integer; any other value counts as missing.
--- a/internal/forwarder/permit.go
+++ b/internal/forwarder/permit.go
@@ -14,7 +14,7 @@
 // limit.
 type Limits interface {
 	// Permit requests the permission to send one request to a server.
-	Permit(ctx context.Context, ask PermissionRequest) Permission
+	Permit(ctx context.Context, request PermissionRequest) Permission
 	// Return returns a permission that was not used. It must not block.
 	Return(server message.BackendServer)
 	// Ended reports that a server reported no limit in an answer to a request that was sent age
--- a/internal/forwarder/placement.go
+++ b/internal/forwarder/placement.go
@@ -64,7 +64,7 @@
 // placeGeneration waits for a placement, from the allocator or, if no allocator can be asked, from
 // this forwarder's own view.
 func (w *work) placeGeneration(ctx context.Context, waited bool) (dispatch.Grant, *refusal) {
-	if w.f.config.Places != nil && w.ask.Prompt > 0 && w.service.Engine != nil {
+	if w.f.config.Places != nil && w.info.Prompt > 0 && w.service.Engine != nil {
 		if grant, refused, asked := w.requestPlacement(ctx, waited); asked {
 			return grant, refused
 		}
@@ -99,7 +99,7 @@
 // target. A prompt of twice the usual length needs its placement a tenth of a second earlier: if
 // its placement comes later, it occupies memory and still misses its target.
 func (w *work) placementSlack(age time.Duration) time.Duration {
-	prefill := prefillSlack * float64(w.f.prefillTime(w.service.Name, w.ask.Prompt))
+	prefill := prefillSlack * float64(w.f.prefillTime(w.service.Name, w.info.Prompt))
 	return time.Duration(firstEventShare*float64(w.route.AnswerWithin)-prefill) - age
 }
 
@@ -107,7 +107,7 @@
 // allocator could be asked.
 func (w *work) requestPlacement(ctx context.Context, waited bool) (dispatch.Grant, *refusal, bool) {
 	need := w.need()
-	need.Output = w.ask.expected()
+	need.Output = w.info.expected()
 	need.Excluded = w.f.closedServers(need.Service)
 	if !waited {
 		effect := w.f.reduce(dispatch.Counted{At: w.f.now(), Service: need.Service, Tried: need.Tried, Again: need.Again})[0]
@@ -152,7 +152,7 @@
 	target := float64(w.route.AnswerWithin)
 	age := time.Since(w.request.Received)
 	return w.f.config.Places.Place(ctx, PlacementRequest{
-		Need: need, Rank: w.rank(), Call: w.ask.Call,
+		Need: need, Rank: w.rank(), Call: w.info.Call,
 		InTime: w.placementSlack(age),
 		Within: min(time.Duration(maxWaitFactor*target)-age, w.remaining()),
 	})
--- a/internal/forwarder/placement_test.go
+++ b/internal/forwarder/placement_test.go
@@ -127,7 +127,7 @@
 	s := newSite(t, 100_000)
 	by := func(prompt int, age time.Duration) time.Duration {
 		w := &work{
-			f: s.forwarder, ask: RequestInfo{Prompt: prompt}, service: &oriolebend.RouteService{Name: "s"},
+			f: s.forwarder, info: RequestInfo{Prompt: prompt}, service: &oriolebend.RouteService{Name: "s"},
 			route: &oriolebend.Route{AnswerWithin: oriolebend.Duration(900 * time.Millisecond)},
 		}
 		return w.placementSlack(age)
--- a/internal/forwarder/quota.go
+++ b/internal/forwarder/quota.go
@@ -62,7 +62,7 @@
 	}
 	charge := Charge{
 		Organisation: w.organisation.Name, Call: uint64(w.fingerprint),
-		Cost: w.organisation.Quota.Cost(w.ask.Prompt + w.ask.Output), Late: w.retried && !w.ask.Resumes,
+		Cost: w.organisation.Quota.Cost(w.info.Prompt + w.info.Output), Late: w.retried && !w.info.Resumes,
 	}
 	taken, state, err := quotas.Take(ctx, charge)
 	w.quota = state
--- a/internal/forwarder/reserve.go
+++ b/internal/forwarder/reserve.go
@@ -89,7 +89,7 @@
 // returns false, the grant has been released.
 func (s *streamSend) reserveMemory(ctx context.Context) bool {
 	limits := s.service.Engine
-	if limits == nil || limits.HoldWithin <= 0 || s.ask.Prompt == 0 {
+	if limits == nil || limits.HoldWithin <= 0 || s.info.Prompt == 0 {
 		return true
 	}
 	if s.f.avoidsOptionalCalls(s.grant.Server) {
@@ -97,11 +97,11 @@
 	}
 	calling, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	output := s.ask.output()
+	output := s.info.output()
 	if s.grant.Remote != 0 {
-		output = s.ask.reserved(placedMargin)
+		output = s.info.reserved(placedMargin)
 	}
-	call := s.f.config.Dialect.Hold(s.ask.Prompt+output, time.Duration(limits.HoldWithin))
+	call := s.f.config.Dialect.Hold(s.info.Prompt+output, time.Duration(limits.HoldWithin))
 	call.Freshness = maxIdleRepeatable
 	status, body, err := s.f.callEngine(calling, s.grant.Server, call)
 	if err == nil && status == http.StatusOK {
@@ -158,7 +158,7 @@
 // expectedNeed returns the need with the expected output instead of the reserved output.
 func (s *streamSend) expectedNeed() dispatch.Need {
 	need := s.grant.Need
-	need.Output = s.ask.expected()
+	need.Output = s.info.expected()
 	return need
 }
 
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -214,7 +214,7 @@
 // recordLocalPrefill counts a prompt that the decode engine read itself, as work that the prefill
 // pool would have done.
 func (s *streamSend) recordLocalPrefill() {
-	if s.grant.Prefill == nil && s.ask.Prompt > 0 {
+	if s.grant.Prefill == nil && s.info.Prompt > 0 {
 		s.f.reduce(dispatch.Read{Need: s.expectedNeed(), Took: time.Since(s.request.Received), Here: true})
 	}
 }
--- a/internal/forwarder/work.go
+++ b/internal/forwarder/work.go
@@ -22,7 +22,7 @@
 	f       *Forwarder
 	request *http1.Request
 	answer  *http1.Answer
-	ask     RequestInfo
+	info    RequestInfo
 	route   *oriolebend.Route
 	service *oriolebend.RouteService
 	// organisation is the organisation that holds the caller's key; nil if the caller needs no key
@@ -77,7 +77,7 @@
 // need returns the requirements of the next send.
 func (w *work) need() dispatch.Need {
 	return dispatch.Need{
-		Service: w.service.Name, Prompt: w.ask.Prompt, Output: w.ask.output(),
+		Service: w.service.Name, Prompt: w.info.Prompt, Output: w.info.output(),
 		FirstWithin: time.Duration(w.route.AnswerWithin), Arrived: w.request.Received,
 		PauseWithin: time.Duration(w.route.PauseWithin), Returned: w.retried,
 		FailureDomain: w.f.config.Dispatch.FailureDomain,
@@ -118,7 +118,7 @@
 	return backend.Request{
 		Method: w.request.Method, Target: w.request.Target, Host: w.request.Host, Body: w.request.Body,
 		Header:    w.f.config.Dialect.Outgoing(http1.EndToEnd(w.request.Header), s),
-		Matches:   func(h http.Header) bool { return w.f.config.Dialect.Matches(h, w.ask.ID) },
+		Matches:   func(h http.Header) bool { return w.f.config.Dialect.Matches(h, w.info.ID) },
 		Freshness: w.freshness(),
 	}
 }
@@ -191,7 +191,7 @@
 func (w *work) reject(status int, reason oriolebend.Reason, cause error) {
 	w.f.config.Observer.Count("refusal", reason, "")
 	if cause != nil {
-		w.f.config.Logger.Info("request malformed", "request", w.ask.ID, "error", cause)
+		w.f.config.Logger.Info("request malformed", "request", w.info.ID, "error", cause)
 	}
 	w.respond(status, http.Header{}, reason, oriolebend.RanNo)
 }
@@ -236,17 +236,17 @@
 // log writes the one log line that states the result of a request and its reason.
 func (w *work) log(status int, reason oriolebend.Reason, ran oriolebend.Ran) {
 	attributes := []slog.Attr{
-		slog.String("request", w.ask.ID), slog.String("fingerprint", w.fingerprint.String()), slog.Int("status", status),
+		slog.String("request", w.info.ID), slog.String("fingerprint", w.fingerprint.String()), slog.Int("status", status),
 		slog.String("ran", string(ran)), slog.Int("sent", w.sent),
 		slog.Int64("tookMs", time.Since(w.request.Received).Milliseconds()),
-		slog.Int64("withinMs", w.ask.Within.Milliseconds()), slog.Uint64("routing", w.version),
+		slog.Int64("withinMs", w.info.Within.Milliseconds()), slog.Uint64("routing", w.version),
 	}
 	if w.route != nil {
 		attributes = append(attributes, slog.String("route", w.route.Name))
 	}
-	if w.ask.Prompt > 0 {
+	if w.info.Prompt > 0 {
 		attributes = append(attributes,
-			slog.Int("promptTokens", w.ask.Prompt), slog.Int("outputTokens", w.ask.Output),
+			slog.Int("promptTokens", w.info.Prompt), slog.Int("outputTokens", w.info.Output),
 			slog.Int64("placedMs", w.placed.Milliseconds()), slog.Int64("readMs", w.prefilled.Milliseconds()),
 			slog.Int64("firstMs", w.first.Milliseconds()), slog.Int64("pauseMs", w.pause.Milliseconds()))
 	}
@@ -268,7 +268,7 @@
 // logSend logs a send that did not bring the answer.
 func (w *work) logSend(g dispatch.Grant, text string, status int, reason oriolebend.Reason, err error) {
 	attributes := []slog.Attr{
-		slog.String("request", w.ask.ID), slog.String("fingerprint", w.fingerprint.String()),
+		slog.String("request", w.info.ID), slog.String("fingerprint", w.fingerprint.String()),
 		slog.String("server", g.Server.Instance),
 		slog.String("address", g.Server.Address), slog.String("reason", string(reason)),
 	}
