--- a/internal/forwarder/backoff_test.go
+++ b/internal/forwarder/backoff_test.go
@@ -20,34 +20,34 @@
 
 // backoffServer refuses every request, and requests a backoff period each time.
 type backoffServer struct {
-	rest time.Duration
+	period time.Duration
 
 	mutex sync.Mutex
-	// asked is when the server first requested a backoff period, arrivals when requests reached it.
-	asked    time.Time
-	arrivals []time.Time
+	// requested is when the server first requested a backoff period, arrivals when requests reached it.
+	requested time.Time
+	arrivals  []time.Time
 }
 
 func (r *backoffServer) refuse(w http.ResponseWriter) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.arrivals = append(r.arrivals, time.Now())
-	if r.asked.IsZero() {
-		r.asked = time.Now()
+	if r.requested.IsZero() {
+		r.requested = time.Now()
 	}
 	w.Header().Set(retryAfter, "2")
 	notRun(w)
 	return true
 }
 
-// disturbed counts the requests that reached the server during the first backoff period that it
+// duringBackoff counts the requests that reached the server during the first backoff period that it
 // requested.
-func (r *backoffServer) disturbed() int {
+func (r *backoffServer) duringBackoff() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	count := 0
 	for _, at := range r.arrivals {
-		if since := at.Sub(r.asked); since > backoffFrom && since < r.rest {
+		if since := at.Sub(r.requested); since > backoffFrom && since < r.period {
 			count++
 		}
 	}
@@ -60,20 +60,20 @@
 // header: in the second after its first refusals it got the most requests. Callers whose request
 // may be sent to one server got its refusals.
 func TestBackoffHoldsForEverySend(t *testing.T) {
-	const rest = 2 * time.Second
+	const period = 2 * time.Second
 	for _, kind := range append([]sendKind{reservations}, sendKinds...) {
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			s := newSite(t, kind.kv)
-			server := &backoffServer{rest: rest}
+			server := &backoffServer{period: period}
 			kind.start(s, server.refuse)
-			for began := time.Now(); time.Since(began) < rest; time.Sleep(10 * time.Millisecond) {
+			for began := time.Now(); time.Since(began) < period; time.Sleep(10 * time.Millisecond) {
 				s.send(kind.path, kind.header)
 			}
-			t.Logf("%d requests in the backoff period", server.disturbed())
+			t.Logf("%d requests in the backoff period", server.duringBackoff())
 			is.True(len(server.arrivals) > 0)
-			is.True(server.disturbed() <= backoffFree)
+			is.True(server.duringBackoff() <= backoffFree)
 		})
 	}
 }
@@ -85,10 +85,10 @@
 	s := newSite(t, 0)
 	var overloaded atomic.Bool
 	overloaded.Store(true)
-	for _, rest := range []string{"1", "0.6"} {
+	for _, period := range []string{"1", "0.6"} {
 		s.server("a", "", func(w http.ResponseWriter, _ *http.Request) {
 			if overloaded.Load() {
-				w.Header().Set(retryAfter, rest)
+				w.Header().Set(retryAfter, period)
 				notRun(w)
 			}
 		})
--- a/internal/forwarder/crash.go
+++ b/internal/forwarder/crash.go
@@ -11,7 +11,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// probeDelays are the pauses before each probe of a server whose connection failure. The first probe
+// probeDelays are the pauses before each probe of a server whose connection broke. The first probe
 // can come before a process that has exited has released its port. A process that has not released
 // it after a fifth of a second is alive, and only the connection was lost.
 var probeDelays = []time.Duration{0, 30 * time.Millisecond, 170 * time.Millisecond}
--- a/internal/forwarder/dialect.go
+++ b/internal/forwarder/dialect.go
@@ -109,13 +109,14 @@
 	// the placements of all forwarders. Then the engine's reservations are the only limit. They
 	// must cover what its generations will write; otherwise the engine preempts some of them for
 	// others and reads their prompts again, which delays all its work. In peaks that happened to
-	// 3.5 in 100 generations with 1.5, and to 1.3 with 2.0.
+	// 3.5 in 100 generations with 1.5, and to 1.3 in 100 with 2.0.
 	localMargin = 2.0
 	// placedMargin is the same for a placement that was granted by the allocator, which knows all
 	// placements. The allocator grants no more than what the generations of an engine are expected
 	// to need, so that a generation that writes less leaves room for one that writes more. Reserved
 	// memory can't be shared like that: in peaks an engine preempted 6 in 100 generations with 1.0
-	// and two with 0.4, and carried a tenth more than with 2.0 and without the allocator's limit.
+	// and 2 in 100 with 0.4. With 0.4 it also carried a tenth more than with 2.0 and without the
+	// allocator's limit.
 	placedMargin = 0.4
 )
 
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -360,17 +360,17 @@
 func (e *engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	what := r.Method + " " + r.URL.Path
+	call := r.Method + " " + r.URL.Path
 	if r.Header.Get(headerPhase) != "" {
-		what += " phase=" + r.Header.Get(headerPhase)
+		call += " phase=" + r.Header.Get(headerPhase)
 	}
 	if r.Header.Get(headerSource) != "" {
-		what += " source"
+		call += " source"
 	}
 	if r.Header.Get(headerHold) != "" {
-		what += " reserved=" + r.Header.Get(headerHold)
+		call += " reserved=" + r.Header.Get(headerHold)
 	}
-	e.requests = append(e.requests, what)
+	e.requests = append(e.requests, call)
 	switch {
 	case r.URL.Path == "/reservations" && e.full > 0:
 		e.full--
--- a/internal/forwarder/identity_test.go
+++ b/internal/forwarder/identity_test.go
@@ -62,7 +62,7 @@
 //	quotas      one line "ORGANISATION LEFT" for each organisation; with "unavailable" no control VM counts
 //	behind      the forwarder does not know whether its routing is the newest
 //	servers     ok or refuse: how servers answer
-//	ask PATH    sends the headers of the input, and prints the answer, what the server received
+//	send PATH   sends the headers of the input, and prints the answer, what the server received
 //	            and what was returned to the quota
 func TestIdentity(t *testing.T) {
 	datadriven.Walk(t, "testdata/identity", func(t *testing.T, path string) {
@@ -77,7 +77,7 @@
 				s.behind = true
 			case "servers":
 				s.server("a", "", s.record(d.HasArg("refuse")))
-			case "ask":
+			case "send":
 				return s.sendAs(d)
 			}
 			return ""
--- a/internal/forwarder/notice.go
+++ b/internal/forwarder/notice.go
@@ -53,9 +53,9 @@
 	if status != http.StatusServiceUnavailable {
 		return notice, errors.Join(errLeaving, errLimit)
 	}
-	rest, _, errRest := decimals(h, retryAfter)
-	notice.Rest = time.Duration(min(rest, maxBackoff.Seconds()) * float64(time.Second))
-	return notice, errors.Join(errLeaving, errLimit, errRest)
+	backoff, _, errBackoff := decimals(h, retryAfter)
+	notice.Rest = time.Duration(min(backoff, maxBackoff.Seconds()) * float64(time.Second))
+	return notice, errors.Join(errLeaving, errLimit, errBackoff)
 }
 
 // decimals parses the values of a header that holds a non-negative decimal number, and returns the
--- a/internal/forwarder/notice_test.go
+++ b/internal/forwarder/notice_test.go
@@ -60,9 +60,9 @@
 	for _, text := range []string{"1.5", "0", "-1", "1e400", "NaN", "99999999999999999999999999", "1,2", ""} {
 		f.Add(text, text, text)
 	}
-	f.Fuzz(func(t *testing.T, leaving, limit, rest string) {
+	f.Fuzz(func(t *testing.T, leaving, limit, backoff string) {
 		is := is.New(t)
-		n, _ := NativeDialect{}.Notice(http.StatusServiceUnavailable, http.Header{headerLeaving: {leaving}, headerLimit: {limit}, retryAfter: {rest}})
+		n, _ := NativeDialect{}.Notice(http.StatusServiceUnavailable, http.Header{headerLeaving: {leaving}, headerLimit: {limit}, retryAfter: {backoff}})
 		is.True(n.PerSecond >= 0 && !math.IsInf(n.PerSecond, 0) && !math.IsNaN(n.PerSecond))
 		is.True(n.Limited || n.PerSecond == 0)
 		is.True(n.Rest >= 0 && n.Rest <= maxBackoff)
--- a/internal/forwarder/permit.go
+++ b/internal/forwarder/permit.go
@@ -62,15 +62,15 @@
 // hundredfold.
 func (w *work) acquirePermission(ctx context.Context, p permissions, server message.BackendServer) bool {
 	f := w.f
-	asked := f.now()
+	requested := f.now()
 	limit, limited := f.limit(server)
-	if !limited || p.valid(asked, server) {
+	if !limited || p.valid(requested, server) {
 		return true
 	}
-	answer := f.config.Limits.Permit(ctx, PermissionRequest{Server: server, PerSecond: limit.PerSecond, Age: asked.Sub(limit.Named)})
+	answer := f.config.Limits.Permit(ctx, PermissionRequest{Server: server, PerSecond: limit.PerSecond, Age: requested.Sub(limit.Named)})
 	switch {
 	case answer.Ended:
-		f.reduce(dispatch.LimitEnded{At: asked, Server: server})
+		f.reduce(dispatch.LimitEnded{At: requested, Server: server})
 	case answer.Granted:
 		p[server.Start()] = f.now()
 	default:
--- a/internal/forwarder/permit_test.go
+++ b/internal/forwarder/permit_test.go
@@ -34,13 +34,13 @@
 				setLimit(w, strconv.Itoa(perSecond))
 				return false
 			})
-			asked := 0
+			sent := 0
 			for began := time.Now(); time.Since(began) < length; time.Sleep(10 * time.Millisecond) {
 				s.send(kind.path, kind.header)
-				asked++
+				sent++
 			}
-			t.Logf("%d of %d requests reached the server", reached.Load(), asked)
-			is.True(asked > 40)
+			t.Logf("%d of %d requests reached the server", reached.Load(), sent)
+			is.True(sent > 40)
 			// The first request learns the limit, and a resend of it may reach the server as well.
 			is.True(reached.Load() <= 2+perSecond*int32(length.Seconds())+1)
 			is.True(reached.Load() >= 2) // some request has to find out whether the limit still applies
--- a/internal/forwarder/placement_test.go
+++ b/internal/forwarder/placement_test.go
@@ -74,8 +74,8 @@
 func TestPlacementAtAnEngineThatAcceptsNothing(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10000)
-	rests, limited, stays := &engine{}, &engine{}, &engine{}
-	for _, e := range []*engine{rests, limited, stays} {
+	backingOff, limited, stays := &engine{}, &engine{}, &engine{}
+	for _, e := range []*engine{backingOff, limited, stays} {
 		s.server("a", oriolebend.Decode, e.ServeHTTP)
 	}
 	places := &outdatedPlaces{engines: slices.Clone(s.servers)}
@@ -91,7 +91,7 @@
 		status, _ = s.generation("/cut/")
 		is.Equal(status, http.StatusOK)
 	}
-	is.Equal(rests.seen(), "POST /reservations; POST /cut/ reserved=h1")
+	is.Equal(backingOff.seen(), "POST /reservations; POST /cut/ reserved=h1")
 	is.Equal(limited.seen(), "") // the leader has no permission for it yet
 	is.Equal(stays.seen(), "POST /reservations; POST /cut/ reserved=h1; POST /reservations; POST /cut/ reserved=h1")
 	places.mutex.Lock()
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -18,7 +18,7 @@
 	// reconnectDelay is the pause before the next attempt to open a session with a leader, and
 	// between two checks for another leader.
 	reconnectDelay = 100 * time.Millisecond
-	// leaderConfirmations is how many times in a row another leader must be confirmed, since a control
+	// leaderConfirmations is how many times in a row another leader must be seen, since a control
 	// VM that is cut off may name the previous one for a moment.
 	leaderConfirmations = 2
 	// openTimeout bounds the opening of a session.
@@ -59,7 +59,7 @@
 
 var _ forwarder.Places = (*Client)(nil)
 
-// heldPlacementment is a placement in use, and the time since when it is used.
+// heldPlacement is a placement in use, and the time since when it is used.
 type heldPlacement struct {
 	message.PlaceQuestion
 	since time.Time
