--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -137,8 +137,8 @@
 	return s.handleNonStream(ctx, response, verdict)
 }
 
-// mayRepeat reports whether the request may be sent to the same server once more. The permission of
-// the previous send is used up.
+// mayRepeat reports whether the request may be sent to the same server once more. It acquires a new
+// permission if one is needed, since that of the previous send is used up.
 func (s *streamSend) mayRepeat(ctx context.Context) bool {
 	delete(s.permissions, s.grant.Server.Start())
 	return s.acquirePermission(ctx, s.permissions, s.grant.Server) && s.f.mayResend(s.grant)
@@ -146,7 +146,7 @@
 
 // retryDecode sends the request once more to a server that could not fetch the KV cache and now
 // computes it itself. The prefill result has expired or its engine has exited, and the placement at
-// this server is still free.
+// this server is still available.
 func (s *streamSend) retryDecode(ctx context.Context, response *backend.Response) streamResult {
 	if _, err := response.Whole(maxSmallBytes); err != nil {
 		response.Close()
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -216,7 +216,7 @@
 		case answer, ok = <-waiting:
 			return answer, ok, true
 		case <-probe.C:
-			if c.checkLeader() {
+			if c.isLeaderUnresponsive() {
 				return answer, false, false
 			}
 		case <-timer.C:
@@ -227,13 +227,13 @@
 	}
 }
 
-// checkLeader reports whether the control VM that grants placements is unresponsive, and sends it a
+// isLeaderUnresponsive reports whether the control VM that grants placements is unresponsive, and sends it a
 // probe if nothing was received for a while.
 //
 // A request may wait for its placement while memory is short, so that a missing answer to one
 // request proves little. A control VM that hangs ends no session, and another one leads only after
 // a second. Every generation requested in that second would wait for the old leader and be late.
-func (c *Client) checkLeader() bool {
+func (c *Client) isLeaderUnresponsive() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
