--- a/internal/forwarder/retry_detector.go
+++ b/internal/forwarder/retry_detector.go
@@ -16,8 +16,8 @@
 	// maxTrackedRoutes bounds the number of routes that are tracked.
 	maxTrackedRoutes = 4096
 	// retryShare is the share of the longest time of a route's callers below which a request is
-	// taken for a retry. The times of first tries were seen to differ by 15 in 100, and callers
-	// that were refused to come back after a fifth of their time or more.
+	// taken for a retry. The times of first tries differ by 15 in 100, and callers that were refused
+	// come back after a fifth of their time or more.
 	retryShare = 0.8
 )
 
