--- a/internal/forwarder/bench_test.go
+++ b/internal/forwarder/bench_test.go
@@ -25,14 +25,15 @@
 	benchBody          = 3000
 )
 
-// benchWork is a request on its way, before a forwarder that knows organisations and servers.
+// benchWork returns a request that is being forwarded by a forwarder that knows organisations and
+// servers.
 func benchWork(b *testing.B) (*work, *routing.Table) {
 	b.Helper()
 	logger, err := logging.New(settings.Log{Format: "json"}, io.Discard)
 	if err != nil {
 		b.Fatal(err)
 	}
-	f := New(Config{Dialect: Own{}, Observer: &counts{seen: map[string]int{}}, Logger: logger, Dispatch: dispatch.Config{Seed: 1}})
+	f := New(Config{Dialect: NativeDialect{}, Observer: &counts{seen: map[string]int{}}, Logger: logger, Dispatch: dispatch.Config{Seed: 1}})
 	r := oriolebend.Routing{Version: 1, Services: []oriolebend.RouteService{{Name: "s"}}}
 	r.Routes = []oriolebend.Route{{
 		Name: "r", Host: "h", PathPrefix: "/p/", Attempts: 1, Timeout: oriolebend.Duration(time.Second),
@@ -50,24 +51,24 @@
 	}
 	f.ChangeServers(registry.Changes{Servers: servers}, 1)
 	header := http.Header{
-		ownRequest: {"r1"}, ownDeadline: {"14000"}, ownCredential: {"Bearer key-7"}, ownPrompt: {"3200"}, ownOutput: {"2210"},
+		headerRequest: {"r1"}, headerDeadline: {"14000"}, headerCredential: {"Bearer key-7"}, headerPrompt: {"3200"}, headerOutput: {"2210"},
 		"Content-Type": {"application/json"}, "Accept": {"text/event-stream"}, "User-Agent": {"bench"},
 	}
 	request := &http1.Request{
 		Method: "POST", Host: "h", Target: "/p/x", Header: header, Body: bytes.Repeat([]byte("x"), benchBody), Received: time.Now(),
 	}
 	w := &work{f: f, request: request, deadline: time.Now().Add(time.Hour)}
-	ask, err := Own{}.Ask(header)
+	info, err := NativeDialect{}.ParseRequest(header)
 	if err != nil {
 		b.Fatal(err)
 	}
-	w.ask = ask
+	w.info = info
 	return w, f.table.Load()
 }
 
-// BenchmarkSteps measures what one request costs a forwarder, step by step, without its
-// sockets: what its caller says, its route and organisation, what it asks for, its server,
-// its header on the way, and its line in the log.
+// BenchmarkSteps measures the cost of one request in a forwarder, step by step and without its
+// sockets: parsing its headers, finding its route and its organisation, its fingerprint, choosing a
+// server, the outgoing header, and its log line.
 func BenchmarkSteps(b *testing.B) {
 	w, table := benchWork(b)
 	w.route = table.Match("h", "/p/x")
@@ -76,16 +77,16 @@
 		name string
 		run  func()
 	}{
-		{"ask", func() { _, _ = Own{}.Ask(w.request.Header) }},
+		{"ask", func() { _, _ = NativeDialect{}.ParseRequest(w.request.Header) }},
 		{"route", func() { table.Match("h", "/p/x") }},
 		{"identity", func() { w.identify(table) }},
 		{"fingerprint", func() { fingerprintOf(w.request, "o7") }},
 		{"server", func() {
-			if grant, refused := w.f.place(w.need()); refused == nil {
-				w.ended(grant, dispatch.OutcomeCancelled, 0)
+			if grant, refused := w.f.choose(w.need()); refused == nil {
+				w.reportEnded(grant, dispatch.OutcomeCancelled, 0)
 			}
 		}},
-		{"outgoing", func() { w.outgoing(Sending{Instance: "i1"}) }},
+		{"outgoing", func() { w.outgoing(SendOptions{Instance: "i1"}) }},
 		{"log", func() { w.log(http.StatusOK, "", oriolebend.RanYes) }},
 	}
 	for _, step := range steps {
