--- a/internal/reducer/dispatch/admit.go
+++ b/internal/reducer/dispatch/admit.go
@@ -6,47 +6,47 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Bounds of the share of plain requests that is admitted, by the usual time of
-// answers beside the request's target: all up to admitAll of it, none from admitNone
-// on, and in between as far as it has come.
+// The share of plain requests that is admitted depends on the usual time to the answer
+// as a part of the request's target: all are admitted up to admitAll, none from admitNone
+// on, and a linearly decreasing share in between.
 //
-// A server of plain calls with a queue answers late once it has more work than it
-// can do: each answer then takes as long as the whole queue, and for as long as the
-// load lasts hardly any is in time, though the server is never idle. One notices it
-// by answers that all take about the same, a little more than their target. With a
-// part of the requests told at once to come back the queue stays short, and those that
-// are served are served in time. Each forwarder sees the queue that all of them fill
-// in the time of its own answers, so that nobody has to be asked.
+// An overloaded server of plain requests with a queue answers late: each answer takes as
+// long as the whole queue, and for as long as the overload lasts hardly any is in time, though
+// the server is never idle. The symptom is that all answers take about the same time, a little
+// more than their target. If a part of the requests is refused at once with a retry delay,
+// the queue stays short, and the served requests are served in time. Each forwarder sees the
+// queue that all of them fill in the latency of its own answers, so that no coordination
+// is needed.
 //
-// The bounds leave half of the target to requests that take twice as long as usual. A
-// narrower band makes forwarders that see the same queue swing together between all
+// The bounds leave half of the target to requests that take twice as long as usual. With a
+// narrower band, forwarders that see the same queue oscillate together between admitting all
 // and none.
 const (
 	admitAll  = 0.4
 	admitNone = 0.8
-	// admitLeast is admitted in any case: without answers nobody would notice that
-	// the queue is gone.
+	// admitLeast is the share that is admitted in any case: without answers nobody would
+	// notice that the queue has emptied.
 	admitLeast = 0.05
-	// admitReturned is by how much the bounds are lower for a caller that comes back:
-	// it has missed its target, and takes what is to spare.
+	// admitReturned is the factor on the bounds for a caller that was refused before and
+	// returns: its target is already missed, and it gets only spare capacity.
 	admitReturned = 0.5
-	// sojournHolds is for how long the time of the last answer is believed. After
-	// that, nothing is known of the queue any more.
+	// sojournHolds is how long the latency of the last answer remains valid. After that,
+	// the length of the queue is unknown.
 	sojournHolds = 500 * time.Millisecond
 )
 
-// Callers that are told to come back are spread over a time in which a queue of
-// plain calls empties several times over; they wait for hardly half a second.
+// The retry delays of refused callers are spread over a time in which a queue of plain
+// requests empties several times; callers wait for hardly half a second.
 const (
 	retryOverloadFirst  = 250 * time.Millisecond
 	retryOverloadSpread = 300 * time.Millisecond
 )
 
-// admitted draws whether a plain request is sent to a server, by how long answers of
-// its service take of late.
+// admitted decides at random whether a plain request is sent to a server. The probability
+// depends on the recent latency of the service.
 func (s *State) admitted(e Asked, v *service) bool {
 	target := e.Need.FirstWithin
-	if target <= 0 || !v.observed(e.At) {
+	if target <= 0 || !v.sojournKnown(e.At) {
 		return true
 	}
 	all, none := admitAll*target.Seconds(), admitNone*target.Seconds()
@@ -57,40 +57,40 @@
 	return s.random.Float64() < max(admitLeast, share)
 }
 
-// observed reports whether enough plain answers came of late to tell how long they
-// take.
-func (v *service) observed(at time.Time) bool {
-	return v.sojourn.count >= medianFirst && at.Sub(v.answered) <= sojournHolds
+// sojournKnown reports whether there were enough recent plain answers to know their
+// latency.
+func (v *service) sojournKnown(at time.Time) bool {
+	return v.sojourn.count >= medianFirst && at.Sub(v.lastAnswer) <= sojournHolds
 }
 
-// Loaded reports whether answers of a service take so long that a part of its plain
-// requests is refused. A second sending beside the first one would then only make the
+// Loaded reports whether the latency of a service is so high that a part of its plain
+// requests is refused. A second send beside the first one would then only make the
 // queue longer.
 func (s *State) Loaded(at time.Time, name string, target time.Duration) bool {
 	v := s.services[name]
-	return v != nil && v.observed(at) && v.sojourn.value > admitAll*target.Seconds()
+	return v != nil && v.sojournKnown(at) && v.sojourn.value > admitAll*target.Seconds()
 }
 
-// overloaded refuses a plain request.
-func (s *State) overloaded() Refused {
+// refuseOverloaded refuses a plain request, with a random retry delay.
+func (s *State) refuseOverloaded() Refused {
 	after := retryOverloadFirst + time.Duration(s.random.Float64()*float64(retryOverloadSpread))
 	return Refused{Reason: oriolebend.ReasonOverloaded, RetryAfter: after}
 }
 
-// observe takes in how long a plain request was at its server. One that the server
-// had no room for tells that its queue is full: it counts as one that took as long as
-// its target, since a full queue is what makes answers late.
-func (v *service) observe(e Ended) {
+// observeSojourn records how long a plain request was at its server. A request that the
+// server refused for lack of room shows that the server's queue is full. It counts as one
+// that took as long as its target, because a full queue is what makes answers late.
+func (v *service) observeSojourn(e Ended) {
 	took := e.Took
 	switch e.Outcome {
 	case OutcomeRefused:
 		took = e.Grant.Need.FirstWithin
 	case OutcomeDeclined:
-		return // it tells of the server's need, and of no queue
+		return // the server declines on its own account, not because of a queue
 	}
 	if took <= 0 || e.Grant.Need.Prompt > 0 {
 		return
 	}
 	v.sojourn.add(took.Seconds())
-	v.answered = e.At
+	v.lastAnswer = e.At
 }
--- a/internal/reducer/dispatch/average.go
+++ b/internal/reducer/dispatch/average.go
@@ -6,25 +6,25 @@
 	count int
 }
 
-// averageWeight gives the last ten or so values most of the weight.
+// averageWeight gives about the last ten values most of the weight.
 const averageWeight = 0.15
 
 func (a *average) add(value float64) {
 	a.count++
-	// The first values weigh as in a plain mean, so that the start is not
-	// remembered for long.
+	// The first values are weighted as in a plain mean, so that the very first value does
+	// not dominate for long.
 	weight := max(averageWeight, 1/float64(a.count))
 	a.value += weight * (value - a.value)
 }
 
-// quantile follows a high quantile of values that may stand far out: each value
-// moves it by a small part of itself, up by nine times as much as down, so that
-// nine in ten end up below it.
+// quantile estimates the 90th percentile of values with outliers. Each value moves the
+// estimate by a small fraction of the estimate, up by nine times as much as down, so that
+// nine in ten values end up below it.
 type quantile struct{ value float64 }
 
-// quantileStep is the part by which a value moves a quantile up; the down step is
-// a ninth of it. Twenty values or so bring it from a first value that was far out
-// to twice the usual one.
+// quantileStep is the fraction by which a value moves a quantile up; the step down is a
+// ninth of it. About twenty values bring the estimate from a first value that was an
+// outlier to twice the usual value.
 const quantileStep = 0.09
 
 func (q *quantile) add(value float64) {
@@ -38,20 +38,20 @@
 	}
 }
 
-// median follows the middle of values by steps of a part of itself, so that one that
-// stands far out, such as an answer after a lost packet, moves it no more than any
-// other.
+// median estimates the median of values. Each value moves the estimate by at most a
+// fraction of the estimate, so that an outlier, such as a response after a lost packet,
+// moves it no more than any other value.
 type median struct {
 	value float64
 	count int
 }
 
 const (
-	// medianStep brings a median to three times its value within six values, which
-	// come in half a second to a forwarder that sends ten requests a second.
+	// medianStep brings a median to three times its value within six values, which a
+	// forwarder that sends ten requests a second receives in half a second.
 	medianStep = 0.2
-	// medianFirst is how many first values are taken by the least of them, so that
-	// a first one that stands far out is not what is started from.
+	// medianFirst is how many of the first values are replaced by their minimum, so that
+	// the estimate does not start from an outlier.
 	medianFirst = 4
 )
 
@@ -69,11 +69,11 @@
 	}
 }
 
-// or returns the mean, or a stand-in until there are a few values.
-func (a *average) or(standIn float64) float64 {
+// valueOr returns the mean, or the given value until the mean has enough values.
+func (a *average) valueOr(initial float64) float64 {
 	const enough = 3
 	if a.count < enough {
-		return standIn
+		return initial
 	}
 	return a.value
 }
--- a/internal/reducer/dispatch/average_test.go
+++ b/internal/reducer/dispatch/average_test.go
@@ -7,16 +7,16 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a pool of four prefill engines serves fifty, and streams begin seconds
-// late. Sequence: a caller comes back to an engine that still has its prompt, and
-// the engine answers at once. Cause: the highest rate of all was taken for the
-// engines' own. One rate far out must not move the estimate far.
+// Guards against a division that leaves four of fifty engines in the prefill pool, so that
+// streams begin seconds late. A caller returns to an engine that still holds its prompt, and the
+// engine responds at once. If the highest of all rates counted as the engines' own rate, the
+// prefill pool would seem much too fast. An outlier must not move the estimate far.
 func TestQuantileOfRates(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 0))
 	var q quantile
 	for i := range 400 {
-		rate := 20 + 30*random.Float64() // prompts that waited up to their own time
+		rate := 20 + 30*random.Float64() // prompts that waited for up to their own prefill time
 		if i%50 == 7 {
 			rate = 900
 		}
@@ -29,5 +29,5 @@
 	for range 60 {
 		q.add(50)
 	}
-	is.True(q.value < 500) // a first value far out is forgotten
+	is.True(q.value < 500) // an outlier as the first value is forgotten
 }
--- a/internal/reducer/dispatch/bench_test.go
+++ b/internal/reducer/dispatch/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// BenchmarkAsked places generations among the engines of sites of 30, 100 and 320
-// forwarders, as their leader does for each of them.
+// BenchmarkAsked chooses engines for generations at sites of 30, 100 and 320 forwarders, as
+// the leader does for all of them.
 func BenchmarkAsked(b *testing.B) {
 	for _, engines := range []int{60, 180, 1100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) { benchmarkAsked(b, engines) })
--- a/internal/reducer/dispatch/budget.go
+++ b/internal/reducer/dispatch/budget.go
@@ -2,61 +2,63 @@
 
 import "time"
 
-// budgetSlices is into how many parts the window of a budget is cut; the oldest
-// part is dropped as a whole.
+// budgetSlices is the number of slices in the window of a budget; the oldest slice is
+// dropped as a whole.
 const budgetSlices = 20
 
-// budget counts requests and repeats of one service in a sliding window.
+// budget counts the requests and retries of one service in a sliding window.
 type budget struct {
 	slices [budgetSlices]counts
-	// at is the number of the newest slice since the zero time.
-	at int64
+	// newest is the number of the newest slice, counted from the Unix epoch.
+	newest int64
 }
 
-type counts struct{ requests, repeats int }
+type counts struct{ requests, retries int }
 
-// advance drops the slices that have left the window.
+// advance drops the slices that have left the window and returns the newest one.
 func (b *budget) advance(now time.Time, window time.Duration) *counts {
-	at := now.UnixNano() / int64(window/budgetSlices)
-	if at-b.at >= budgetSlices {
+	newest := now.UnixNano() / int64(window/budgetSlices)
+	if newest-b.newest >= budgetSlices {
 		b.slices = [budgetSlices]counts{}
-		b.at = at
+		b.newest = newest
 	}
-	for b.at < at {
-		b.at++
-		b.slices[b.at%budgetSlices] = counts{}
+	for b.newest < newest {
+		b.newest++
+		b.slices[b.newest%budgetSlices] = counts{}
 	}
-	return &b.slices[b.at%budgetSlices]
+	return &b.slices[b.newest%budgetSlices]
 }
 
-func (b *budget) request(now time.Time, window time.Duration) { b.advance(now, window).requests++ }
-func (b *budget) repeat(now time.Time, window time.Duration)  { b.advance(now, window).repeats++ }
+func (b *budget) addRequest(now time.Time, window time.Duration) { b.advance(now, window).requests++ }
 
-// withdraw takes back a repeat that was not sent.
-func (b *budget) withdraw(now time.Time, window time.Duration) { b.advance(now, window).repeats-- }
+func (b *budget) addRetry(now time.Time, window time.Duration) { b.advance(now, window).retries++ }
+
+// withdrawRetry subtracts a retry that was not sent.
+func (b *budget) withdrawRetry(now time.Time, window time.Duration) { b.advance(now, window).retries-- }
 
 func (b *budget) sum() counts {
 	var all counts
 	for _, c := range b.slices {
 		all.requests += c.requests
-		all.repeats += c.repeats
+		all.retries += c.retries
 	}
 	return all
 }
 
-// budgetMargin keeps a part of the shared budget unused: forwarders learn late how
-// many they are, and a window counts from another moment at each of them.
+// budgetMargin is the part of the shared budget that is used. The rest stays unused because
+// forwarders learn late how many they are, and because the window starts at a different
+// moment in each of them.
 const budgetMargin = 0.7
 
-// mayRepeat reports whether this forwarder's part of the retry budget that all
-// forwarders share has room for one more sending.
+// mayRetry reports whether this forwarder's part of the retry budget that all forwarders
+// share has room for one more retry.
 //
-// Without a bound that is shared, a fault which makes all sendings fail
-// multiplies the load by the number of tries, and the servers stay down after
-// the fault is gone; one would notice more arrivals at servers than requests.
-func (s *State) mayRepeat(v *service, now time.Time) bool {
+// Without a shared limit, a fault that makes all sends fail multiplies the load by the
+// number of attempts, and the servers stay overloaded after the fault has ended. The symptom
+// is that servers receive more requests than callers send.
+func (s *State) mayRetry(v *service, now time.Time) bool {
 	v.budget.advance(now, s.config.RetryWindow)
 	spent := v.budget.sum()
 	allowed := s.config.RetryShare*float64(spent.requests) + s.config.RetrySlack/float64(s.forwarders)
-	return float64(spent.repeats+1) <= budgetMargin*allowed
+	return float64(spent.retries+1) <= budgetMargin*allowed
 }
--- a/internal/reducer/dispatch/choose.go
+++ b/internal/reducer/dispatch/choose.go
@@ -10,60 +10,60 @@
 )
 
 const (
-	// startRate is the prompt tokens a millisecond that prefill engines are
-	// assumed to read until some were measured.
-	startRate = 50.0
-	// otherDomain is what a server in another failure domain is set back by, in
-	// requests in progress: a plain call there costs two round trips between
-	// failure domains, less than waiting for half a request.
-	otherDomain = 0.4
-	// standsOut is how many times the usual share of failures a server may have
-	// before others go first; failuresFree is allowed in any case.
-	standsOut    = 2.0
-	failuresFree = 0.15
-	// slowOver is how many times the usual time a server may take before others
-	// go first.
-	slowOver = 2.5
+	// defaultPrefillRate is the prompt tokens per millisecond that prefill engines are
+	// assumed to process until enough prefills were measured.
+	defaultPrefillRate = 50.0
+	// otherDomainLoad is added to the load of a server in another failure domain, in
+	// requests in progress. A plain request to another failure domain costs two round trips
+	// between failure domains, less than waiting for half a request.
+	otherDomainLoad = 0.4
+	// failuresFactor is how many times the usual share of failures a server may have
+	// before other servers are preferred; failuresAllowed is allowed in any case.
+	failuresFactor  = 2.0
+	failuresAllowed = 0.15
+	// latencyFactor is how many times the usual latency a server may have before other
+	// servers are preferred.
+	latencyFactor = 2.5
 )
 
-// standing orders servers before load is looked at.
-type standing int
+// health ranks servers before their load is compared.
+type health int
 
 const (
-	standingGood    standing = iota
-	standingDoubted          // it fails more, or is slower, than the others
-	standingSilent           // it has not announced itself for a while
-	standingAvoided          // it failed a moment ago
+	healthGood    health = iota
+	healthSuspect        // it fails more often, or is slower, than the others
+	healthSilent         // it has not announced itself for a while
+	healthAvoided        // it failed a moment ago
 )
 
-func (s *State) asked(e Asked) Effect {
+func (s *State) requestPlacement(e Asked) Effect {
 	service := s.services[e.Need.Service]
 	if service == nil {
 		return Refused{Reason: oriolebend.ReasonUnknownService, RetryAfter: retryUnknown}
 	}
 	if !e.Need.Again && !e.Need.Waited {
-		service.budget.request(e.At, s.config.RetryWindow)
+		service.budget.addRequest(e.At, s.config.RetryWindow)
 	}
-	if e.Need.Again && !s.mayRepeat(service, e.At) {
+	if e.Need.Again && !s.mayRetry(service, e.At) {
 		return Refused{Reason: oriolebend.ReasonRetryBudget, RetryAfter: retryBudget}
 	}
-	grant, refused := s.place(e, service)
+	grant, refused := s.choose(e, service)
 	if refused != nil {
 		return *refused
 	}
 	if e.Need.Again {
-		service.budget.repeat(e.At, s.config.RetryWindow)
+		service.budget.addRetry(e.At, s.config.RetryWindow)
 	}
-	s.take(grant)
+	s.addWork(grant)
 	if grant.Prefill == nil && e.Need.Prompt > 0 {
 		c := s.servers[grant.Server.Instance]
-		c.readsUntil = e.At.Add(service.readTimeHere(e.Need.Prompt))
+		c.prefillsUntil = e.At.Add(service.decodePrefillTime(e.Need.Prompt))
 	}
 	return Granted{Grant: grant}
 }
 
-// counted counts a request for which another process chooses the server.
-func (s *State) counted(e Counted) Effect {
+// countRequest counts a request whose server another process chooses.
+func (s *State) countRequest(e Counted) Effect {
 	service := s.services[e.Service]
 	refused, closed := s.AllClosed(e.At, Need{Service: e.Service, Tried: e.Tried})
 	switch {
@@ -72,96 +72,101 @@
 	case closed:
 		return refused
 	case !e.Again:
-		service.budget.request(e.At, s.config.RetryWindow)
-	case !s.mayRepeat(service, e.At):
+		service.budget.addRequest(e.At, s.config.RetryWindow)
+	case !s.mayRetry(service, e.At):
 		return Refused{Reason: oriolebend.ReasonRetryBudget, RetryAfter: retryBudget}
 	default:
-		service.budget.repeat(e.At, s.config.RetryWindow)
+		service.budget.addRetry(e.At, s.config.RetryWindow)
 	}
 	return Granted{}
 }
 
-// askedSame counts one more sending to the same server against the budget.
-func (s *State) askedSame(e AskedSame) Effect {
+// checkResend counts a further send to the same server against the retry budget.
+func (s *State) checkResend(e AskedSame) Effect {
 	service := s.services[e.Grant.Need.Service]
-	if s.resting(e.At, e.Grant.Server) {
+	if s.inBackoff(e.At, e.Grant.Server) {
 		return Refused{Reason: oriolebend.ReasonServerRests, RetryAfter: retryUnknown}
 	}
-	if service == nil || !s.mayRepeat(service, e.At) {
+	if service == nil || !s.mayRetry(service, e.At) {
 		return Refused{Reason: oriolebend.ReasonRetryBudget, RetryAfter: retryBudget}
 	}
-	service.budget.repeat(e.At, s.config.RetryWindow)
+	service.budget.addRetry(e.At, s.config.RetryWindow)
 	return Granted{Grant: e.Grant}
 }
 
-// leavingFor is for how long after its leaving became known requests that have a place
-// at a server are still sent to it. Servers go on for two seconds or more once their
-// leaving is acknowledged, and it is acknowledged when forwarders know of it.
-const leavingFor = time.Second
+// leavingGrace is for how long requests that have a placement at a server are still sent to
+// it after it became known that the server is leaving. Servers keep serving for two seconds or
+// more once their leaving is acknowledged, and it is acknowledged when forwarders know of it.
+const leavingGrace = time.Second
 
-// left reports whether a server that leaves since a time is sent nothing any more.
-func left(at, leaving time.Time) bool { return !leaving.IsZero() && at.Sub(leaving) >= leavingFor }
+// graceOver reports whether a server that is leaving since a time must not be sent any
+// more requests.
+func graceOver(at, leavingSince time.Time) bool {
+	return !leavingSince.IsZero() && at.Sub(leavingSince) >= leavingGrace
+}
 
-// askedStill answers whether the server of a grant may still be sent its request.
+// checkSend decides whether the request of a grant may still be sent to its server.
 //
-// A prompt that waits in the queue of its prefill engine can outlast the time in which
-// a leaving server serves on. Sent all the same, the request reaches a server that has
-// ended, or that its operator believes to be free of work.
-func (s *State) askedStill(e AskedStill) Effect {
-	c := s.at(e.Grant.Server)
-	if c == nil && s.hasGone(e.Grant.Server) || c != nil && left(e.At, c.leaving) {
+// A prompt can wait in the queue of its prefill engine for longer than a leaving server
+// keeps serving. The request would then reach a server that has stopped, or that its
+// operator believes to be idle.
+func (s *State) checkSend(e AskedStill) Effect {
+	c := s.grantedServer(e.Grant.Server)
+	if c == nil && s.wasRemoved(e.Grant.Server) || c != nil && graceOver(e.At, c.leavingSince) {
 		return Refused{Reason: oriolebend.ReasonLeaving, RetryAfter: retryUnknown}
 	}
-	kept := s.stated[e.Grant.Server.Start()]
+	kept := s.reported[e.Grant.Server.Start()]
 	switch {
 	case kept == nil:
-	case left(e.At, kept.leaving):
+	case graceOver(e.At, kept.leavingSince):
 		return Refused{Reason: oriolebend.ReasonLeaving, RetryAfter: retryUnknown}
-	case e.At.Before(kept.restUntil):
-		return Refused{Reason: oriolebend.ReasonServerRests, RetryAfter: kept.restUntil.Sub(e.At)}
+	case e.At.Before(kept.backoffUntil):
+		return Refused{Reason: oriolebend.ReasonServerRests, RetryAfter: kept.backoffUntil.Sub(e.At)}
 	}
 	return Granted{Grant: e.Grant}
 }
 
-// askedFresh answers whether a server of a place given elsewhere takes new work.
+// checkOffer decides whether the server of a placement that was granted elsewhere accepts
+// new work.
 //
-// A control VM that is cut off from others hears late which engines leave, and gives
-// places there meanwhile; forwarders hear of it from those others. Used all the same,
-// such a place costs the reading of a prompt, which is then thrown away, or a request
-// whose engine ends under it.
+// A control VM that is partitioned from the others learns late which engines are leaving, and
+// meanwhile grants placements there; forwarders learn it from the other control VMs. Using
+// such a placement costs a prefill whose result is thrown away, or a request whose engine
+// exits while it runs.
 //
-// A server that was never heard of is another matter: whoever gave the place knows it, and
-// this forwarder may have started a moment ago. One that was heard of and has gone is told
-// as leaving, so that no more places are given there: taken for unknown, engines that had
-// crashed were given to 660 requests within five seconds in which the core was cut, each
-// of which came back with nothing learnt.
-func (s *State) askedFresh(e AskedFresh) Effect {
-	c := s.at(e.Server)
-	if c == nil && s.hasGone(e.Server) || c != nil && !c.takesWork() {
+// A server that was never listed here is accepted: the allocator knows it, and this forwarder
+// may have started a moment ago. A server that was listed and then removed is reported as
+// leaving, so that the allocator grants no more placements there. When removed servers were
+// treated as unknown, 660 requests received placements at crashed engines during five seconds
+// in which the core was partitioned, and the allocator learnt nothing from the placements
+// that were returned.
+func (s *State) checkOffer(e AskedFresh) Effect {
+	c := s.grantedServer(e.Server)
+	if c == nil && s.wasRemoved(e.Server) || c != nil && !c.acceptsWork() {
 		return Refused{Reason: oriolebend.ReasonLeaving, RetryAfter: retryUnknown}
 	}
-	if until, reason := s.closed(e.At, e.Server); reason != "" {
+	if until, reason := s.unavailable(e.At, e.Server); reason != "" {
 		return Refused{Reason: reason, RetryAfter: until.Sub(e.At)}
 	}
 	return Granted{}
 }
 
-// Times after which a refused caller may come back.
+// Retry delays for callers whose request was refused.
 const (
-	// retryUnknown is how long a server that starts takes to announce itself.
+	// retryUnknown is how long a starting server takes to announce itself.
 	retryUnknown = 500 * time.Millisecond
-	// retryBudget lets a tenth of the window of the budget pass.
+	// retryBudget is a tenth of the default window of the retry budget.
 	retryBudget = time.Second
 	// retryFull is about the time of one generation.
 	retryFull = 300 * time.Millisecond
-	// RetryLoaded is for a request that has waited for memory in vain, until it
-	// was of no use to wait on: the engines are overloaded, and bursts last for
+	// RetryLoaded is the retry delay for a request that waited for memory without success,
+	// until further waiting was of no use: the engines are overloaded, and bursts last for
 	// seconds.
 	RetryLoaded = 2 * time.Second
 )
 
-// place chooses a server, or two for a generation that is split.
-func (s *State) place(e Asked, service *service) (Grant, *Refused) {
+// choose chooses a server, or two for a generation that is split.
+func (s *State) choose(e Asked, service *service) (Grant, *Refused) {
 	candidates := s.candidates(e)
 	if len(candidates) == 0 {
 		if refused, closed := s.AllClosed(e.At, e.Need); closed {
@@ -172,17 +177,17 @@
 	defer s.scratch.clear()
 	if service.limits.Engine == nil || e.Need.Prompt == 0 {
 		if !s.admitted(e, service) {
-			refused := s.overloaded()
+			refused := s.refuseOverloaded()
 			return Grant{}, &refused
 		}
-		best := s.best(e.At, service, candidates)
-		chosen := s.least(best, func(c *server) float64 { return s.plainLoad(c) })
+		healthiest := s.healthiest(e.At, service, candidates)
+		chosen := s.leastLoaded(healthiest, func(c *server) float64 { return s.plainLoad(c) })
 		return Grant{Need: e.Need, Server: chosen.BackendServer}, nil
 	}
-	return s.placeGeneration(e, service, candidates)
+	return s.chooseEngines(e, service, candidates)
 }
 
-// candidates are the servers that may take the request.
+// candidates returns the servers to which the request may be sent.
 func (s *State) candidates(e Asked) []*server {
 	s.scratch.candidates = s.collect(s.scratch.candidates, e, func(c *server) bool {
 		return c.Role != oriolebend.Prefill && !slices.Contains(e.Need.Tried, c.Instance)
@@ -190,8 +195,9 @@
 	return s.scratch.candidates
 }
 
-// collect lists the servers of a service that take work from this forwarder and are wanted.
-// The list begins with one that the seed has chosen: among equals the first is taken.
+// collect lists the servers of a service that are available to this forwarder and for which
+// wanted returns true. The list starts at a random server: among servers of equal load the
+// first is chosen.
 func (s *State) collect(list []*server, e Asked, wanted func(*server) bool) []*server {
 	all, list := s.inOrder[e.Need.Service], list[:0]
 	if len(all) == 0 {
@@ -200,7 +206,7 @@
 	first := s.random.IntN(len(all))
 	for _, part := range [][]*server{all[first:], all[:first]} {
 		for _, c := range part {
-			if c.takesWork() && wanted(c) && s.open(e, c) {
+			if c.acceptsWork() && wanted(c) && s.available(e, c) {
 				list = append(list, c)
 			}
 		}
@@ -208,56 +214,57 @@
 	return list
 }
 
-// open reports whether a server takes something from whoever asks.
-func (s *State) open(e Asked, c *server) bool {
-	_, reason := s.closed(e.At, c.BackendServer)
+// available reports whether a server accepts the request, by the state that the server has
+// reported and the exclusions of the request.
+func (s *State) available(e Asked, c *server) bool {
+	_, reason := s.unavailable(e.At, c.BackendServer)
 	return reason == "" && !slices.Contains(e.Need.Excluded, c.Instance)
 }
 
-// scratch holds the lists that a choice goes through. The process that gives places for
-// a site makes thousands of choices a second in a peak, each among all its engines; made
-// anew each time, the lists cost as much as the choice.
-type scratch struct{ candidates, usable, fitting, readers []*server }
+// scratch holds the lists that a choice uses. The allocator makes thousands of choices a
+// second in a peak, each among all engines of a site; allocating the lists each time costs
+// as much as the choice itself.
+type scratch struct{ candidates, usable, fitting, prefillEngines []*server }
 
-// clear keeps no server alive that has left.
+// clear drops the pointers, so that no removed server is kept alive.
 func (c *scratch) clear() {
-	for _, list := range [][]*server{c.candidates, c.usable, c.fitting, c.readers} {
+	for _, list := range [][]*server{c.candidates, c.usable, c.fitting, c.prefillEngines} {
 		clear(list)
 	}
 }
 
-// takesWork reports whether the server takes new work.
-func (c *server) takesWork() bool { return c.Phase == message.PhaseReady && !c.Changing }
+// acceptsWork reports whether the server accepts new work, as far as control VMs report it.
+func (c *server) acceptsWork() bool { return c.Phase == message.PhaseReady && !c.Changing }
 
-// best keeps the servers of the best standing.
-func (s *State) best(at time.Time, service *service, list []*server) []*server {
-	least := standingAvoided
+// healthiest keeps the servers with the best health in the list.
+func (s *State) healthiest(at time.Time, service *service, list []*server) []*server {
+	best := healthAvoided
 	for _, c := range list {
-		least = min(least, service.standing(at, c))
+		best = min(best, service.healthOf(at, c))
 	}
-	return slices.DeleteFunc(list, func(c *server) bool { return service.standing(at, c) > least })
+	return slices.DeleteFunc(list, func(c *server) bool { return service.healthOf(at, c) > best })
 }
 
-// standing judges a server beside the others of its service. A share of
-// failures or a time that all servers show is the service's own, and tells
-// nothing about one of them.
-func (v *service) standing(at time.Time, c *server) standing {
+// healthOf compares a server with the others of its service. A share of failures or
+// a latency that all servers have is a property of the service, and says nothing
+// about a single server.
+func (v *service) healthOf(at time.Time, c *server) health {
 	switch {
 	case at.Before(c.avoidUntil):
-		return standingAvoided
+		return healthAvoided
 	case c.Silent:
-		return standingSilent
-	case c.failures.or(0) > failuresFree+standsOut*v.failures.or(0):
-		return standingDoubted
-	case c.took.or(0) > slowOver*v.took.or(math.Inf(1)):
-		return standingDoubted
+		return healthSilent
+	case c.failures.valueOr(0) > failuresAllowed+failuresFactor*v.failures.valueOr(0):
+		return healthSuspect
+	case c.latency.valueOr(0) > latencyFactor*v.latency.valueOr(math.Inf(1)):
+		return healthSuspect
 	}
-	return standingGood
+	return healthGood
 }
 
-// least returns the server with the lowest load; among equals the first, which
-// the seed has chosen.
-func (s *State) least(list []*server, load func(*server) float64) *server {
+// leastLoaded returns the server with the lowest load; among servers of equal load the
+// first one.
+func (s *State) leastLoaded(list []*server, load func(*server) float64) *server {
 	chosen, lowest := list[0], math.Inf(1)
 	for _, c := range list {
 		if l := load(c); l < lowest {
@@ -267,24 +274,24 @@
 	return chosen
 }
 
-// plainLoad is the load of a server of plain calls, in requests in progress.
+// plainLoad is the load of a server of plain requests, in requests in progress.
 func (s *State) plainLoad(c *server) float64 {
-	load := float64(c.busy)
+	load := float64(c.inProgress)
 	if c.FailureDomain != s.config.FailureDomain {
-		load += otherDomain
+		load += otherDomainLoad
 	}
 	return load
 }
 
-// take counts a grant as work in progress.
-func (s *State) take(g Grant) {
+// addWork counts a grant as work in progress.
+func (s *State) addWork(g Grant) {
 	c := s.servers[g.Server.Instance]
-	c.busy++
-	c.held += g.Need.Memory()
+	c.inProgress++
+	c.heldMemory += g.Need.Memory()
 	if g.Prefill == nil {
 		return
 	}
 	p := s.servers[g.Prefill.Instance]
-	p.busy++
-	p.reading += g.Need.Prompt
+	p.inProgress++
+	p.pendingPrompt += g.Need.Prompt
 }
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -10,7 +10,7 @@
 // Event changes a State.
 type Event interface{ isDispatchEvent() }
 
-// Fleet replaces what is known of the backend servers.
+// Fleet replaces the list of backend servers.
 type Fleet struct {
 	At      time.Time
 	Servers []message.BackendServer
@@ -18,77 +18,77 @@
 	Forwarders int
 }
 
-// FleetChanged tells what has changed of the backend servers.
+// FleetChanged reports changes to the list of backend servers.
 type FleetChanged struct {
 	At time.Time
-	// Servers are new or told of differently, Left names those that are gone.
+	// Servers are the servers that were added or changed, Left names the removed ones.
 	Servers []message.BackendServer
 	Left    []string
 	// Forwarders is how many forwarders there are; zero leaves the number as it was.
 	Forwarders int
 }
 
-// Services replaces what is declared of the services.
+// Services replaces the declared services.
 type Services struct{ Services []oriolebend.RouteService }
 
-// Need is what a request asks of a server.
+// Need is what a request needs of a server.
 type Need struct {
 	Service string
-	// Prompt and Output are the tokens of a generation; zero for other calls.
+	// Prompt and Output are the tokens of a generation; zero for other requests.
 	Prompt, Output int
-	// FirstWithin is the target for the first part of the answer, counted from
-	// Arrived.
+	// FirstWithin is the target for the time from Arrived to the first part of the
+	// response.
 	FirstWithin time.Duration
 	Arrived     time.Time
 	// PauseWithin is the target for the pause between two parts of a stream, zero if
 	// there is none.
 	PauseWithin time.Duration
-	// Returned is set if its caller has been refused before, or seems to have been:
-	// its target is missed.
+	// Returned is set if the caller's request was, or appears to have been, refused before
+	// and is repeated: its target is already missed.
 	Returned bool
-	// FailureDomain is where the forwarder stands that carries the request; empty means
-	// that it is not known.
+	// FailureDomain is the failure domain of the forwarder that carries the request; empty
+	// if it is unknown.
 	FailureDomain string
 	// Tried are the instances that the request was sent to before.
 	Tried []string
-	// Excluded are further instances that are not to be chosen, neither to answer nor to
-	// read the prompt: those that take nothing from the forwarder now.
+	// Excluded are further instances that must not be chosen, neither for the response nor
+	// for the prefill, because they currently accept nothing from the forwarder.
 	Excluded []string
-	// Again is set if this sending is beyond the request's first.
+	// Again is set if this send is a retry, not the first send of the request.
 	Again bool
-	// Waited is set if the request has asked before and found no room.
+	// Waited is set if a placement was requested before and no server had room.
 	Waited bool
 }
 
-// Asked asks where to send a request.
+// Asked requests a placement: the server to which a request is sent.
 type Asked struct {
 	At   time.Time
 	Need Need
 }
 
-// Counted counts a request for which another process chooses the server, so
-// that repeats of it stay within this forwarder's part of the retry budget.
+// Counted counts a request whose server another process chooses, so that its
+// retries stay within this forwarder's part of the retry budget.
 type Counted struct {
 	At      time.Time
 	Service string
 	// Tried are the instances that the request was sent to before.
 	Tried []string
-	// Again is set for a sending beyond the first.
+	// Again is set if this send is a retry.
 	Again bool
 }
 
-// Read tells that a prefill engine has read a prompt, at a place that was given
-// here or elsewhere.
+// Read reports how long the prefill of a prompt took, for a placement that was
+// granted here or elsewhere.
 type Read struct {
 	Need Need
 	Took time.Duration
-	// Ahead is that of the grant.
+	// Ahead is Grant.Ahead of the placement.
 	Ahead int
-	// Here is set if the engine that generates has read it itself.
+	// Here is set if the decode engine prefilled the prompt itself.
 	Here bool
 }
 
-// Written tells that a generation has ended, and how long it wrote.
+// Written reports that a generation has ended, and how long the engine wrote.
 type Written struct {
 	Need Need
 	Took time.Duration
@@ -96,77 +96,78 @@
 	Parts int
 }
 
-// AskedSame asks whether a request may be sent once more to the server that has
-// its place.
+// AskedSame asks whether a request may be sent again to the server of its
+// placement.
 type AskedSame struct {
 	At    time.Time
 	Grant Grant
 }
 
-// AskedFresh asks whether a server of a place that another process has just given
-// takes new work, as far as is known here.
+// AskedFresh asks whether the server of a placement that another process has just
+// granted accepts new work, as far as this forwarder knows.
 type AskedFresh struct {
 	At     time.Time
 	Server message.BackendServer
 }
 
-// AskedStill asks whether a request may still be sent to the server that has its
-// place. Its prompt was read meanwhile, which can take seconds in a peak.
+// AskedStill asks whether a request may still be sent to the server of its placement. Its
+// prompt was prefilled in the meantime, which can take seconds in a peak.
 type AskedStill struct {
 	At    time.Time
 	Grant Grant
 }
 
-// Outcome is how a sending ended.
+// Outcome is how a send ended.
 type Outcome string
 
 const (
-	// OutcomeAnswered is a whole answer of the server, whatever its status.
+	// OutcomeAnswered is a complete response of the server, whatever its status.
 	OutcomeAnswered Outcome = "answered"
-	// OutcomeFailed is an answer that tells of a failure of the server.
+	// OutcomeFailed is a response that reports a failure of the server.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeRefused is an answer that the request was not run for lack of room.
+	// OutcomeRefused is a response that the request was not run for lack of room.
 	OutcomeRefused Outcome = "refused"
 	// OutcomeFull is a reservation refused for lack of memory; nothing was sent.
 	OutcomeFull Outcome = "full"
-	// OutcomeWithheld means that the server has no room for the request by a limit that it
-	// has named; nothing was sent.
+	// OutcomeWithheld means that nothing was sent, because of a limit or a backoff period
+	// that the server has reported, or because this forwarder holds as many bytes as it may.
 	OutcomeWithheld Outcome = "withheld"
-	// OutcomeDeclined is an answer that the request was not run, by a server that has said
-	// of itself that it takes less.
+	// OutcomeDeclined is a response that the request was not run, by a server that has
+	// reported a limit or a backoff period, or that it is leaving.
 	OutcomeDeclined Outcome = "declined"
-	// OutcomeBroken is no answer, half of one, or one that can't be believed.
+	// OutcomeBroken is a missing, incomplete or implausible response.
 	OutcomeBroken Outcome = "broken"
-	// OutcomeCut is half of an answer whose server may still work on the request.
+	// OutcomeCut is an incomplete response of a server that may still work on the request.
 	OutcomeCut Outcome = "cut"
-	// OutcomeLeft means that the server was found to take no new work; nothing was
+	// OutcomeLeft means that the server was found to accept no new work; nothing was
 	// sent.
 	OutcomeLeft Outcome = "left"
 	// OutcomeMoved means that another instance has the server's address.
 	OutcomeMoved Outcome = "moved"
-	// OutcomeCancelled says nothing about the server.
+	// OutcomeCancelled implies nothing about the server.
 	OutcomeCancelled Outcome = "cancelled"
 )
 
-// Ended reports how a sending ended. Each Granted is followed by one.
+// Ended reports how a send ended and releases its placement. Each Granted is followed by
+// one Ended.
 type Ended struct {
 	At      time.Time
 	Grant   Grant
 	Outcome Outcome
-	// Took is the time to the first part of the answer, zero if there is none.
+	// Took is the time to the first part of the response, zero if there is none.
 	Took time.Duration
 }
 
-// PromptRead reports that the prefill engine of a grant is done with it, also if
-// it was never asked.
+// PromptRead reports that the prefill engine of a grant is no longer needed for it, also
+// if no request was sent to the engine.
 type PromptRead struct {
 	At    time.Time
 	Grant Grant
-	// Took is for whoever gave the place elsewhere.
+	// Took is used only by the process that granted the placement, if it is another one.
 	Took time.Duration
-	// Failed is set if the engine brought no result.
+	// Failed is set if the engine returned no result.
 	Failed bool
-	// Unused is set if it was not asked, or not waited for.
+	// Unused is set if no request was sent to the engine, or its result was not awaited.
 	Unused bool
 }
 
@@ -194,8 +195,8 @@
 
 func (PromptRead) isDispatchEvent() {}
 
-// Judged reports what the end of a sending tells of its server, whose place is given
-// back by a later Ended: the server may still work on the request.
+// Judged reports the outcome of a send before its placement is released by a later Ended:
+// the server may still work on the request.
 type Judged Ended
 
 func (Judged) isDispatchEvent() {}
@@ -203,26 +204,26 @@
 // Effect is what the caller of Reduce has to do.
 type Effect interface{ isDispatchEffect() }
 
-// Grant is a place at a server for one sending.
+// Grant is a placement at a server for one send.
 type Grant struct {
 	Need   Need
 	Server message.BackendServer
-	// Prefill is the engine that reads the prompt before; nil if Server does.
+	// Prefill is the engine that prefills the prompt; nil if Server does.
 	Prefill *message.BackendServer
-	// Ahead is the prompt tokens that Prefill had to read before this request's.
+	// Ahead is the prompt tokens that Prefill had to process before this request's.
 	Ahead int
-	// Remote numbers a place that another process gave; zero means that it was
+	// Remote numbers a placement that another process granted; zero means that it was
 	// granted here.
 	Remote uint64
-	// Told numbers a place that was granted here and is told to the process that
-	// gives places; zero means that it is not.
+	// Told numbers a placement that was granted here and is reported to the allocator,
+	// the process that grants placements; zero means that it is not reported.
 	Told uint64
 }
 
-// Granted asks to send the request.
+// Granted means that the request is to be sent.
 type Granted struct{ Grant Grant }
 
-// Refused asks to refuse the request; it was sent nowhere.
+// Refused means that the request is to be refused; it was sent nowhere.
 type Refused struct {
 	Reason oriolebend.Reason
 	// RetryAfter is when there is likely to be room.
--- a/internal/reducer/dispatch/fleet.go
+++ b/internal/reducer/dispatch/fleet.go
@@ -10,113 +10,114 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// fleet replaces all that is known of the backend servers.
-func (s *State) fleet(e Fleet) {
-	named := make(map[string]struct{}, len(e.Servers))
-	for _, told := range e.Servers {
-		named[told.Instance] = struct{}{}
+// replaceServers replaces the list of backend servers.
+func (s *State) replaceServers(e Fleet) {
+	listed := make(map[string]struct{}, len(e.Servers))
+	for _, current := range e.Servers {
+		listed[current.Instance] = struct{}{}
 	}
 	changed := FleetChanged{At: e.At, Servers: e.Servers, Forwarders: e.Forwarders}
 	for name := range s.servers {
-		if _, still := named[name]; !still {
+		if _, still := listed[name]; !still {
 			changed.Left = append(changed.Left, name)
 		}
 	}
-	s.fleetChanged(changed)
+	s.applyServerChanges(changed)
 }
 
-// fleetChanged takes in what has changed of the backend servers.
-func (s *State) fleetChanged(e FleetChanged) {
+// applyServerChanges applies changes to the list of backend servers.
+func (s *State) applyServerChanges(e FleetChanged) {
 	if e.Forwarders > 0 {
 		s.forwarders = e.Forwarders
 	}
-	for _, told := range e.Servers {
-		s.told(e.At, told)
+	for _, current := range e.Servers {
+		s.updateServer(e.At, current)
 	}
 	for _, name := range e.Left {
-		s.left(e.At, name)
+		s.removeServer(e.At, name)
 	}
 }
 
-// told takes in what is told of one server.
-func (s *State) told(at time.Time, told message.BackendServer) {
-	kept := s.servers[told.Instance]
-	if kept == nil || kept.Incarnation != told.Incarnation || kept.Service != told.Service {
+// updateServer adds a server or updates the description of a known one.
+func (s *State) updateServer(at time.Time, current message.BackendServer) {
+	kept := s.servers[current.Instance]
+	if kept == nil || kept.Incarnation != current.Incarnation || kept.Service != current.Service {
 		s.unlist(kept)
 		if kept != nil {
-			s.noteGone(at, kept.BackendServer)
+			s.noteRemoved(at, kept.BackendServer)
 		}
-		kept = &server{} // one that has started again holds nothing of before
-		s.servers[told.Instance] = kept
+		kept = &server{} // a restarted server has none of the work of its earlier incarnation
+		s.servers[current.Instance] = kept
 	}
 	listed := kept.Instance != ""
-	if kept.Role != told.Role {
-		kept.took = average{}
+	if kept.Role != current.Role {
+		kept.latency = average{}
 	}
-	kept.BackendServer, kept.left = told, false
-	kept.leave(at)
+	kept.BackendServer, kept.removed = current, false
+	kept.updateLeaving(at)
 	if !listed {
 		s.list(kept)
 	}
 }
 
-// left forgets a server that is no longer told of. While work is there it keeps its
-// counts.
-func (s *State) left(at time.Time, name string) {
+// removeServer removes a server that is no longer listed. While requests are in progress
+// there its counts are kept.
+func (s *State) removeServer(at time.Time, name string) {
 	c := s.servers[name]
 	if c == nil {
 		return
 	}
-	c.Phase, c.left = message.PhaseGone, true
-	c.leave(at)
-	s.noteGone(at, c.BackendServer)
-	s.forget(c)
+	c.Phase, c.removed = message.PhaseGone, true
+	c.updateLeaving(at)
+	s.noteRemoved(at, c.BackendServer)
+	s.dropIfIdle(c)
 }
 
-// goneFor is for how long at least a start of a server is known to have gone, and how often
-// what is older is forgotten. Places given by who has not heard of it may come until then:
-// as long as a partition of the core lasts at times, and what is given before its end.
-const goneFor = 30 * time.Second
-
-// noteGone remembers that a start of a server has gone.
-func (s *State) noteGone(at time.Time, server message.BackendServer) {
-	if at.Sub(s.goneLooked) >= goneFor { // not for each of thousands that go at once
-		s.goneLooked = at
-		maps.DeleteFunc(s.gone, func(start message.ServerStart, since time.Time) bool {
-			if at.Sub(since) < goneFor {
+// rememberRemoved is the shortest time for which a removed incarnation is remembered, and
+// the interval at which older ones are forgotten. Until then, placements may arrive from an
+// allocator that has not received the removal: a partition of the core sometimes lasts that
+// long, and placements granted before its end arrive after it.
+const rememberRemoved = 30 * time.Second
+
+// noteRemoved remembers that an incarnation of a server was removed.
+func (s *State) noteRemoved(at time.Time, server message.BackendServer) {
+	if at.Sub(s.removedPruned) >= rememberRemoved { // not once for each of thousands removed together
+		s.removedPruned = at
+		maps.DeleteFunc(s.removed, func(start message.ServerStart, since time.Time) bool {
+			if at.Sub(since) < rememberRemoved {
 				return false
 			}
-			if c := s.known(start); c == nil || c.left { // it has not been told of anew
-				delete(s.stated, start)
+			if c := s.serverByStart(start); c == nil || c.removed { // it was not listed again
+				delete(s.reported, start)
 			}
 			return true
 		})
 	}
-	s.gone[server.Start()] = at
+	s.removed[server.Start()] = at
 }
 
-// hasGone reports whether a server that is not known is known to have gone.
-func (s *State) hasGone(server message.BackendServer) bool {
-	_, gone := s.gone[server.Start()]
-	return gone
+// wasRemoved reports whether the incarnation of a server is remembered as removed.
+func (s *State) wasRemoved(server message.BackendServer) bool {
+	_, removed := s.removed[server.Start()]
+	return removed
 }
 
-// forget drops a server that is no longer told of once its last work has ended.
-func (s *State) forget(c *server) {
-	if c.left && c.busy == 0 {
+// dropIfIdle drops a removed server once its last request has ended.
+func (s *State) dropIfIdle(c *server) {
+	if c.removed && c.inProgress == 0 {
 		s.unlist(c)
 		delete(s.servers, c.Instance)
 	}
 }
 
-// list adds a server to those of its service.
+// list adds a server to the list of its service.
 func (s *State) list(c *server) {
 	list := s.inOrder[c.Service]
 	at, _ := slices.BinarySearchFunc(list, c.Instance, byInstance)
 	s.inOrder[c.Service] = slices.Insert(list, at, c)
 }
 
-// unlist takes a server from those of its service; nil is none.
+// unlist removes a server from the list of its service; nil is ignored.
 func (s *State) unlist(c *server) {
 	if c == nil {
 		return
@@ -129,10 +130,10 @@
 
 func byInstance(c *server, instance string) int { return cmp.Compare(c.Instance, instance) }
 
-// FreeShare is the share of the KV memory of a service's decode engines that
-// nothing granted here needs. Engines that take no work have none, nor have silent
-// ones: most of these are lost for good, and memory counted there looks as if it lay
-// idle while requests wait.
+// FreeShare is the share of the KV memory of a service's decode engines that no grant
+// of this state needs. Engines that accept no work do not count. Neither do silent
+// engines: most of these are lost for good, and counting their memory would make it
+// look idle while requests wait.
 func (s *State) FreeShare(at time.Time, name string) float64 {
 	v := s.services[name]
 	if v == nil || v.limits.Engine == nil {
@@ -140,12 +141,12 @@
 	}
 	total, free := 0, 0
 	for _, c := range s.servers {
-		if c.Service != name || c.Role == oriolebend.Prefill || !c.takesWork() || c.Silent {
+		if c.Service != name || c.Role == oriolebend.Prefill || !c.acceptsWork() || c.Silent {
 			continue
 		}
 		total += v.limits.Engine.KVTokens
 		if !at.Before(c.avoidUntil) {
-			free += max(0, v.limits.Engine.KVTokens-c.held)
+			free += max(0, v.limits.Engine.KVTokens-c.heldMemory)
 		}
 	}
 	if total == 0 {
@@ -154,19 +155,19 @@
 	return float64(free) / float64(total)
 }
 
-// leave notes since when a server takes no new work for good.
-func (c *server) leave(at time.Time) {
+// updateLeaving records since when a server permanently accepts no new work.
+func (c *server) updateLeaving(at time.Time) {
 	switch {
 	case c.Phase == message.PhaseReady:
-		c.leaving = time.Time{}
-	case c.leaving.IsZero():
-		c.leaving = at
+		c.leavingSince = time.Time{}
+	case c.leavingSince.IsZero():
+		c.leavingSince = at
 	}
 }
 
-// at is the server of a grant, nil if it is not known or has started again since:
-// what the grant took there is gone with the earlier start.
-func (s *State) at(granted message.BackendServer) *server {
+// grantedServer returns the server of a grant, or nil if it is unknown or has restarted
+// since: the work of the grant ended with the earlier incarnation.
+func (s *State) grantedServer(granted message.BackendServer) *server {
 	c := s.servers[granted.Instance]
 	if c == nil || !c.SameStart(granted) {
 		return nil
@@ -174,28 +175,28 @@
 	return c
 }
 
-// known is the server of a name, nil if that start is not known.
-func (s *State) known(e message.ServerStart) *server {
-	return s.at(message.BackendServer{Instance: e.Instance, Incarnation: e.Incarnation})
+// serverByStart returns the server with an incarnation, or nil if that incarnation is unknown.
+func (s *State) serverByStart(e message.ServerStart) *server {
+	return s.grantedServer(message.BackendServer{Instance: e.Instance, Incarnation: e.Incarnation})
 }
 
-// Resume takes up a place that was granted elsewhere; false means that its
-// server is not known, or has started again since.
+// Resume records a placement that was granted elsewhere. It returns false if the server
+// is unknown or has restarted since.
 func Resume(s *State, n Need, server, prefill message.ServerStart) (Grant, bool) {
-	c := s.known(server)
+	c := s.serverByStart(server)
 	if c == nil {
 		return Grant{}, false
 	}
 	grant := Grant{Need: n, Server: c.BackendServer}
-	if p := s.known(prefill); p != nil {
-		reader := p.BackendServer
-		grant.Prefill = &reader
+	if p := s.serverByStart(prefill); p != nil {
+		prefillServer := p.BackendServer
+		grant.Prefill = &prefillServer
 	}
-	s.take(grant)
+	s.addWork(grant)
 	return grant, true
 }
 
-// FreeShares is FreeShare of every service with engines.
+// FreeShares returns FreeShare for each service with engines.
 func (s *State) FreeShares(at time.Time) map[string]float64 {
 	shares := map[string]float64{}
 	for name, v := range s.services {
--- a/internal/reducer/dispatch/fleet_test.go
+++ b/internal/reducer/dispatch/fleet_test.go
@@ -15,9 +15,9 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Symptom: the log says that an eighth of the memory is free for ten seconds in which
-// requests are refused for lack of it. Sequence: one of eight engines is lost for good,
-// and is silent from then on. Cause: its memory counted as free.
+// Guards against a log that reports an eighth of the memory as free for ten seconds in which
+// requests are refused for lack of it. One of eight engines is lost for good and is silent from
+// then on. Its memory must not count as free.
 func TestMemoryOfSilentEnginesIsNotFree(t *testing.T) {
 	is := is.New(t)
 	s := New(Config{Seed: 1})
@@ -31,31 +31,31 @@
 	is.Equal(s.FreeShare(scriptStart, "s"), 0.0)
 }
 
-// What changes in the fleet, told one by one, leaves the same as the whole told at once,
-// also of servers that leave while work is there.
-func TestFleetChangesAddUpToTheWhole(t *testing.T) {
+// Single changes to the list of servers lead to the same state as replacing the complete list,
+// also for servers that are removed while they have work in progress.
+func TestServerChangesEqualCompleteList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole, changed := New(Config{Seed: 1}), New(Config{Seed: 1})
+		complete, changed := New(Config{Seed: 1}), New(Config{Seed: 1})
 		both := func(e Event) []Effect {
-			Reduce(whole, e)
+			Reduce(complete, e)
 			return Reduce(changed, e)
 		}
 		both(Services{Services: []oriolebend.RouteService{{Name: "s"}, {Name: "t"}}})
-		now, told := scriptStart, map[string]message.BackendServer{}
+		now, current := scriptStart, map[string]message.BackendServer{}
 		var open []Grant
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			name := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "instance")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				told[name] = message.BackendServer{
+				current[name] = message.BackendServer{
 					Instance: name, Service: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "service"),
 					Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"),
 					Phase:       rapid.SampledFrom([]message.ServerPhase{message.PhaseReady, message.PhaseDraining}).Draw(t, "phase"),
 				}
-				Reduce(changed, FleetChanged{At: now, Servers: []message.BackendServer{told[name]}})
+				Reduce(changed, FleetChanged{At: now, Servers: []message.BackendServer{current[name]}})
 			case 1:
-				delete(told, name)
+				delete(current, name)
 				Reduce(changed, FleetChanged{At: now, Left: []string{name}})
 			case 2:
 				if g, ok := both(Asked{At: now, Need: Need{Service: "s"}})[0].(Granted); ok {
@@ -67,20 +67,20 @@
 					open = open[1:]
 				}
 			}
-			Reduce(whole, Fleet{At: now, Servers: slices.Collect(maps.Values(told))})
-			if a, b := listed(whole), listed(changed); a != b {
-				t.Fatalf("told whole %s\ntold changes %s", a, b)
+			Reduce(complete, Fleet{At: now, Servers: slices.Collect(maps.Values(current))})
+			if a, b := describe(complete), describe(changed); a != b {
+				t.Fatalf("from complete lists: %s\nfrom changes: %s", a, b)
 			}
 		}
 	})
 }
 
-// listed prints the servers of a state as requests find them.
-func listed(s *State) string {
+// describe prints the servers of a state in the order in which requests see them.
+func describe(s *State) string {
 	var out strings.Builder
 	for _, service := range []string{"s", "t"} {
 		for _, c := range s.inOrder[service] {
-			fmt.Fprintf(&out, "%s:%s@%d %s busy %d, ", service, c.Instance, c.Incarnation, c.Phase, c.busy)
+			fmt.Fprintf(&out, "%s:%s@%d %s in progress %d, ", service, c.Instance, c.Incarnation, c.Phase, c.inProgress)
 		}
 	}
 	fmt.Fprint(&out, len(s.servers), " known")
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -8,69 +8,72 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Notice is what a server says of itself with an answer, whatever the answer is.
+// Notice is the state that a server reports in the headers of a response, whatever the
+// response is.
 type Notice struct {
-	// Leaving is set if the server takes no new work.
+	// Leaving is set if the server accepts no new work.
 	Leaving bool
-	// Rest is for how long the server wants no request from this VM; zero means that it
-	// does not say so.
+	// Rest is the backoff period for which the server wants no request from this VM; zero
+	// means that it reports none.
 	Rest time.Duration
-	// Limited is set if the server names a limit, PerSecond the requests a second that it
-	// takes from all VMs together for as long as it names it.
+	// Limited is set if the server reports a rate limit. PerSecond is the requests per second
+	// that it accepts from all VMs together for as long as it reports the limit.
 	Limited   bool
 	PerSecond float64
 }
 
-// Noticed tells what a server has said with an answer.
+// Noticed reports the notice that came with a response.
 type Noticed struct {
 	At time.Time
-	// Sent is when the request was sent that was answered.
+	// Sent is when the request of the response was sent.
 	Sent   time.Time
 	Server message.BackendServer
 	Notice Notice
-	// Served is set if the request was served and the whole notice could be read: another
-	// answer may lack what the server would have said.
+	// Served is set if the request was served and the complete notice could be read: other
+	// responses may lack a part of the notice.
 	Served bool
 }
 
 func (Noticed) isDispatchEvent() {}
 
-// Learnt tells what was new in a notice. It is told for the log.
+// Learnt reports what a notice changed. It is meant for the log.
 type Learnt struct {
-	// Leaving is set if the server had not said so before.
+	// Leaving is set if the server had not reported before that it is leaving.
 	Leaving bool
-	// Rest is for how long the server is left alone from now on; zero means no longer than
-	// was known.
+	// Rest is the backoff period of the server from now on; zero means that it ends no later
+	// than the backoff period known before.
 	Rest time.Duration
-	// Limited is set if the limit is new or another one, Ended if there is none any more.
+	// Limited is set if the server reports a limit for the first time or a different one,
+	// Ended if the server no longer reports a limit.
 	Limited, Ended bool
 	PerSecond      float64
 }
 
 func (Learnt) isDispatchEffect() {}
 
-// stated is what one start of a server has said of itself. It is kept apart from what control
-// VMs tell of the server: one that is forgotten and told of anew has said it all the same.
-type stated struct {
-	// leaving is since when it says that it leaves, zero if it does not.
-	leaving   time.Time
-	restUntil time.Time
-	limited   bool
-	perSecond float64
-	// named is when an answer named the limit last, next from when a permission to send is
-	// worth asking for.
-	named, next time.Time
-}
-
-// Withheld tells that a permission to send to a server with a limit was refused.
+// reportedState is the state that one incarnation of a server has reported. It is kept apart
+// from what control VMs report about the server: it stays valid for a server that control VMs
+// remove from the list and add again.
+type reportedState struct {
+	// leavingSince is when the server reported that it is leaving, zero if it did not.
+	leavingSince time.Time
+	backoffUntil time.Time
+	limited      bool
+	perSecond    float64
+	// limitReported is when a response last reported the limit, nextPermission from when on a
+	// permission to send is worth requesting.
+	limitReported, nextPermission time.Time
+}
+
+// Withheld reports that a permission to send to a server with a rate limit was refused.
 type Withheld struct {
 	At     time.Time
 	Server message.BackendServer
-	// After is when another one may be asked for.
+	// After is when another permission may be requested.
 	After time.Duration
 }
 
-// LimitEnded tells that a server is known to have named no limit since a time.
+// LimitEnded reports that a server is known to have reported no limit since At.
 type LimitEnded struct {
 	At     time.Time
 	Server message.BackendServer
@@ -80,141 +83,143 @@
 
 func (LimitEnded) isDispatchEvent() {}
 
-// noticed takes in what a server has said, and returns what of it is new.
-func (s *State) noticed(e Noticed) []Effect {
-	kept := s.stated[e.Server.Start()]
+// applyNotice applies the notice of a server and returns what it changed.
+func (s *State) applyNotice(e Noticed) []Effect {
+	kept := s.reported[e.Server.Start()]
 	if kept == nil {
 		if e.Notice == (Notice{}) {
 			return nil
 		}
-		kept = &stated{}
-		s.stated[e.Server.Start()] = kept
+		kept = &reportedState{}
+		s.reported[e.Server.Start()] = kept
 	}
-	learnt := kept.take(e)
-	if learnt == (Learnt{}) {
+	changes := kept.apply(e)
+	if changes == (Learnt{}) {
 		return nil
 	}
-	return []Effect{learnt}
+	return []Effect{changes}
 }
 
-func (k *stated) take(e Noticed) Learnt {
-	var learnt Learnt
-	if e.Notice.Leaving && k.leaving.IsZero() {
-		k.leaving, learnt.Leaving = e.At, true
+func (k *reportedState) apply(e Noticed) Learnt {
+	var changes Learnt
+	if e.Notice.Leaving && k.leavingSince.IsZero() {
+		k.leavingSince, changes.Leaving = e.At, true
 	}
-	if until := e.At.Add(e.Notice.Rest); e.Notice.Rest > 0 && until.After(k.restUntil) {
-		k.restUntil, learnt.Rest = until, e.Notice.Rest
+	if until := e.At.Add(e.Notice.Rest); e.Notice.Rest > 0 && until.After(k.backoffUntil) {
+		k.backoffUntil, changes.Rest = until, e.Notice.Rest
 	}
 	switch {
 	case e.Notice.Limited:
 		if !k.limited || k.perSecond != e.Notice.PerSecond {
-			learnt.Limited, learnt.PerSecond = true, e.Notice.PerSecond
+			changes.Limited, changes.PerSecond = true, e.Notice.PerSecond
 		}
-		k.limited, k.perSecond, k.named = true, e.Notice.PerSecond, e.At
-	case k.limited && e.Served && e.Sent.After(k.named):
-		// An answer that was under way while the limit was named says nothing about now.
-		k.limited, learnt.Ended = false, true
+		k.limited, k.perSecond, k.limitReported = true, e.Notice.PerSecond, e.At
+	case k.limited && e.Served && e.Sent.After(k.limitReported):
+		// A response that was in flight when the limit was reported does not end the limit.
+		k.limited, changes.Ended = false, true
 	}
-	return learnt
+	return changes
 }
 
-func (s *State) withheld(e Withheld) {
-	if kept := s.stated[e.Server.Start()]; kept != nil {
-		kept.next = e.At.Add(e.After)
+func (s *State) delayPermission(e Withheld) {
+	if kept := s.reported[e.Server.Start()]; kept != nil {
+		kept.nextPermission = e.At.Add(e.After)
 	}
 }
 
-func (s *State) limitEnded(e LimitEnded) {
-	if kept := s.stated[e.Server.Start()]; kept != nil && !kept.named.After(e.At) {
+func (s *State) clearLimit(e LimitEnded) {
+	if kept := s.reported[e.Server.Start()]; kept != nil && !kept.limitReported.After(e.At) {
 		kept.limited = false
 	}
 }
 
-// Limit is the limit that a server has named.
+// Limit is the rate limit that a server has reported.
 type Limit struct {
 	PerSecond float64
-	// Named is when an answer named it last.
+	// Named is when a response last reported the limit.
 	Named time.Time
 }
 
-// Limit returns the limit of a server, false if it has none as far as is known.
+// Limit returns the limit of a server, false if no limit is known.
 func (s *State) Limit(server message.BackendServer) (Limit, bool) {
-	kept := s.stated[server.Start()]
+	kept := s.reported[server.Start()]
 	if kept == nil || !kept.limited {
 		return Limit{}, false
 	}
-	return Limit{PerSecond: kept.perSecond, Named: kept.named}, true
+	return Limit{PerSecond: kept.perSecond, Named: kept.limitReported}, true
 }
 
-// ClosedReason is why a server takes nothing from this forwarder now, empty if it does.
+// ClosedReason returns why a server currently accepts nothing from this forwarder, empty if it
+// does.
 func (s *State) ClosedReason(at time.Time, server message.BackendServer) oriolebend.Reason {
-	_, reason := s.closed(at, server)
+	_, reason := s.unavailable(at, server)
 	return reason
 }
 
-// closed is until when a server takes nothing from this forwarder, by what it has said of
-// itself, and why; the reason is empty if it does.
-func (s *State) closed(at time.Time, server message.BackendServer) (time.Time, oriolebend.Reason) {
-	if len(s.stated) == 0 {
+// unavailable returns until when and why a server accepts nothing from this forwarder, by the
+// state that the server has reported. The reason is empty if the server accepts requests.
+func (s *State) unavailable(at time.Time, server message.BackendServer) (time.Time, oriolebend.Reason) {
+	if len(s.reported) == 0 {
 		return time.Time{}, ""
 	}
-	kept := s.stated[server.Start()]
+	kept := s.reported[server.Start()]
 	if kept == nil {
 		return time.Time{}, ""
 	}
-	return kept.closed(at)
+	return kept.unavailable(at)
 }
 
-func (k *stated) closed(at time.Time) (time.Time, oriolebend.Reason) {
+func (k *reportedState) unavailable(at time.Time) (time.Time, oriolebend.Reason) {
 	switch {
-	case !k.leaving.IsZero():
+	case !k.leavingSince.IsZero():
 		return at.Add(retryUnknown), oriolebend.ReasonLeaving
-	case at.Before(k.restUntil):
-		return k.restUntil, oriolebend.ReasonServerRests
-	case k.limited && at.Before(k.next):
-		return k.next, oriolebend.ReasonServerLimit
+	case at.Before(k.backoffUntil):
+		return k.backoffUntil, oriolebend.ReasonServerRests
+	case k.limited && at.Before(k.nextPermission):
+		return k.nextPermission, oriolebend.ReasonServerLimit
 	}
 	return time.Time{}, ""
 }
 
-// resting reports whether a server has asked for rest that is not over.
-func (s *State) resting(at time.Time, server message.BackendServer) bool {
-	kept := s.stated[server.Start()]
-	return kept != nil && at.Before(kept.restUntil)
+// inBackoff reports whether a server is within a backoff period that it has requested.
+func (s *State) inBackoff(at time.Time, server message.BackendServer) bool {
+	kept := s.reported[server.Start()]
+	return kept != nil && at.Before(kept.backoffUntil)
 }
 
-// Closed lists the servers of a service that take nothing from this forwarder now.
+// Closed lists the servers of a service that currently accept nothing from this forwarder.
 func (s *State) Closed(at time.Time, name string) []string {
-	if len(s.stated) == 0 {
+	if len(s.reported) == 0 {
 		return nil
 	}
 	var list []string
 	for _, c := range s.inOrder[name] {
-		if _, reason := s.closed(at, c.BackendServer); reason != "" {
+		if _, reason := s.unavailable(at, c.BackendServer); reason != "" {
 			list = append(list, c.Instance)
 		}
 	}
 	return list
 }
 
-// retryClosed is the shortest time that a caller is told whom no server takes.
+// retryClosed is the shortest retry delay for a caller whose request no server accepts.
 const retryClosed = 50 * time.Millisecond
 
-// AllClosed reports whether no server of a service takes a request for what the servers have
-// said of themselves, and then why and when the first of them may.
+// AllClosed reports whether every server of a service rejects a request because of the state
+// that the servers have reported. If so, the result says why, and when the first of them may
+// accept one.
 func (s *State) AllClosed(at time.Time, n Need) (Refused, bool) {
 	var first time.Time
 	var refused Refused
 	for _, c := range s.inOrder[n.Service] {
-		if !c.takesWork() || c.Role == oriolebend.Prefill || slices.Contains(n.Tried, c.Instance) {
+		if !c.acceptsWork() || c.Role == oriolebend.Prefill || slices.Contains(n.Tried, c.Instance) {
 			continue
 		}
-		until, reason := s.closed(at, c.BackendServer)
+		until, reason := s.unavailable(at, c.BackendServer)
 		switch reason {
 		case "":
 			return Refused{}, false
 		case oriolebend.ReasonLeaving:
-			continue // it takes nothing any more
+			continue // it never accepts requests again
 		}
 		if refused.Reason == "" || until.Before(first) {
 			first, refused.Reason = until, reason
--- a/internal/reducer/dispatch/overload_test.go
+++ b/internal/reducer/dispatch/overload_test.go
@@ -14,18 +14,17 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// plainSite is a plain service with a queue before it and forwarders that see only
-// the time of their own answers. Work takes 30 ms on average and up to three times as
-// long for one request in twenty; a server works on 6 requests at a time and lets 24
-// more wait, which is what such servers were seen to do.
+// plainSite is a plain service with a queue and forwarders that see only the latency of
+// their own answers. A request takes 30 ms on average, and up to three times as long for one
+// request in twenty. A server works on 6 requests at a time and queues 24 more, as real
+// servers of this kind do.
 type plainSite struct {
 	random     *rand.Rand
 	now        time.Time
 	forwarders []*State
 	servers    []*plainServer
 	events     plainEvents
-	// inTime, late, refused and failed count first tries by the second in which they
-	// came.
+	// inTime, late and refused count requests by the second in which they arrived.
 	inTime, late, refused map[int]int
 	admit                 bool
 }
@@ -37,17 +36,17 @@
 
 type plainRequest struct {
 	forwarder int
-	came      time.Time
+	arrived   time.Time
 	sent      time.Time
 	grant     Grant
 	second    int
 }
 
-// plainEvent is a request that comes, or one that a server has worked on.
+// plainEvent is the arrival of a request, or its completion at a server.
 type plainEvent struct {
 	at      time.Time
 	request plainRequest
-	server  int // -1: it comes
+	server  int // -1 for an arrival
 }
 
 type plainEvents []plainEvent
@@ -68,7 +67,7 @@
 	plainQueue      = 24
 	plainWork       = 30 * time.Millisecond
 	plainTarget     = 150 * time.Millisecond
-	plainWay        = time.Millisecond
+	plainNetwork    = time.Millisecond
 )
 
 func newPlainSite(servers int, admit bool) *plainSite {
@@ -92,13 +91,13 @@
 	return s
 }
 
-// play has requests come at a rate for a time.
+// play lets requests arrive at a rate for a time.
 func (s *plainSite) play(perSecond float64, span time.Duration) {
 	for at := s.now; at.Before(s.now.Add(span)); {
 		at = at.Add(time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second)))
 		second := int(at.Sub(scriptStart).Seconds())
 		heap.Push(&s.events, plainEvent{at: at, server: -1, request: plainRequest{
-			forwarder: s.random.IntN(plainForwarders), came: at, second: second,
+			forwarder: s.random.IntN(plainForwarders), arrived: at, second: second,
 		}})
 	}
 	until := s.now.Add(span)
@@ -106,15 +105,15 @@
 		e := heap.Pop(&s.events).(plainEvent)
 		s.now = e.at
 		if e.server < 0 {
-			s.comes(e.request)
+			s.arrive(e.request)
 		} else {
-			s.worked(e.server, e.request)
+			s.complete(e.server, e.request)
 		}
 	}
 	s.now = until
 }
 
-func (s *plainSite) comes(r plainRequest) {
+func (s *plainSite) arrive(r plainRequest) {
 	need := Need{Service: "s"}
 	if s.admit {
 		need.FirstWithin = plainTarget
@@ -143,13 +142,13 @@
 	s.servers[server].working++
 	const spread = 0.5
 	took := float64(plainWork) * math.Exp(spread*s.random.NormFloat64()-spread*spread/2)
-	heap.Push(&s.events, plainEvent{at: s.now.Add(time.Duration(took) + plainWay), server: server, request: r})
+	heap.Push(&s.events, plainEvent{at: s.now.Add(time.Duration(took) + plainNetwork), server: server, request: r})
 }
 
-func (s *plainSite) worked(server int, r plainRequest) {
+func (s *plainSite) complete(server int, r plainRequest) {
 	v := s.servers[server]
 	v.working--
-	if s.now.Sub(r.came) <= plainTarget {
+	if s.now.Sub(r.arrived) <= plainTarget {
 		s.inTime[r.second]++
 	} else {
 		s.late[r.second]++
@@ -162,7 +161,7 @@
 	}
 }
 
-// sum adds up a count over some seconds.
+// sum sums a count from one second to another, exclusively.
 func sum(counts map[int]int, from, to int) int {
 	total := 0
 	for second := from; second < to; second++ {
@@ -171,12 +170,11 @@
 	return total
 }
 
-// Symptom: a plain service that has lost servers answers nearly all requests late,
-// for as long as it is short of them. Sequence: two of three servers leave; the load
-// is a third more than the last one can do. Cause: its queue is always full, and each
-// answer takes as long as the whole queue.
+// Guards against a plain service that answers nearly all requests late after it has lost
+// servers. Two of three servers leave, and the load is more than the last one can handle. Its
+// queue is always full, and each answer takes as long as the whole queue.
 //
-// The load is that of 250 requests a second at a server that does 200.
+// The load is 250 requests a second at a server that handles 200.
 func TestLastServerOfAPlainServiceAnswersInTime(t *testing.T) {
 	is := is.New(t)
 	const from, to, capacity = 2, 12, 200
@@ -187,15 +185,15 @@
 	t.Logf("in time, late, refused a second: without %d %d %d, with %d %d %d",
 		sum(without.inTime, from, to)/10, sum(without.late, from, to)/10, sum(without.refused, from, to)/10,
 		sum(with.inTime, from, to)/10, sum(with.late, from, to)/10, sum(with.refused, from, to)/10)
-	is.True(sum(without.inTime, from, to) < capacity*(to-from)*65/100) // the fault, without the change
+	is.True(sum(without.inTime, from, to) < capacity*(to-from)*65/100) // without admission nearly all answers are late
 	is.True(sum(with.inTime, from, to) > capacity*(to-from)*8/10)
 	is.True(sum(with.late, from, to) < sum(with.inTime, from, to)/10)
 }
 
-// Symptom: answers stay late after a peak is over. Sequence: the load is half as much
-// again as three servers can do for four seconds, then a third of that. Cause: queues
-// that are full when the peak ends.
-func TestPeakOfAPlainServiceLeavesNoTrace(t *testing.T) {
+// Guards against answers that stay late after a peak because queues are full when it ends.
+// For four seconds the load is one and a half times what three servers can handle, then a
+// third of that.
+func TestPlainServiceRecoversAfterAPeak(t *testing.T) {
 	is := is.New(t)
 	s := newPlainSite(3, true)
 	s.play(300, 4*time.Second)
@@ -205,20 +203,20 @@
 		sum(s.inTime, 0, 4), sum(s.late, 0, 4), sum(s.refused, 0, 4),
 		sum(s.inTime, 4, 8), sum(s.late, 4, 8), sum(s.refused, 4, 8),
 		sum(s.inTime, 9, 12), sum(s.late, 9, 12), sum(s.refused, 9, 12))
-	is.True(sum(s.refused, 1, 4) < sum(s.inTime, 1, 4)/50)   // a load that can be served is served
-	is.True(sum(s.inTime, 5, 8) > 600*3*7/10)                // and most of what can be in a peak
-	is.True(sum(s.refused, 9, 12) < sum(s.inTime, 9, 12)/50) // a second after it nothing is left of it
+	is.True(sum(s.refused, 1, 4) < sum(s.inTime, 1, 4)/50)   // a load within the capacity is served
+	is.True(sum(s.inTime, 5, 8) > 600*3*7/10)                // and most of the capacity is used in a peak
+	is.True(sum(s.refused, 9, 12) < sum(s.inTime, 9, 12)/50) // a second later the peak has no effect
 	is.True(sum(s.late, 9, 12) < sum(s.inTime, 9, 12)/50)
 }
 
-// An answer that a lost packet held up does not have others refused.
-func TestFewSlowAnswersRefuseNobody(t *testing.T) {
+// A few answers that were delayed by lost packets do not cause refusals.
+func TestFewSlowAnswersCauseNoRefusals(t *testing.T) {
 	is := is.New(t)
 	s := New(Config{Seed: 1})
 	Reduce(s, Services{Services: []oriolebend.RouteService{{Name: "s"}}})
 	Reduce(s, Fleet{Servers: []message.BackendServer{{Instance: "a", Service: "s", Phase: message.PhaseReady}}})
 	now := scriptStart
-	for i := range 400 { // one of eight is slow, the first one too
+	for i := range 400 { // one answer in eight is slow, including the first
 		now = now.Add(50 * time.Millisecond)
 		effect := Reduce(s, Asked{At: now, Need: Need{Service: "s", FirstWithin: plainTarget}})[0]
 		granted, ok := effect.(Granted)
--- a/internal/reducer/dispatch/gone_test.go
+++ b/internal/reducer/dispatch/removed_test.go
@@ -11,11 +11,11 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Symptom: places at engines that have crashed come back one after the other, and whoever
-// gives them goes on giving them. Sequence: the engine was told of and has gone; the control
-// VM that gives places has not heard of it. Cause: an engine that is not known here, told of
-// as such. One that has gone is told as leaving, one that was never heard of is taken.
-func TestServerThatHasGone(t *testing.T) {
+// Guards against an allocator that keeps granting placements at crashed engines, each of which
+// is returned. The engine was listed here and then removed, and the allocator has not received
+// the removal. A removed engine must be reported as leaving, while an engine that was never
+// listed is accepted.
+func TestRemovedServerIsLeaving(t *testing.T) {
 	is := is.New(t)
 	at := time.Date(2131, 3, 1, 0, 0, 0, 0, time.UTC)
 	s := New(Config{})
@@ -28,22 +28,22 @@
 		}
 		return ""
 	}
-	is.Equal(reason(engine(1, 1)), oriolebend.Reason("")) // never heard of
+	is.Equal(reason(engine(1, 1)), oriolebend.Reason("")) // never listed
 	Reduce(s, FleetChanged{At: at, Servers: []message.BackendServer{engine(1, 1), engine(2, 1)}})
 	is.Equal(reason(engine(1, 1)), oriolebend.Reason(""))
 	Reduce(s, FleetChanged{At: at, Left: []string{"1"}, Servers: []message.BackendServer{engine(2, 2)}})
 	is.Equal(reason(engine(1, 1)), oriolebend.ReasonLeaving)
-	is.Equal(reason(engine(2, 1)), oriolebend.ReasonLeaving) // it has started again
+	is.Equal(reason(engine(2, 1)), oriolebend.ReasonLeaving) // it has restarted
 	is.Equal(reason(engine(2, 2)), oriolebend.Reason(""))
 	still := AskedStill{At: at, Grant: Grant{Server: engine(1, 1)}}
 	_, refused := Reduce(s, still)[0].(Refused)
 	is.True(refused)
 
-	// What has gone is forgotten in the end, so that a year of restarts takes no memory.
+	// Removed servers are forgotten after a time, so that a year of restarts takes no memory.
 	for day := range 100 {
-		later := at.Add(time.Duration(day) * goneFor)
+		later := at.Add(time.Duration(day) * rememberRemoved)
 		Reduce(s, FleetChanged{At: later, Servers: []message.BackendServer{engine(day+10, 1)}})
 		Reduce(s, FleetChanged{At: later, Left: []string{fmt.Sprint(day + 10)}})
 	}
-	is.True(len(s.gone) <= 3)
+	is.True(len(s.removed) <= 3)
 }
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -17,7 +17,7 @@
 
 var scriptStart = time.Date(2131, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// script feeds one state and remembers what was granted.
+// script applies events to one state and remembers the grants.
 type script struct {
 	t      *testing.T
 	now    time.Time
@@ -29,15 +29,15 @@
 //
 //	fleet [forwarders=N]    INSTANCE SERVICE DOMAIN [ROLE] [PHASE] [silent] [changing]
 //	                        [start=N] a line
-//	service NAME [kv=N] [part=N]   declares a service; kv makes it one of engines
-//	do                      ask NAME SERVICE [prompt=N] [pause=FOR] [again] [waited] [tried=A,B] [excluded=A,B]
+//	service NAME [kv=N] [part=N]   declares a service; kv makes it a service of engines
+//	do                      place NAME SERVICE [prompt=N] [pause=FOR] [retry] [waited] [tried=A,B] [excluded=A,B]
 //	                        [from=DOMAIN]
-//	                        end NAME OUTCOME [TOOK] | read NAME TOOK | failed NAME
-//	                        written NAME TOOK [PARTS]
-//	                        same NAME | still NAME | fresh NAME | pass FOR
-//	                        says SERVER [limit=N] [rest=FOR] [leaving] [nothing] [sent=AGO] [failed]
-//	                        withheld SERVER FOR | ended SERVER
-//	loads                   prints what was done with engines
+//	                        end NAME OUTCOME [TOOK] | prefilled NAME TOOK | prefill-failed NAME
+//	                        generated NAME TOOK [PARTS]
+//	                        resend NAME | send NAME | offer NAME | pass FOR
+//	                        notice SERVER [limit=N] [backoff=FOR] [leaving] [sent=AGO] [failed]
+//	                        no-permit SERVER FOR | unlimited SERVER
+//	loads                   prints the work done on engines
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		s := &script{
@@ -122,11 +122,11 @@
 		d, err := time.ParseDuration(words[1])
 		is.NoErr(err)
 		s.now = s.now.Add(d)
-	case "ask":
-		s.ask(words[1], words[2], words[3:], out)
-	case "same":
+	case "place":
+		s.place(words[1], words[2], words[3:], out)
+	case "resend":
 		print(out, words[1], Reduce(s.state, AskedSame{At: s.now, Grant: s.grants[words[1]]}))
-	case "still":
+	case "send":
 		print(out, words[1], Reduce(s.state, AskedStill{At: s.now, Grant: s.grants[words[1]]}))
 	case "end":
 		ended := Ended{At: s.now, Grant: s.grants[words[1]], Outcome: Outcome(words[2])}
@@ -134,12 +134,12 @@
 			ended.Took, _ = time.ParseDuration(words[3])
 		}
 		Reduce(s.state, ended)
-	case "read":
+	case "prefilled":
 		took, err := time.ParseDuration(words[2])
 		is.NoErr(err)
 		Reduce(s.state, PromptRead{At: s.now, Grant: s.grants[words[1]], Took: took})
 		Reduce(s.state, Read{Need: s.grants[words[1]].Need, Took: took, Ahead: s.grants[words[1]].Ahead})
-	case "written":
+	case "generated":
 		took, err := time.ParseDuration(words[2])
 		is.NoErr(err)
 		written := Written{Need: s.grants[words[1]].Need, Took: took}
@@ -148,28 +148,28 @@
 			is.NoErr(err)
 		}
 		Reduce(s.state, written)
-	case "fresh":
+	case "offer":
 		effects := Reduce(s.state, AskedFresh{At: s.now, Server: s.grants[words[1]].Server})
-		if _, taken := effects[0].(Granted); taken {
-			fmt.Fprintln(out, words[1], "taken")
+		if _, accepted := effects[0].(Granted); accepted {
+			fmt.Fprintln(out, words[1], "accepted")
 			return
 		}
 		print(out, words[1], effects)
-	case "says":
-		s.says(words, out)
-	case "withheld":
+	case "notice":
+		s.notice(words, out)
+	case "no-permit":
 		after, err := time.ParseDuration(words[2])
 		is.NoErr(err)
 		Reduce(s.state, Withheld{At: s.now, Server: message.BackendServer{Instance: words[1]}, After: after})
 	case "unlimited":
 		Reduce(s.state, LimitEnded{At: s.now, Server: message.BackendServer{Instance: words[1]}})
-	case "failed":
+	case "prefill-failed":
 		Reduce(s.state, PromptRead{At: s.now, Grant: s.grants[words[1]], Failed: true})
 	}
 }
 
-// says has a server say things of itself, with a served answer to a request sent just now.
-func (s *script) says(words []string, out *strings.Builder) {
+// notice has a server report its state with a served response to a request sent just now.
+func (s *script) notice(words []string, out *strings.Builder) {
 	is := is.New(s.t)
 	e := Noticed{At: s.now, Sent: s.now, Server: message.BackendServer{Instance: words[1]}, Served: true}
 	for _, option := range words[2:] {
@@ -179,7 +179,7 @@
 		case "limit":
 			e.Notice.Limited = true
 			e.Notice.PerSecond, err = strconv.ParseFloat(value, 64)
-		case "rest":
+		case "backoff":
 			e.Notice.Rest, err = time.ParseDuration(value)
 		case "leaving":
 			e.Notice.Leaving = true
@@ -193,11 +193,11 @@
 		is.NoErr(err)
 	}
 	for _, effect := range Reduce(s.state, e) {
-		fmt.Fprintf(out, "%s learnt %+v\n", words[1], effect)
+		fmt.Fprintf(out, "%s changed %+v\n", words[1], effect)
 	}
 }
 
-func (s *script) ask(name, service string, options []string, out *strings.Builder) {
+func (s *script) place(name, service string, options []string, out *strings.Builder) {
 	need := Need{Service: service, FirstWithin: 900 * time.Millisecond, Arrived: s.now}
 	for _, option := range options {
 		key, value, _ := strings.Cut(option, "=")
@@ -211,7 +211,7 @@
 			need.PauseWithin = pause
 		case "from":
 			need.FailureDomain = value
-		case "again":
+		case "retry":
 			need.Again = true
 		case "waited":
 			need.Waited = true
@@ -241,8 +241,8 @@
 	}
 }
 
-// What is counted at servers returns to zero once all work has ended, whatever
-// the order of events: a count that stays would keep a server unused for good.
+// The counts of each server return to zero once all work has ended, whatever the order of
+// events. A count above zero would leave the server unused for good.
 func TestCountsReturnToZero(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Config{FailureDomain: "a", Seed: 1})
@@ -279,8 +279,8 @@
 			end(0)
 		}
 		for name, c := range s.servers {
-			if c.busy != 0 || c.held != 0 || c.reading != 0 {
-				t.Fatalf("%s: busy %d, held %d, reading %d", name, c.busy, c.held, c.reading)
+			if c.inProgress != 0 || c.heldMemory != 0 || c.pendingPrompt != 0 {
+				t.Fatalf("%s: %d requests in progress, %d tokens held, %d prompt tokens pending", name, c.inProgress, c.heldMemory, c.pendingPrompt)
 			}
 		}
 	})
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -1,5 +1,5 @@
 // Package dispatch is the reducer that decides, in a forwarder, to which backend
-// server a routed request goes, whether it may be sent again, and when it is
+// server a routed request is sent, whether it may be retried, and when it is
 // refused instead. It is pure: time comes in events, randomness from a seed.
 package dispatch
 
@@ -12,105 +12,110 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Config sets up a State.
+// Config configures a State.
 type Config struct {
 	FailureDomain string
-	// Seed makes the choices of forwarders differ.
+	// Seed makes the random choices of forwarders differ.
 	Seed uint64
-	// RetryShare and RetrySlack bound what all forwarders together may send beyond
-	// the first sending of each request, to one service within RetryWindow:
-	// RetryShare of the requests and RetrySlack besides. Zero means the
-	// defaults.
+	// RetryShare and RetrySlack limit the retries that all forwarders together may
+	// send to one service within RetryWindow: RetryShare times the number of requests,
+	// plus RetrySlack. Zero selects the defaults.
 	RetryShare  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// FullFor is how long a server that refused for lack of memory is taken to be
-	// full unless work ends there; zero means avoidFull. Whoever knows of all work
-	// that ends there can wait for it.
+	// FullFor is how long a server that refused for lack of memory counts as full
+	// unless work ends there; zero selects avoidFull. A process that knows all work
+	// ending at the server can use a longer time.
 	FullFor time.Duration
-	// Overcommit is how many times an engine's KV memory is granted; zero means
-	// once. Above one the engine's own reservation is what decides.
+	// Overcommit is the factor by which an engine's KV memory is granted; zero selects
+	// one. Above one, the engine's own reservation decides.
 	Overcommit float64
 }
 
-// Defaults of Config, for a site that states no budget of its own: one retry in
-// five requests is the share at which a retry storm still dies out.
+// Defaults of Config for a site that sets no retry budget. One retry in five requests
+// is the share at which a retry storm still dies out.
 const (
 	DefaultRetryShare  = 0.2
 	DefaultRetrySlack  = 50
 	DefaultRetryWindow = 10 * time.Second
 )
 
-// State is what a forwarder knows of the backend servers and of its own work at
-// them. Only Reduce changes it.
+// State holds what a forwarder knows about the backend servers and about its own
+// work on them. Only Reduce changes it.
 type State struct {
 	config  Config
 	random  *rand.Rand
 	servers map[string]*server
-	// inOrder lists the servers of each service by name. It is kept as servers come
-	// and go, so that no request pays for sorting, or for the servers of others.
+	// inOrder lists the servers of each service, sorted by instance. It is updated when
+	// servers are added or removed, so that no request pays for sorting or for
+	// scanning the servers of other services.
 	inOrder  map[string][]*server
 	services map[string]*service
-	// stated is what starts of servers have said of themselves.
-	stated map[message.ServerStart]*stated
-	// gone holds the starts that were told of and have gone, and since when.
-	gone map[message.ServerStart]time.Time
-	// goneLooked is when gone was looked through last.
-	goneLooked time.Time
+	// reported is the state that each incarnation of a server has reported.
+	reported map[message.ServerStart]*reportedState
+	// removed maps each known incarnation that was removed to the time of its removal.
+	removed map[message.ServerStart]time.Time
+	// removedPruned is when removed was last pruned.
+	removedPruned time.Time
 	// forwarders is how many forwarders share the retry budget.
 	forwarders int
 	scratch    scratch
 }
 
-// service is what is known of one service.
+// service is what is known about one service.
 type service struct {
 	limits oriolebend.RouteService
 	budget budget
-	// failures and took are what its servers usually show; one that stands out
-	// is avoided.
+	// failures and latency are the averages over all servers of the service. A server
+	// that is clearly worse is avoided.
 	failures average
-	took     average
-	// readRate is prompt tokens a millisecond on prefill engines while they read.
-	readRate median
-	// highRate is what one in ten prompts exceed, with the time that they wait.
+	latency  average
+	// prefillRate is the prompt tokens per millisecond of a prefill engine, without
+	// the time that prompts wait in its queue.
+	prefillRate median
+	// highRate is the prefill rate, including the time in the queue, that one in ten
+	// prompts exceeds.
 	highRate quantile
-	// sojourn is the usual time of plain answers, in seconds, as of answered.
-	sojourn  median
-	answered time.Time
-	// load is what was done since it was told last.
+	// sojourn is the usual time to the answer of a plain request in seconds, as of lastAnswer.
+	sojourn    median
+	lastAnswer time.Time
+	// load is the work done since the last call of Loads.
 	load message.ServiceLoad
 }
 
 // server is one backend server as this forwarder sees it.
 type server struct {
 	message.BackendServer
-	// busy is how many requests of this forwarder it works on.
-	busy int
-	// reading is how many prompt tokens of this forwarder it has yet to read, and
-	// held how many tokens of memory this forwarder's requests need there.
-	reading int
-	held    int
-	// readsUntil is until when it reads a prompt itself, beside its generations.
-	readsUntil time.Time
-	// failed counts failures in a row; until avoidUntil other servers go first.
-	failed     int
-	avoidUntil time.Time
-	// leaving is since when it is known to take no new work, zero if it does.
-	leaving time.Time
-	// left is set once the server is no longer told of.
-	left bool
-	// fullUntil is until when the server is taken to have no room for fullFor
-	// tokens. What ends there meanwhile adds to fullFor: the next try is worth its
-	// round trip once enough has ended, and not before. refused is set if it had no
-	// room at the last try.
-	fullUntil time.Time
-	fullFor   int
-	refused   bool
-	failures  average
-	took      average
+	// inProgress is how many requests of this forwarder the server works on.
+	inProgress int
+	// pendingPrompt is how many prompt tokens of this forwarder the server has yet to
+	// prefill, and heldMemory how many tokens of memory this forwarder's requests need
+	// there.
+	pendingPrompt int
+	heldMemory    int
+	// prefillsUntil is when a decode engine finishes prefilling a prompt itself, beside
+	// its generations.
+	prefillsUntil time.Time
+	// failedInRow counts consecutive failures. Until avoidUntil other servers are preferred.
+	failedInRow int
+	avoidUntil  time.Time
+	// leavingSince is when the server was first known to accept no new work, zero if it
+	// accepts new work.
+	leavingSince time.Time
+	// removed is set once the server is no longer in the list of servers.
+	removed bool
+	// fullUntil is until when the server counts as having no room for fullAt tokens or
+	// more. Work that ends there in the meantime adds its memory to fullAt, so that the
+	// next attempt is made only once enough memory has been freed to be worth a round trip.
+	// refusedLast is set if the server had no room at the last attempt.
+	fullUntil   time.Time
+	fullAt      int
+	refusedLast bool
+	failures    average
+	latency     average
 }
 
-// New returns a state that knows no server.
+// New returns a state without any server.
 func New(c Config) *State {
 	c.RetryShare = cmp.Or(c.RetryShare, DefaultRetryShare)
 	c.RetrySlack = cmp.Or(c.RetrySlack, DefaultRetrySlack)
@@ -123,57 +128,57 @@
 		servers:    map[string]*server{},
 		inOrder:    map[string][]*server{},
 		services:   map[string]*service{},
-		stated:     map[message.ServerStart]*stated{},
-		gone:       map[message.ServerStart]time.Time{},
-		forwarders: unknownForwarders,
+		reported:   map[message.ServerStart]*reportedState{},
+		removed:    map[message.ServerStart]time.Time{},
+		forwarders: assumedForwarders,
 	}
 }
 
-// unknownForwarders stands for the number of forwarders until a control VM tells it:
-// more than a site of today has, so that the shared budget is not overdrawn.
-const unknownForwarders = 32
+// assumedForwarders is the number of forwarders assumed until a control VM reports it.
+// It is more than sites have today, so that the shared retry budget is not exceeded.
+const assumedForwarders = 32
 
-// Reduce moves the state on. Asked, AskedSame, AskedFresh, AskedStill and Counted have
-// exactly one effect, Noticed at most one, other events have none.
+// Reduce applies an event to the state. Asked, AskedSame, AskedFresh, AskedStill and
+// Counted have exactly one effect, Noticed at most one, other events have none.
 func Reduce(s *State, event Event) []Effect {
 	switch e := event.(type) {
 	case Fleet:
-		s.fleet(e)
+		s.replaceServers(e)
 	case FleetChanged:
-		s.fleetChanged(e)
+		s.applyServerChanges(e)
 	case Services:
-		s.declared(e)
+		s.replaceServices(e)
 	case Asked:
-		return []Effect{s.asked(e)}
+		return []Effect{s.requestPlacement(e)}
 	case AskedSame:
-		return []Effect{s.askedSame(e)}
+		return []Effect{s.checkResend(e)}
 	case AskedStill:
-		return []Effect{s.askedStill(e)}
+		return []Effect{s.checkSend(e)}
 	case AskedFresh:
-		return []Effect{s.askedFresh(e)}
+		return []Effect{s.checkOffer(e)}
 	case Noticed:
-		return s.noticed(e)
+		return s.applyNotice(e)
 	case Withheld:
-		s.withheld(e)
+		s.delayPermission(e)
 	case LimitEnded:
-		s.limitEnded(e)
+		s.clearLimit(e)
 	case Read:
-		s.read(e)
+		s.countPrefill(e)
 	case Written:
-		s.written(e)
+		s.countGeneration(e)
 	case Counted:
-		return []Effect{s.counted(e)}
+		return []Effect{s.countRequest(e)}
 	case Judged:
-		s.judge(e)
+		s.applyOutcome(e)
 	case Ended:
-		s.ended(e)
+		s.releasePlacement(e)
 	case PromptRead:
-		s.promptRead(e)
+		s.releasePrefill(e)
 	}
 	return nil
 }
 
-func (s *State) declared(e Services) {
+func (s *State) replaceServices(e Services) {
 	services := map[string]*service{}
 	for _, limits := range e.Services {
 		kept := s.services[limits.Name]
