--- a/internal/reducer/placement/event.go
+++ b/internal/reducer/placement/event.go
@@ -10,45 +10,45 @@
 // Event changes a State.
 type Event interface{ isPlacementEvent() }
 
-// Fleet replaces what is known of engines and services.
+// Fleet replaces the lists of engines and services.
 type Fleet struct {
 	Servers  dispatch.Fleet
 	Services dispatch.Services
 }
 
-// FleetChanged tells what has changed of the engines.
+// FleetChanged reports changes to the list of engines.
 type FleetChanged dispatch.FleetChanged
 
-// Asked asks for a place.
+// Asked is a placement request.
 type Asked struct {
 	At   time.Time
 	Key  Key
 	Need dispatch.Need
 	Rank int
-	// Call is the same for all tries of a caller at one request; zero means that
-	// it is not known.
+	// Call is the same for all attempts of a caller at one request; zero means that
+	// it is unknown.
 	Call uint64
 	// InTime is until when the request can meet its target, Until how long it
 	// may wait at all.
 	InTime, Until time.Time
 }
 
-// Withdrawn takes a question back.
+// Withdrawn withdraws a placement request.
 type Withdrawn struct {
 	At  time.Time
 	Key Key
 }
 
-// Resumed tells of a place that was given by another leader.
+// Resumed reports a placement that an earlier leader granted.
 type Resumed struct {
-	// At is since when the place is held.
+	// At is since when the placement is held.
 	At              time.Time
 	Key             Key
 	Need            dispatch.Need
 	Server, Prefill message.ServerStart
 }
 
-// PromptRead tells that the prefill engine of a place is done.
+// PromptRead reports that the prefill engine of a placement is done.
 type PromptRead struct {
 	At             time.Time
 	Key            Key
@@ -56,7 +56,7 @@
 	Failed, Unused bool
 }
 
-// Ended gives a place back.
+// Ended ends a placement.
 type Ended struct {
 	At      time.Time
 	Key     Key
@@ -64,14 +64,14 @@
 	Took    time.Duration
 }
 
-// SessionSilent tells that a session broke off. Its questions are forgotten; its
-// places are kept until they are likely to have ended, or until SessionLost.
+// SessionSilent reports that a session broke off. Its placement requests are dropped; its
+// placements are retained until their work is likely to have ended, or until SessionLost.
 type SessionSilent struct {
 	At      time.Time
 	Session uint64
 }
 
-// SessionLost gives back all that came over a session.
+// SessionLost ends all placements and placement requests of a session.
 type SessionLost struct {
 	At      time.Time
 	Session uint64
@@ -100,7 +100,7 @@
 
 func (Ticked) isPlacementEvent() {}
 
-// Answer tells a forwarder its place, or why there is none. It is the only
+// Answer sends a forwarder its placement, or the reason for a refusal. It is the only
 // effect.
 type Answer struct {
 	Key     Key
--- a/internal/reducer/placement/fairness_test.go
+++ b/internal/reducer/placement/fairness_test.go
@@ -13,23 +13,24 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// placeEnd is when a generation ends.
-type placeEnd struct {
+// placementEnd is when a generation ends.
+type placementEnd struct {
 	key Key
 	at  time.Time
 }
 
-// fairSite is sixteen organisations, of which three are large, before engines that can carry
-// two thirds of what they ask for together.
+// fairSite has sixteen organisations, of which three are large, and engines that can handle
+// two thirds of their combined load.
 type fairSite struct {
 	random *rand.Rand
 	state  *State
 	now    time.Time
-	keys   uint64
+	lastID uint64
 	owner  map[Key]int
-	ends   []placeEnd
-	asked  [16]int
-	served [16]int
+	ends   []placementEnd
+	// requested and served count the requests of each organisation.
+	requested [16]int
+	served    [16]int
 }
 
 func newFairSite() *fairSite {
@@ -53,7 +54,7 @@
 	return s
 }
 
-// weight is how much of the work an organisation asks for.
+// weight is the relative load of an organisation.
 func weight(organisation int) int {
 	if organisation < 3 {
 		return 8
@@ -61,36 +62,38 @@
 	return 1
 }
 
-// ask asks for an organisation, drawn by weight, with a prompt of any usual size.
-func (s *fairSite) ask() {
+// request requests a placement for a random organisation, drawn by weight, with a prompt of any
+// usual size.
+func (s *fairSite) request() {
 	organisation, draw := 0, s.random.IntN(3*8+13)
 	for draw >= weight(organisation) {
 		draw -= weight(organisation)
 		organisation++
 	}
-	s.keys++
-	key := Key{Session: 1, ID: s.keys}
+	s.lastID++
+	key := Key{Session: 1, ID: s.lastID}
 	s.owner[key] = organisation
-	s.asked[organisation]++
-	s.answers(Reduce(s.state, Asked{
+	s.requested[organisation]++
+	s.apply(Reduce(s.state, Asked{
 		At: s.now, Key: key, Need: dispatch.Need{Service: "s", Prompt: 1000 + s.random.IntN(4000), Output: 800},
-		Call: s.keys, InTime: s.now.Add(600 * time.Millisecond), Until: s.now.Add(2700 * time.Millisecond),
+		Call: s.lastID, InTime: s.now.Add(600 * time.Millisecond), Until: s.now.Add(2700 * time.Millisecond),
 	}))
 }
 
-// answers notes who was served; a generation holds its memory for some three seconds.
-func (s *fairSite) answers(list []Answer) {
+// apply counts the organisations that were served; a generation holds its memory for about three
+// seconds.
+func (s *fairSite) apply(list []Answer) {
 	for _, a := range list {
 		if a.Grant == nil {
 			continue
 		}
 		s.served[s.owner[a.Key]]++
 		held := time.Duration(2000+s.random.IntN(2000)) * time.Millisecond
-		s.ends = append(s.ends, placeEnd{a.Key, s.now.Add(held)})
+		s.ends = append(s.ends, placementEnd{a.Key, s.now.Add(held)})
 	}
 }
 
-// pass passes a time step, in which generations end.
+// pass advances the time by a step and ends the generations that are due.
 func (s *fairSite) pass(step time.Duration) {
 	s.now = s.now.Add(step)
 	all := s.ends
@@ -101,33 +104,33 @@
 			continue
 		}
 		Reduce(s.state, PromptRead{At: s.now, Key: end.key, Took: 100 * time.Millisecond})
-		s.answers(Reduce(s.state, Ended{At: s.now, Key: end.key, Outcome: dispatch.OutcomeAnswered}))
+		s.apply(Reduce(s.state, Ended{At: s.now, Key: end.key, Outcome: dispatch.OutcomeAnswered}))
 	}
-	s.answers(Reduce(s.state, Ticked{At: s.now}))
+	s.apply(Reduce(s.state, Ticked{At: s.now}))
 }
 
-// Symptom: a small organisation is hardly served while a large one asks for most of what there
-// is. Sequence: memory is short for minutes; three of sixteen organisations ask for two thirds
-// of the work, each within its quota. Cause: a queue in which who asks most stands most often.
-// Each request has the same chance here, whoever asks, so that each organisation is served as
-// often as all.
+// Guards against a small organisation that is hardly served while large ones send most of the
+// load. Memory is short for minutes, and three of sixteen organisations send two thirds of the
+// load, each within its quota. In the queue, an organisation with more requests has more entries.
+// Each request must have the same chance, whatever its organisation, so that each organisation is
+// served as often as all together.
 func TestNoOrganisationIsStarvedByOthers(t *testing.T) {
 	is := is.New(t)
 	s := newFairSite()
-	for range 10 * 60 * 20 { // ten minutes, so that chance does not decide for the small ones
+	for range 10 * 60 * 20 { // ten minutes, so that the result of small organisations is not random
 		s.pass(50 * time.Millisecond)
 		for range s.random.IntN(4) {
-			s.ask()
+			s.request()
 		}
 	}
-	asked, served := 0, 0
-	for o := range s.asked {
-		asked += s.asked[o]
+	requested, served := 0, 0
+	for o := range s.requested {
+		requested += s.requested[o]
 		served += s.served[o]
 	}
-	all := float64(served) / float64(asked)
+	all := float64(served) / float64(requested)
 	is.True(all > 0.5 && all < 0.9) // there is a shortage
-	for o := range s.asked {
-		is.True(float64(s.served[o])/float64(s.asked[o]) >= 0.8*all)
+	for o := range s.requested {
+		is.True(float64(s.served[o])/float64(s.requested[o]) >= 0.8*all)
 	}
 }
--- a/internal/reducer/placement/queue.go
+++ b/internal/reducer/placement/queue.go
@@ -9,34 +9,34 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// question is a request that waits for a place.
-type question struct {
+// request is a placement request that waits.
+type request struct {
 	key    Key
 	need   dispatch.Need
 	rank   int
 	call   uint64
 	inTime time.Time
 	until  time.Time
-	// arrival counts questions.
+	// arrival numbers placement requests in the order of their arrival.
 	arrival uint64
-	// queued is set once it was found worthwhile to wait in time.
+	// queued is set once the request was admitted to the queue of those in time.
 	queued bool
 	// returned is set if the caller was refused before.
 	returned bool
-	// class is its class of sizes.
+	// class is the size class of the request.
 	class int
 }
 
 // late reports whether the request has missed its target.
-func (q *question) late(at time.Time) bool { return !at.Before(q.inTime) }
+func (q *request) late(at time.Time) bool { return !at.Before(q.inTime) }
 
-func (s *State) asked(e Asked) []Answer {
+func (s *State) enqueue(e Asked) []Answer {
 	s.arrivals++
-	q := &question{
+	q := &request{
 		key: e.Key, need: e.Need, rank: e.Rank, call: e.Call,
 		inTime: e.InTime, until: e.Until, arrival: s.arrivals,
 	}
-	if first, returned := s.refused.first(e.Call); returned && first.Before(q.inTime) {
+	if first, returned := s.refused.inTimeOf(e.Call); returned && first.Before(q.inTime) {
 		q.inTime, q.returned = first, true
 		s.counted.Returned++
 	}
@@ -45,24 +45,24 @@
 	return s.serve(e.At)
 }
 
-// round is one pass over those that wait.
+// round is one pass over the waiting requests.
 type round struct {
 	at time.Time
-	// ahead is the memory that requests of a service wait for before the next
-	// one, inTime that of those in time, and tooLarge the least that fits no
-	// engine of it.
+	// ahead is, for each service, the memory that the requests before the current one wait
+	// for, and inTime the part of it for requests that are in time. tooLarge is the smallest
+	// amount of memory that no engine of the service has room for.
 	ahead, inTime, tooLarge map[string]int
 }
 
-// serve gives places to those that wait, as far as there is room: first those
-// that can be in time, then late ones from what is to spare. It refuses those that
-// would wait in vain.
+// serve grants placements to waiting requests as far as there is room: first to requests
+// that can be in time, then to late ones from spare memory. It refuses requests that would
+// wait without success.
 func (s *State) serve(at time.Time) []Answer {
 	var answers []Answer
-	s.release()
+	s.releaseReserved()
 	s.sort(at)
 	r := round{at: at, ahead: map[string]int{}, inTime: map[string]int{}, tooLarge: map[string]int{}}
-	s.waiting = slices.DeleteFunc(s.waiting, func(q *question) bool {
+	s.waiting = slices.DeleteFunc(s.waiting, func(q *request) bool {
 		answer, done := s.settle(&r, q)
 		if done {
 			answers = append(answers, answer)
@@ -72,10 +72,10 @@
 	return answers
 }
 
-// sort puts the questions into the order in which they are tried: those in time
-// before late ones, by rank, and the one first that has the least time left.
+// sort sorts the requests into the order in which they are tried: those in time before late
+// ones, then by rank, then by the time left.
 func (s *State) sort(at time.Time) {
-	slices.SortFunc(s.waiting, func(a, b *question) int {
+	slices.SortFunc(s.waiting, func(a, b *request) int {
 		return cmp.Or(
 			cmp.Compare(number(a.late(at)), number(b.late(at))),
 			cmp.Compare(a.rank, b.rank),
@@ -92,28 +92,28 @@
 	return 0
 }
 
-// settle places one request, or refuses it; false means that it waits on.
-func (s *State) settle(r *round, q *question) (Answer, bool) {
+// settle grants or refuses one request; false means that it continues to wait.
+func (s *State) settle(r *round, q *request) (Answer, bool) {
 	if !r.at.Before(q.until) {
 		return s.refuse(r.at, q), true
 	}
 	ahead, memory := r.ahead[q.need.Service], q.need.Memory()
 	tooLarge, full := r.tooLarge[q.need.Service]
-	first := s.goesFirst(r.at, q)
-	_, kept := s.kept[q.key]
-	// A late one must not take the room that one in time waits for.
-	if (!full || memory < tooLarge || kept) && (ahead == 0 || !q.late(r.at)) {
+	preferred := s.preferred(r.at, q)
+	_, reserved := s.reserved[q.key]
+	// A late request must not take the room that a request in time waits for.
+	if (!full || memory < tooLarge || reserved) && (ahead == 0 || !q.late(r.at)) {
 		if answer, done := s.try(r.at, q); done {
 			return answer, true
 		}
-		if len(q.need.Excluded) == 0 && !kept { // to others more engines are open
+		if len(q.need.Excluded) == 0 && !reserved { // more engines may be available to other requests
 			r.tooLarge[q.need.Service] = memory
 		}
 	}
-	if first {
-		s.keepEngine(r.at, q)
+	if preferred {
+		s.reserveEngine(r.at, q)
 	}
-	if s.hopeless(r, q) {
+	if s.unservable(r, q) {
 		s.counted.Hopeless++
 		return s.refuse(r.at, q), true
 	}
@@ -124,18 +124,18 @@
 	return Answer{}, false
 }
 
-// try places one request, or refuses it for another reason than a lack of memory.
-func (s *State) try(at time.Time, q *question) (Answer, bool) {
+// try grants one request, or refuses it for another reason than a lack of memory.
+func (s *State) try(at time.Time, q *request) (Answer, bool) {
 	need := q.need
-	need.Waited = true // the forwarder has counted it
-	need.Excluded = s.keptFromOthers(q)
+	need.Waited = true // the forwarder has counted the request
+	need.Excluded = s.excludedFor(q)
 	switch e := dispatch.Reduce(s.engines, dispatch.Asked{At: at, Need: need})[0].(type) {
 	case dispatch.Granted:
-		s.places[q.key] = place{Grant: e.Grant, since: at}
-		s.flow(need.Service).take(need.Memory())
-		s.flow(need.Service).sizes.settled(at, q.class, true)
+		s.placements[q.key] = placement{Grant: e.Grant, since: at}
+		s.flow(need.Service).hold(need.Memory())
+		s.flow(need.Service).sizes.countSettled(at, q.class, true)
 		s.counted.Granted++
-		delete(s.kept, q.key)
+		delete(s.reserved, q.key)
 		return Answer{Key: q.key, Grant: &e.Grant}, true
 	case dispatch.Refused:
 		if e.Reason != oriolebend.ReasonNoMemory && len(need.Excluded) == len(q.need.Excluded) {
@@ -145,54 +145,52 @@
 	return Answer{}, false
 }
 
-// hopeless reports whether a request would wait in vain: what waits before it takes
-// all the memory that becomes free while it can wait.
+// unservable reports whether a request would wait without success because the requests before
+// it need all the memory that becomes free while it can wait.
 //
-// While more comes than engines can carry, requests would else wait until they have
-// missed their target, or until their caller leaves, for nothing. A caller that is
-// told at once can come back when the peak is over.
-func (s *State) hopeless(r *round, q *question) bool {
+// In an overload, requests would otherwise wait until they have missed their target, or until
+// their caller gives up. A caller that is refused at once can return when the peak is over.
+func (s *State) unservable(r *round, q *request) bool {
 	ahead, service := r.ahead[q.need.Service], s.flow(q.need.Service)
 	switch {
 	case !q.late(r.at) && q.queued:
-		return false // judged when it came
+		return false // decided when the request arrived
 	case !q.late(r.at):
 		q.queued = true
-		wait, known := service.wait(ahead, inTimeDrain)
-		wait = time.Duration(float64(wait) * service.weight(q.need) * service.sizes.handicap(q.class))
+		wait, known := service.timeToFree(ahead, inTimeShare)
+		wait = time.Duration(float64(wait) * service.weight(q.need) * service.sizes.queueFactor(q.class))
 		return known && r.at.Add(wait).After(q.inTime)
 	case !q.returned:
-		// Others in time would go first for as long as the peak lasts.
+		// Requests in time would be preferred for as long as the peak lasts.
 		return r.inTime[q.need.Service] > 0
 	default:
-		// A caller comes back once; its request waits for the end of the peak.
-		wait, known := service.wait(ahead, lateDrain)
+		// A caller returns once; its request waits for the end of the peak.
+		wait, known := service.timeToFree(ahead, lateShare)
 		return known && r.at.Add(wait).After(q.until)
 	}
 }
 
-// goesFirst reports whether a request is of sizes that have fallen behind, and can still be in
-// time.
-func (s *State) goesFirst(at time.Time, q *question) bool {
+// preferred reports whether the size class of a request is served too seldom, and the request can
+// still be in time.
+func (s *State) preferred(at time.Time, q *request) bool {
 	return !q.late(at) && s.flow(q.need.Service).sizes.behind(q.class)
 }
 
-// inTimeDrain is the share of the memory becoming free that the queue of those in
-// time is taken to get. The rest is lost on pieces too small for the next one and on
-// late ones. With all of it the queue is as long as the target allows, and nearly
-// each request in it just misses its own: of 1,150 requests refused on a day with
-// three peaks, 30 were refused within 600 ms.
-const inTimeDrain = 0.5
+// inTimeShare is the share of the memory becoming free that the queue of requests in time
+// is assumed to get. The rest is lost to pieces that are too small for the next request and to
+// late requests. With a share of one the queue is as long as the target allows, and nearly
+// each request in it just misses its target: of 1,150 requests refused on a day with three
+// peaks, 30 were refused within 600 ms.
+const inTimeShare = 0.5
 
-// lateDrain is the share of the memory becoming free that late requests are taken to
-// get while there are others in time: what the engines can carry beyond the usual
-// load.
-const lateDrain = 0.5
+// lateShare is the share of the memory becoming free that late requests are assumed to get
+// while there are requests in time: the capacity of the engines beyond the usual load.
+const lateShare = 0.5
 
 // refuse refuses a request for lack of memory.
-func (s *State) refuse(at time.Time, q *question) Answer {
-	s.refused.note(at, q)
-	s.flow(q.need.Service).sizes.settled(at, q.class, false)
-	after := s.flow(q.need.Service).returnAfter(at, q.need.Memory())
+func (s *State) refuse(at time.Time, q *request) Answer {
+	s.refused.add(at, q)
+	s.flow(q.need.Service).sizes.countSettled(at, q.class, false)
+	after := s.flow(q.need.Service).retryDelay(at, q.need.Memory())
 	return Answer{Key: q.key, Refused: &dispatch.Refused{Reason: oriolebend.ReasonNoMemory, RetryAfter: after}}
 }
--- a/internal/reducer/placement/script_test.go
+++ b/internal/reducer/placement/script_test.go
@@ -19,12 +19,12 @@
 
 // TestScripts runs the files of testdata/scripts. Each line is an event:
 //
-//	engines PREFILL DECODE TOKENS     that many engines, with that much memory each
-//	ask SESSION/ID TOKENS [rank=N] [late] [call=N]
-//	withdraw SESSION/ID | read SESSION/ID | end SESSION/ID OUTCOME
-//	resume SESSION/ID TOKENS ENGINE   a place that another leader gave
-//	lost SESSION | silent SESSION | pass FOR
-//	flow COUNT TOKENS HELD      so many requests that each hold an engine for so long
+//	engines PREFILL DECODE TOKENS     the number of engines, and the memory of each
+//	request SESSION/ID TOKENS [rank=N] [late] [call=N]
+//	withdraw SESSION/ID | prefilled SESSION/ID | end SESSION/ID OUTCOME
+//	resume SESSION/ID TOKENS ENGINE   a placement that an earlier leader granted
+//	lost SESSION | disconnect SESSION | pass FOR
+//	flow COUNT TOKENS HELD      the number of requests, and how long each holds its memory
 //
 // A request is in time for 600 ms and waits for 2.7 s.
 func TestScripts(t *testing.T) {
@@ -54,17 +54,17 @@
 		return
 	case "engines":
 		event = s.engines(words)
-	case "ask":
-		event = s.ask(words)
+	case "request":
+		event = s.request(words)
 	case "withdraw":
 		event = Withdrawn{At: s.now, Key: s.key(words[1])}
-	case "read":
+	case "prefilled":
 		event = PromptRead{At: s.now, Key: s.key(words[1]), Took: 100 * time.Millisecond}
 	case "end":
 		event = Ended{At: s.now, Key: s.key(words[1]), Outcome: dispatch.Outcome(words[2])}
 	case "resume":
 		event = Resumed{At: s.now, Key: s.key(words[1]), Need: dispatch.Need{Service: "s", Prompt: s.number(words[2])}, Server: message.ServerStart{Instance: words[3]}}
-	case "silent":
+	case "disconnect":
 		event = SessionSilent{At: s.now, Session: uint64(s.number(words[1]))}
 	case "lost":
 		event = SessionLost{At: s.now, Session: uint64(s.number(words[1]))}
@@ -84,15 +84,15 @@
 	}
 }
 
-// flow has places given and ended, so that the time for which memory is held is
+// flow has placements granted and ended, so that the time for which memory is held is
 // known.
 func (s *script) flow(words []string) {
 	held, err := time.ParseDuration(words[3])
 	is.New(s.t).NoErr(err)
 	for i := range s.number(words[1]) {
 		key := Key{Session: 1000, ID: uint64(i)}
-		asked := s.ask([]string{"ask", "1000/" + strconv.Itoa(i), words[2]}).(Asked)
-		Reduce(s.state, asked)
+		requested := s.request([]string{"request", "1000/" + strconv.Itoa(i), words[2]}).(Asked)
+		Reduce(s.state, requested)
 		s.now = s.now.Add(held)
 		Reduce(s.state, Ended{At: s.now, Key: key, Outcome: dispatch.OutcomeAnswered})
 	}
@@ -116,23 +116,23 @@
 	}
 }
 
-func (s *script) ask(words []string) Event {
-	asked := Asked{
+func (s *script) request(words []string) Event {
+	requested := Asked{
 		At: s.now, Key: s.key(words[1]), Need: dispatch.Need{Service: "s", Prompt: s.number(words[2])},
 		InTime: s.now.Add(600 * time.Millisecond), Until: s.now.Add(2700 * time.Millisecond),
 	}
 	for _, option := range words[3:] {
 		if option == "late" {
-			asked.InTime = s.now
+			requested.InTime = s.now
 		}
 		if rank, found := strings.CutPrefix(option, "rank="); found {
-			asked.Rank = s.number(rank)
+			requested.Rank = s.number(rank)
 		}
 		if call, found := strings.CutPrefix(option, "call="); found {
-			asked.Call = uint64(s.number(call))
+			requested.Call = uint64(s.number(call))
 		}
 	}
-	return asked
+	return requested
 }
 
 func (s *script) key(word string) Key {
--- a/internal/reducer/placement/sizes.go
+++ b/internal/reducer/placement/sizes.go
@@ -7,44 +7,45 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/dispatch"
 )
 
-// sizes is how often requests of different sizes were served of late.
+// sizes is how often requests of different sizes were served recently.
 //
-// While memory is short a small request fits wherever a large one does, and in more places
-// besides. Given to whoever fits, the memory that becomes free goes to small ones for as long as
-// the shortage lasts, and large ones are hardly served at all. One notices it by the largest tenth
-// of prompts, of which one in ten is served where all are served every second time. A class of
-// sizes that has fallen behind goes first until it has not.
+// While memory is short, a small request fits wherever a large one does, and at more engines
+// besides. If memory were granted to any request that fits, the memory becoming free would go to
+// small requests for as long as the shortage lasts, and large ones would hardly be served. The
+// symptom is that one in ten of the largest tenth of prompts is served while one in two of all
+// prompts is. A size class that has fallen behind is preferred until it has caught up.
 type sizes struct {
 	at time.Time
 	// usual is the usual memory of a request.
-	usual float64
-	all   share
-	parts [sizeClasses]share
+	usual   float64
+	all     settledCounts
+	classes [sizeClasses]settledCounts
 }
 
-// share counts requests, as far as they are remembered.
-type share struct{ settled, served float64 }
+// settledCounts counts settled requests with exponential decay.
+type settledCounts struct{ settled, served float64 }
 
-// sizeClasses is how many classes of sizes are told apart, and sizeBounds where each but the last
-// ends, by the usual memory of a request: where sizes differ by half of their mean each holds a
-// third to a sixth of them.
+// sizeClasses is the number of size classes, and sizeBounds the upper bound of each class but the
+// last, relative to the usual memory of a request. Where the standard deviation of sizes is half
+// of their mean, each class holds a third to a sixth of the requests.
 const sizeClasses = 5
 
 var sizeBounds = [sizeClasses - 1]float64{0.75, 1.05, 1.35, 1.7}
 
 const (
-	// usualWeight is how much each request counts for the usual memory.
+	// usualWeight is the weight of each request in the usual memory.
 	usualWeight = 0.02
-	// sizesHalf is the time in which half of what was counted is forgotten.
+	// sizesHalf is the half-life of the counts.
 	sizesHalf = 10 * time.Second
-	// enoughSettled is how many requests of a class must have been served or refused to judge
-	// how often they are served.
+	// enoughSettled is how many requests of a class must have been served or refused to
+	// compare how often the class is served.
 	enoughSettled = 8.0
-	// behindFrom is below which part of the share of all a class has fallen behind.
+	// behindFrom is the part of the share of all requests served below which a class has
+	// fallen behind.
 	behindFrom = 0.6
 )
 
-// classOf returns the class of sizes of a request that asks.
+// classOf returns the size class of an arriving request.
 func (z *sizes) classOf(memory int) int {
 	if z.usual == 0 {
 		z.usual = float64(memory)
@@ -58,86 +59,90 @@
 	return sizeClasses - 1
 }
 
-// settled counts a request that was given a place, or refused one.
-func (z *sizes) settled(at time.Time, class int, served bool) {
-	z.pass(at)
+// countSettled counts a request that was granted or refused a placement.
+func (z *sizes) countSettled(at time.Time, class int, served bool) {
+	z.decay(at)
 	z.all.count(served)
-	z.parts[class].count(served)
+	z.classes[class].count(served)
 }
 
-func (s *share) count(served bool) {
+func (s *settledCounts) count(served bool) {
 	s.settled++
 	if served {
 		s.served++
 	}
 }
 
-// pass forgets what is long ago.
-func (z *sizes) pass(at time.Time) {
+// decay reduces the counts by the time since the last call.
+func (z *sizes) decay(at time.Time) {
 	if passed := at.Sub(z.at); passed > 0 && !z.at.IsZero() {
-		kept := math.Exp2(-passed.Seconds() / sizesHalf.Seconds())
-		z.all.keep(kept)
-		for class := range z.parts {
-			z.parts[class].keep(kept)
+		factor := math.Exp2(-passed.Seconds() / sizesHalf.Seconds())
+		z.all.scale(factor)
+		for class := range z.classes {
+			z.classes[class].scale(factor)
 		}
 	}
 	z.at = at
 }
 
-func (s *share) keep(part float64) { s.settled, s.served = s.settled*part, s.served*part }
+func (s *settledCounts) scale(factor float64) {
+	s.settled, s.served = s.settled*factor, s.served*factor
+}
 
-// lead is how many times as often a class is served as all; one if too little is known.
-func (z *sizes) lead(class int) float64 {
-	part := z.parts[class]
-	if part.settled < enoughSettled || z.all.served <= 0 {
+// relativeShare is the share of a class that is served, relative to the share of all requests;
+// one if too little is known.
+func (z *sizes) relativeShare(class int) float64 {
+	c := z.classes[class]
+	if c.settled < enoughSettled || z.all.served <= 0 {
 		return 1
 	}
-	return part.served / part.settled * z.all.settled / z.all.served
+	return c.served / c.settled * z.all.settled / z.all.served
 }
 
-// behind reports whether a class is served less often than all.
-func (z *sizes) behind(class int) bool { return z.lead(class) < behindFrom }
+// behind reports whether a class is served much less often than all requests.
+func (z *sizes) behind(class int) bool { return z.relativeShare(class) < behindFrom }
 
-// handicap is how many times as long a queue a request of a class is taken to meet: less for
-// classes that are served less often than others, more for the others, while any class has fallen
-// behind.
-func (z *sizes) handicap(class int) float64 {
-	for other := range z.parts {
+// queueFactor is the factor on the queue that a request of a class is assumed to wait behind. While
+// any class has fallen behind, it is lower for classes that are served less often than others, and
+// higher for those that are served more often.
+func (z *sizes) queueFactor(class int) float64 {
+	for other := range z.classes {
 		if z.behind(other) {
-			lead := z.lead(class)
-			return min(handicapMost, max(handicapLeast, lead*lead))
+			relative := z.relativeShare(class)
+			return min(queueFactorMost, max(queueFactorLeast, relative*relative))
 		}
 	}
 	return 1
 }
 
-const handicapLeast, handicapMost = 0.2, 3.0
+const queueFactorLeast, queueFactorMost = 0.2, 3.0
 
-// mostKept is the share of a service's engines that are kept at a time.
-const mostKept = 0.5
+// mostReserved is the largest share of a service's engines that is reserved at a time.
+const mostReserved = 0.5
 
-// keepEngine keeps the engine with the most room for a request that does not fit anywhere, until
-// it does: others would take what becomes free there piece by piece.
-func (s *State) keepEngine(at time.Time, q *question) {
-	if _, has := s.kept[q.key]; has {
+// reserveEngine reserves the engine with the most free memory for a request that fits nowhere,
+// until the request fits there. Otherwise smaller requests would take the memory that becomes
+// free there piece by piece.
+func (s *State) reserveEngine(at time.Time, q *request) {
+	if _, has := s.reserved[q.key]; has {
 		return
 	}
 	need := q.need
-	need.Excluded = s.keptFromOthers(q)
+	need.Excluded = s.excludedFor(q)
 	engine, engines := dispatch.Roomiest(s.engines, at, need)
-	if float64(len(s.kept)+1) <= mostKept*float64(engines+len(s.kept)) {
-		s.kept[q.key] = engine
+	if float64(len(s.reserved)+1) <= mostReserved*float64(engines+len(s.reserved)) {
+		s.reserved[q.key] = engine
 	}
 }
 
-// keptFromOthers are the engines that a question may not have: those that take nothing from its
-// forwarder, and those that are kept for other requests.
-func (s *State) keptFromOthers(q *question) []string {
-	if len(s.kept) == 0 {
+// excludedFor returns the engines that a request must not use: those that accept nothing from its
+// forwarder, and those that are reserved for other requests.
+func (s *State) excludedFor(q *request) []string {
+	if len(s.reserved) == 0 {
 		return q.need.Excluded
 	}
 	excluded := q.need.Excluded[:len(q.need.Excluded):len(q.need.Excluded)]
-	for key, engine := range s.kept {
+	for key, engine := range s.reserved {
 		if key != q.key {
 			excluded = append(excluded, engine)
 		}
@@ -145,18 +150,18 @@
 	return excluded
 }
 
-// release lets go of engines that were kept for requests which wait no more.
-func (s *State) release() {
-	if len(s.kept) == 0 {
+// releaseReserved releases engines that were reserved for requests which no longer wait.
+func (s *State) releaseReserved() {
+	if len(s.reserved) == 0 {
 		return
 	}
 	waiting := make(map[Key]struct{}, len(s.waiting))
 	for _, q := range s.waiting {
 		waiting[q.key] = struct{}{}
 	}
-	for key := range s.kept {
+	for key := range s.reserved {
 		if _, waits := waiting[key]; !waits {
-			delete(s.kept, key)
+			delete(s.reserved, key)
 		}
 	}
 }
--- a/internal/reducer/placement/state.go
+++ b/internal/reducer/placement/state.go
@@ -1,7 +1,7 @@
-// Package placement is the reducer that gives places at model engines to the
-// requests of all forwarders. One control VM runs it, the leader. It joins what
-// package dispatch decides for one request with a queue of those that wait. It is
-// pure: time comes in events.
+// Package placement is the reducer that grants placements at model engines to the
+// requests of all forwarders. It runs on one control VM, the leader. It combines the
+// decisions of package dispatch for single requests with a queue of waiting requests. It
+// is pure: time comes in events.
 package placement
 
 import (
@@ -15,58 +15,59 @@
 )
 
 const (
-	// overcommit is how many times an engine's memory is granted, by the output that
-	// its generations are expected to write. They have written half of it at a
-	// time, on average, so that an engine seldom has to stop one for another: 1.06
-	// doubles those that are stopped and serves hardly more.
+	// overcommit is the factor by which an engine's memory is granted, based on the output
+	// that its generations are expected to write. On average they have written half of it at
+	// a time, so that an engine seldom has to stop one generation for another: 1.06 doubles
+	// the number of stopped generations and serves hardly more.
 	overcommit = 1.02
-	// fullFor is how long an engine that refused is not asked again unless work
-	// ends there. All that ends is known here; the time is for what an engine
+	// fullFor is how long an engine that refused is not tried again unless work ends
+	// there. All ends of work are known here; the time is for memory that an engine
 	// frees by itself, a few steps of its batch.
 	fullFor = 500 * time.Millisecond
 )
 
-// Key names a question: the session that it came over and its number there.
+// Key identifies a placement request: the session that it came over and its number there.
 type Key struct{ Session, ID uint64 }
 
 // State is what the leader knows. Only Reduce changes it.
 type State struct {
-	engines *dispatch.State
-	waiting []*question
-	places  map[Key]place
+	engines    *dispatch.State
+	waiting    []*request
+	placements map[Key]placement
 	// flows is how fast the engines of each service free memory.
 	flows map[string]*flow
-	// refused are the calls that were refused and may come back.
-	refused returning
-	// kept names the engines that are kept for requests which wait.
-	kept map[Key]string
-	// arrivals counts questions.
+	// refused are the calls that were refused and may be repeated by their callers.
+	refused refusedCalls
+	// reserved names the engine that is reserved for each request that waits for one.
+	reserved map[Key]string
+	// arrivals counts placement requests.
 	arrivals uint64
 	counted  Summary
 }
 
-// place is a place in use since a time.
-type place struct {
+// placement is a granted placement.
+type placement struct {
 	dispatch.Grant
+	// since is when the placement was granted.
 	since time.Time
-	// until is when the place of a session that broke off is given back, zero for
-	// others.
+	// until is when the placement is released if its session or stream broke off, zero if
+	// neither did.
 	until time.Time
 }
 
-// New returns a state that knows no engine.
+// New returns a state without any engine.
 func New(seed uint64) *State {
 	return &State{
-		// Forwarders keep to the retry budget before they ask.
-		engines: dispatch.New(dispatch.Config{Seed: seed, RetrySlack: math.MaxInt32, Overcommit: overcommit, FullFor: fullFor}),
-		places:  map[Key]place{},
-		flows:   map[string]*flow{},
-		refused: returning{calls: map[uint64]refusedCall{}},
-		kept:    map[Key]string{},
+		// Forwarders enforce the retry budget before they request a placement.
+		engines:    dispatch.New(dispatch.Config{Seed: seed, RetrySlack: math.MaxInt32, Overcommit: overcommit, FullFor: fullFor}),
+		placements: map[Key]placement{},
+		flows:      map[string]*flow{},
+		refused:    refusedCalls{calls: map[uint64]refusedCall{}},
+		reserved:   map[Key]string{},
 	}
 }
 
-// Reduce moves the state on and returns the answers to give.
+// Reduce applies an event to the state and returns the answers to send.
 func Reduce(s *State, event Event) []Answer {
 	switch e := event.(type) {
 	case Fleet:
@@ -75,63 +76,63 @@
 	case FleetChanged:
 		dispatch.Reduce(s.engines, dispatch.FleetChanged(e))
 	case Asked:
-		return s.asked(e)
+		return s.enqueue(e)
 	case Withdrawn:
-		s.waiting = slices.DeleteFunc(s.waiting, func(q *question) bool { return q.key == e.Key })
+		s.waiting = slices.DeleteFunc(s.waiting, func(q *request) bool { return q.key == e.Key })
 	case Resumed:
-		s.resumed(e)
+		s.resume(e)
 	case PromptRead:
-		s.promptRead(e)
+		s.releasePrefill(e)
 	case Ended:
 		return s.end(e)
 	case SessionSilent:
-		s.silent(e)
+		s.disconnect(e)
 		return s.serve(e.At)
 	case SessionLost:
-		s.lost(e)
+		s.endSession(e)
 		return s.serve(e.At)
 	case Ticked:
-		s.refused.forget(e.At)
-		s.overdue(e.At)
+		s.refused.forgetExpired(e.At)
+		s.releaseOverdue(e.At)
 		return s.serve(e.At)
 	}
 	return nil
 }
 
-// Summary is what there is to see of a State.
+// Summary describes a State for the log.
 type Summary struct {
-	// Waiting counts the requests that wait, Places those that have a place.
+	// Waiting counts the waiting requests, Places the current placements.
 	Waiting, Places int
-	// Granted and Full count, since the last summary, the places given and those
-	// whose engine turned out to be full. Hopeless counts the requests that were
-	// refused because others before them would take all the memory that becomes
-	// free in time, Returned those that came back after such a refusal.
+	// Granted and Full count, since the last summary, the placements granted and those
+	// whose engine turned out to be full. Hopeless counts the requests that were refused
+	// because others before them would use all the memory that becomes free in time,
+	// Returned those that were repeated after such a refusal.
 	Granted, Full, Hopeless, Returned int
 	// FreeShare is the share of free KV memory of each service.
 	FreeShare map[string]float64
 }
 
-// Summarize tells what there is to see, and counts anew.
+// Summarize returns a summary and resets its counters.
 func (s *State) Summarize(at time.Time) Summary {
 	summary := s.counted
 	s.counted = Summary{}
-	summary.Waiting, summary.Places = len(s.waiting), len(s.places)
+	summary.Waiting, summary.Places = len(s.waiting), len(s.placements)
 	summary.FreeShare = s.engines.FreeShares(at)
 	return summary
 }
 
-// resumed takes up a place that another leader gave. Engines that are not known
-// yet are passed over: their own reservations guard them.
-func (s *State) resumed(e Resumed) {
+// resume records a placement that an earlier leader granted. Placements at engines that are
+// not known yet are skipped: the engines' own reservations protect their memory.
+func (s *State) resume(e Resumed) {
 	grant, known := dispatch.Resume(s.engines, e.Need, e.Server, e.Prefill)
 	if known {
-		s.places[e.Key] = place{Grant: grant, since: e.At}
-		s.flow(e.Need.Service).take(e.Need.Memory())
+		s.placements[e.Key] = placement{Grant: grant, since: e.At}
+		s.flow(e.Need.Service).hold(e.Need.Memory())
 	}
 }
 
-func (s *State) promptRead(e PromptRead) {
-	p, found := s.places[e.Key]
+func (s *State) releasePrefill(e PromptRead) {
+	p, found := s.placements[e.Key]
 	if !found || p.Prefill == nil {
 		return
 	}
@@ -139,31 +140,31 @@
 	if !e.Failed && !e.Unused {
 		dispatch.Reduce(s.engines, dispatch.Read{Need: p.Need, Took: e.Took, Ahead: p.Ahead})
 	}
-	// The prefill part is over; a second word on it must not count again.
+	// The prefill part is over; a second report must not be counted.
 	p.Prefill = nil
-	s.places[e.Key] = p
+	s.placements[e.Key] = p
 }
 
-// end takes the end of a place in, and gives places that have become free. A place whose
-// engine turned out to be full frees nothing; in a peak most ends are such.
+// end ends a placement and grants placements from the memory that it frees. A placement
+// whose engine turned out to be full frees nothing; in a peak most ends are of this kind.
 func (s *State) end(e Ended) []Answer {
 	if e.Outcome == dispatch.OutcomeCut {
 		s.cut(e.At, e.Key)
 		return nil
 	}
-	s.ended(e.At, e.Key, e.Outcome, e.Took)
+	s.release(e.At, e.Key, e.Outcome, e.Took)
 	if e.Outcome == dispatch.OutcomeFull {
 		return nil
 	}
 	return s.serve(e.At)
 }
 
-func (s *State) ended(at time.Time, key Key, outcome dispatch.Outcome, took time.Duration) {
-	p, found := s.places[key]
+func (s *State) release(at time.Time, key Key, outcome dispatch.Outcome, took time.Duration) {
+	p, found := s.placements[key]
 	if !found {
 		return
 	}
-	delete(s.places, key)
+	delete(s.placements, key)
 	s.flow(p.Need.Service).free(at, p, outcome)
 	if outcome == dispatch.OutcomeFull {
 		s.counted.Full++
@@ -174,55 +175,57 @@
 	dispatch.Reduce(s.engines, dispatch.Ended{At: at, Grant: p.Grant, Outcome: outcome, Took: took})
 }
 
-// silentHolds is how many times the usual time of a place one is kept whose session or
-// stream broke off: half of them have ended by the usual time, nearly all by twice that.
-const silentHolds = 1.5
+// disconnectedFactor is the factor on the usual time of a placement for which a placement is
+// retained if its session or stream broke off: half of the placements have ended by the usual
+// time, nearly all by twice that time.
+const disconnectedFactor = 1.5
 
-// silent keeps the places of a session that broke off.
+// disconnect retains the placements of a session that broke off.
 //
-// A forwarder that is cut off from the leader goes on with what it has, and the engines
-// of one whose VM lost power write on until they notice. Given back at once, their
-// memory would be granted a second time; one notices it by engines that refuse
-// reservations, and by generations that are stopped for others and read anew.
-func (s *State) silent(e SessionSilent) {
-	s.waiting = slices.DeleteFunc(s.waiting, func(q *question) bool { return q.key.Session == e.Session })
-	for key := range s.places {
+// A forwarder that is partitioned from the leader keeps using its placements, and engines
+// continue the generations of a forwarder whose VM lost power until they notice. If their
+// memory were released at once, it would be granted a second time. The symptoms are that
+// engines refuse reservations, and that generations are stopped in favour of others and
+// prefilled again.
+func (s *State) disconnect(e SessionSilent) {
+	s.waiting = slices.DeleteFunc(s.waiting, func(q *request) bool { return q.key.Session == e.Session })
+	for key := range s.placements {
 		if key.Session == e.Session {
-			s.keep(e.At, key)
+			s.retain(e.At, key)
 		}
 	}
 }
 
-// cut keeps the place of a stream that broke off.
+// cut retains the placement of a stream that broke off.
 //
-// An engine whose answer is lost on the way works on until it notices, if it does. A
-// network that resets one answer in ten on half of the engines made the memory of a
-// site seem free that was not: five in six places given then met a full engine.
+// An engine whose response is lost on the network keeps working until it notices, if it
+// does. A network that reset one response in ten on half of the engines made memory of a
+// site seem free that was in use: five in six placements then granted met a full engine.
 func (s *State) cut(at time.Time, key Key) {
-	p, found := s.places[key]
+	p, found := s.placements[key]
 	if !found {
 		return
 	}
 	dispatch.Reduce(s.engines, dispatch.Judged{At: at, Grant: p.Grant, Outcome: dispatch.OutcomeCut})
-	s.keep(at, key)
+	s.retain(at, key)
 }
 
-// keep keeps a place until it is likely to have ended.
-func (s *State) keep(at time.Time, key Key) {
-	p := s.places[key]
+// retain keeps a placement until its work is likely to have ended.
+func (s *State) retain(at time.Time, key Key) {
+	p := s.placements[key]
 	p.until = at
-	if usual, known := s.flow(p.Need.Service).usual(); known {
-		p.until = p.since.Add(time.Duration(silentHolds * float64(usual)))
+	if usual, known := s.flow(p.Need.Service).usualTime(); known {
+		p.until = p.since.Add(time.Duration(disconnectedFactor * float64(usual)))
 	}
-	s.places[key] = p
+	s.placements[key] = p
 }
 
-// overdue gives back the places of sessions and streams that broke off once they are
-// likely to have ended.
-func (s *State) overdue(at time.Time) {
-	for _, key := range slices.SortedFunc(maps.Keys(s.places), compareKeys) {
-		if p := s.places[key]; !p.until.IsZero() && !at.Before(p.until) {
-			s.ended(at, key, dispatch.OutcomeCancelled, 0)
+// releaseOverdue releases the placements of sessions and streams that broke off once their
+// work is likely to have ended.
+func (s *State) releaseOverdue(at time.Time) {
+	for _, key := range slices.SortedFunc(maps.Keys(s.placements), compareKeys) {
+		if p := s.placements[key]; !p.until.IsZero() && !at.Before(p.until) {
+			s.release(at, key, dispatch.OutcomeCancelled, 0)
 		}
 	}
 }
@@ -231,13 +234,13 @@
 	return cmp.Or(cmp.Compare(a.Session, b.Session), cmp.Compare(a.ID, b.ID))
 }
 
-// lost ends all of a session. What its forwarder still runs is told again when it
-// opens another one.
-func (s *State) lost(e SessionLost) {
-	s.waiting = slices.DeleteFunc(s.waiting, func(q *question) bool { return q.key.Session == e.Session })
-	for _, key := range slices.SortedFunc(maps.Keys(s.places), compareKeys) {
+// endSession ends all placements and requests of a session. When its forwarder opens another
+// session, it reports the placements that it still uses.
+func (s *State) endSession(e SessionLost) {
+	s.waiting = slices.DeleteFunc(s.waiting, func(q *request) bool { return q.key.Session == e.Session })
+	for _, key := range slices.SortedFunc(maps.Keys(s.placements), compareKeys) {
 		if key.Session == e.Session {
-			s.ended(e.At, key, dispatch.OutcomeCancelled, 0)
+			s.release(e.At, key, dispatch.OutcomeCancelled, 0)
 		}
 	}
 }
