--- a/internal/reducer/pools/event.go
+++ b/internal/reducer/pools/event.go
@@ -10,33 +10,33 @@
 // Event changes a State.
 type Event interface{ isPoolsEvent() }
 
-// Leads tells whether this control VM leads, and in which term.
+// Leads reports whether this control VM leads, and in which term.
 type Leads struct {
 	At   time.Time
 	Term uint64
 	Lead bool
 }
 
-// Engines replaces what is known of the services and their engines.
+// Engines replaces the lists of services and their engines.
 type Engines struct {
 	Services []oriolebend.RouteService
 	Servers  []message.BackendServer
 }
 
-// Heard is what one forwarder did within about a second.
+// Heard reports the work of one forwarder within about a second.
 type Heard struct{ Loads []message.ServiceLoad }
 
 // Ticked passes a second.
 type Ticked struct{ At time.Time }
 
-// Answered tells what became of an order.
+// Answered reports the result of an order.
 type Answered struct {
 	At       time.Time
 	Order    Order
 	Accepted bool
 	// Unsure is set if the order may still be carried out.
 	Unsure bool
-	// Rest is for how long the engine wants to be left alone.
+	// Rest is the backoff period that the engine has requested.
 	Rest time.Duration
 }
 
@@ -50,26 +50,26 @@
 
 func (Answered) isPoolsEvent() {}
 
-// Order asks an engine to change its role. It is the only effect.
+// Order is an order to an engine to change its role. It is the only effect.
 type Order struct {
 	Service string
 	Engine  message.BackendServer
 	Role    oriolebend.PoolRole
-	// Fencing grows with each order, over all leaders.
+	// Fencing increases with each order, across all leaders.
 	Fencing uint64
-	// Away is how long the engine takes no work.
+	// Away is how long the engine accepts no work during the change.
 	Away time.Duration
-	// Grounds is what decided it.
+	// Grounds is the basis of the decision.
 	Grounds Grounds
 }
 
-// Grounds is what a decision on a service's pools was made from.
+// Grounds is the basis of a decision about the pools of a service.
 type Grounds struct {
-	// PrefillEngines and DecodeEngines are the pools as they were known.
+	// PrefillEngines and DecodeEngines are the sizes of the pools at the decision.
 	PrefillEngines, DecodeEngines int
-	// PrefillWork and DecodeWork are measures of the work of late; only their
+	// PrefillWork and DecodeWork are the recent work of the pools; only their
 	// ratio counts.
 	PrefillWork, DecodeWork float64
-	// Wanted is how many prefill engines that asks for.
+	// Wanted is the number of prefill engines that the work requires.
 	Wanted float64
 }
--- a/internal/reducer/pools/script_test.go
+++ b/internal/reducer/pools/script_test.go
@@ -18,13 +18,13 @@
 
 // TestScripts runs the files of testdata/scripts. Each line is an event:
 //
-//	engines PREFILL DECODE [start=N]   that many engines of each pool, in three failure
-//	                            domains, all at that start
+//	engines PREFILL DECODE [start=N]   the number of engines of each pool, in three failure
+//	                            domains, all of the given incarnation
 //	lead TERM | follow          whether this control VM leads
-//	pass SECONDS [prompt=N requests=N held=N [written=N]]   each second with such a
-//	                            load, whose generations hold so many tokens of memory;
-//	                            those that ended have written 10,000 tokens, or N
-//	answer unsure | refused | rest SECONDS   the outcome of the last order
+//	pass SECONDS [prompt=N requests=N held=N [written=N]]   the load of each second, whose
+//	                            generations hold the given tokens of memory; generations
+//	                            that ended have written 10,000 tokens, or N
+//	answer unsure | refused | backoff SECONDS   the outcome of the last order
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		s, now, last := New(), scriptStart, Order{}
@@ -36,7 +36,7 @@
 				case "engines":
 					e := engines(number(t, words[1]), number(t, words[2]))
 					if len(words) > 3 {
-						started(&e, uint64(number(t, strings.TrimPrefix(words[3], "start="))))
+						setIncarnation(&e, uint64(number(t, strings.TrimPrefix(words[3], "start="))))
 					}
 					Reduce(s, e)
 				case "lead":
@@ -45,7 +45,7 @@
 					Reduce(s, Leads{At: now})
 				case "answer":
 					answered := Answered{At: now, Order: last, Unsure: words[1] == "unsure"} // never accepted
-					if words[1] == "rest" {
+					if words[1] == "backoff" {
 						answered.Rest = time.Duration(number(t, words[2])) * time.Second
 					}
 					Reduce(s, answered)
@@ -94,8 +94,8 @@
 	return e
 }
 
-// started has all engines at one start.
-func started(e *Engines, incarnation uint64) {
+// setIncarnation sets the incarnation of all engines.
+func setIncarnation(e *Engines, incarnation uint64) {
 	for i := range e.Servers {
 		e.Servers[i].Incarnation = incarnation
 	}
@@ -112,7 +112,7 @@
 		case "requests":
 			l.Requests = number(t, value)
 		case "held":
-			// The engines write a token in a millisecond.
+			// The engines write one token per millisecond.
 			l.DecodeWork = float64(number(t, value)) * 1000
 			l.Written, l.Writing = 10_000, 10*time.Second
 		case "written":
