--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -204,7 +204,7 @@
 
 // place asks the reducer where to send a request.
 func (f *Forwarder) place(n dispatch.Need) (dispatch.Grant, *refusal) {
-	effects := f.reduce(dispatch.Asked{At: f.now(), Need: n})
+	effects := f.reduce(dispatch.PlacementRequested{At: f.now(), Need: n})
 	switch e := effects[0].(type) {
 	case dispatch.Granted:
 		return e.Grant, nil
--- a/internal/reducer/dispatch/admit.go
+++ b/internal/reducer/dispatch/admit.go
@@ -44,7 +44,7 @@
 
 // admitted decides at random whether a plain request is sent to a server. The probability
 // depends on the recent latency of the service.
-func (s *State) admitted(e Asked, v *service) bool {
+func (s *State) admitted(e PlacementRequested, v *service) bool {
 	target := e.Need.FirstWithin
 	if target <= 0 || !v.sojournKnown(e.At) {
 		return true
--- a/internal/reducer/dispatch/bench_test.go
+++ b/internal/reducer/dispatch/bench_test.go
@@ -34,7 +34,7 @@
 	Reduce(s, fleet)
 	b.ReportAllocs()
 	for b.Loop() {
-		granted, ok := Reduce(s, Asked{At: at, Need: Need{Service: "s", Prompt: 100, Output: 50}})[0].(Granted)
+		granted, ok := Reduce(s, PlacementRequested{At: at, Need: Need{Service: "s", Prompt: 100, Output: 50}})[0].(Granted)
 		if !ok {
 			b.Fatal("not granted")
 		}
--- a/internal/reducer/dispatch/choose.go
+++ b/internal/reducer/dispatch/choose.go
@@ -36,7 +36,7 @@
 	healthAvoided        // it failed a moment ago
 )
 
-func (s *State) requestPlacement(e Asked) Effect {
+func (s *State) requestPlacement(e PlacementRequested) Effect {
 	service := s.services[e.Need.Service]
 	if service == nil {
 		return Refused{Reason: oriolebend.ReasonUnknownService, RetryAfter: retryUnknown}
@@ -166,7 +166,7 @@
 )
 
 // choose chooses a server, or two for a generation that is split.
-func (s *State) choose(e Asked, service *service) (Grant, *Refused) {
+func (s *State) choose(e PlacementRequested, service *service) (Grant, *Refused) {
 	candidates := s.candidates(e)
 	if len(candidates) == 0 {
 		if refused, closed := s.AllClosed(e.At, e.Need); closed {
@@ -188,7 +188,7 @@
 }
 
 // candidates returns the servers to which the request may be sent.
-func (s *State) candidates(e Asked) []*server {
+func (s *State) candidates(e PlacementRequested) []*server {
 	s.scratch.candidates = s.collect(s.scratch.candidates, e, func(c *server) bool {
 		return c.Role != oriolebend.Prefill && !slices.Contains(e.Need.Tried, c.Instance)
 	})
@@ -198,7 +198,7 @@
 // collect lists the servers of a service that are available to this forwarder and for which
 // wanted returns true. The list starts at a random server: among servers of equal load the
 // first is chosen.
-func (s *State) collect(list []*server, e Asked, wanted func(*server) bool) []*server {
+func (s *State) collect(list []*server, e PlacementRequested, wanted func(*server) bool) []*server {
 	all, list := s.inOrder[e.Need.Service], list[:0]
 	if len(all) == 0 {
 		return list
@@ -216,7 +216,7 @@
 
 // available reports whether a server accepts the request, by the state that the server has
 // reported and the exclusions of the request.
-func (s *State) available(e Asked, c *server) bool {
+func (s *State) available(e PlacementRequested, c *server) bool {
 	_, reason := s.unavailable(e.At, c.BackendServer)
 	return reason == "" && !slices.Contains(e.Need.Excluded, c.Instance)
 }
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -60,8 +60,8 @@
 	Waited bool
 }
 
-// Asked requests a placement: the server to which a request is sent.
-type Asked struct {
+// PlacementRequested requests a placement: the server to which a request is sent.
+type PlacementRequested struct {
 	At   time.Time
 	Need Need
 }
@@ -177,7 +177,7 @@
 
 func (Services) isDispatchEvent() {}
 
-func (Asked) isDispatchEvent() {}
+func (PlacementRequested) isDispatchEvent() {}
 
 func (AskedSame) isDispatchEvent() {}
 
--- a/internal/reducer/dispatch/fleet_test.go
+++ b/internal/reducer/dispatch/fleet_test.go
@@ -27,7 +27,7 @@
 	}
 	Reduce(s, Fleet{Servers: []message.BackendServer{engine("a", false), engine("b", true)}})
 	is.Equal(s.FreeShare(scriptStart, "s"), 1.0)
-	Reduce(s, Asked{At: scriptStart, Need: Need{Service: "s", Prompt: 500, Output: 500}})
+	Reduce(s, PlacementRequested{At: scriptStart, Need: Need{Service: "s", Prompt: 500, Output: 500}})
 	is.Equal(s.FreeShare(scriptStart, "s"), 0.0)
 }
 
@@ -58,7 +58,7 @@
 				delete(current, name)
 				Reduce(changed, FleetChanged{At: now, Left: []string{name}})
 			case 2:
-				if g, ok := both(Asked{At: now, Need: Need{Service: "s"}})[0].(Granted); ok {
+				if g, ok := both(PlacementRequested{At: now, Need: Need{Service: "s"}})[0].(Granted); ok {
 					open = append(open, g.Grant)
 				}
 			case 3:
--- a/internal/reducer/dispatch/generation.go
+++ b/internal/reducer/dispatch/generation.go
@@ -35,7 +35,7 @@
 // first. Without any prefill engine, or while the queue of the best one is long, the decode
 // engine prefills the prompt itself, between the tokens of its other requests; each of these
 // then pauses for as long as the prefill takes.
-func (s *State) chooseEngines(e Asked, service *service, decoders []*server) (Grant, *Refused) {
+func (s *State) chooseEngines(e PlacementRequested, service *service, decoders []*server) (Grant, *Refused) {
 	usable := s.usable(e.At, service, decoders)
 	fitting := s.fitting(e, service, usable)
 	if len(fitting) == 0 {
@@ -96,7 +96,7 @@
 }
 
 // fitting returns the engines that are assumed to have room.
-func (s *State) fitting(e Asked, service *service, usable []*server) []*server {
+func (s *State) fitting(e PlacementRequested, service *service, usable []*server) []*server {
 	most := s.capacity(service) - e.Need.Memory()
 	fitting := s.scratch.fitting[:0]
 	for _, c := range usable {
@@ -125,7 +125,7 @@
 	if service == nil || service.limits.Engine == nil {
 		return "", 0
 	}
-	candidates := s.candidates(Asked{At: at, Need: n})
+	candidates := s.candidates(PlacementRequested{At: at, Need: n})
 	defer s.scratch.clear()
 	least, usable := math.MaxInt, s.usable(at, service, candidates)
 	for _, c := range usable {
@@ -149,7 +149,7 @@
 
 // choosePrefillEngine returns the prefill engine that would finish first, nil if there is
 // none.
-func (s *State) choosePrefillEngine(e Asked, service *service) *server {
+func (s *State) choosePrefillEngine(e PlacementRequested, service *service) *server {
 	s.scratch.prefillEngines = s.collect(s.scratch.prefillEngines, e, func(c *server) bool { return c.Role == oriolebend.Prefill })
 	list := s.healthiest(e.At, service, s.scratch.prefillEngines)
 	if len(list) == 0 || service.healthOf(e.At, list[0]) == healthAvoided {
--- a/internal/reducer/dispatch/overflow.go
+++ b/internal/reducer/dispatch/overflow.go
@@ -34,7 +34,7 @@
 // decode engines are idle with their memory reserved. The symptom is that prefills take
 // seconds. Prompts that a decode engine can prefill without harm bypass that queue: one
 // prompt at a time per engine, so that pauses do not add up.
-func (s *State) overflow(e Asked, v *service, prefiller *server, fitting []*server) []*server {
+func (s *State) overflow(e PlacementRequested, v *service, prefiller *server, fitting []*server) []*server {
 	if e.Need.FirstWithin <= 0 || e.Need.PauseWithin <= 0 {
 		return nil
 	}
@@ -52,13 +52,13 @@
 // for as long as it waits there. It waits for its placement instead, in a queue where the
 // request with the least time left goes first and requests that would wait without success are
 // refused at once.
-func (v *service) backlogged(e Asked, prefiller *server) bool {
+func (v *service) backlogged(e PlacementRequested, prefiller *server) bool {
 	return e.Need.FirstWithin > 0 && v.queueExceeds(e, prefiller, backlogAfter)
 }
 
 // queueExceeds reports whether the queue of a prefill engine takes longer than a part of
 // the target for the first event.
-func (v *service) queueExceeds(e Asked, prefiller *server, part float64) bool {
+func (v *service) queueExceeds(e PlacementRequested, prefiller *server, part float64) bool {
 	return v.prefillTime(prefiller.pendingPrompt) > time.Duration(part*float64(e.Need.FirstWithin))
 }
 
--- a/internal/reducer/dispatch/overload_test.go
+++ b/internal/reducer/dispatch/overload_test.go
@@ -118,7 +118,7 @@
 	if s.admit {
 		need.FirstWithin = plainTarget
 	}
-	granted, ok := Reduce(s.forwarders[r.forwarder], Asked{At: s.now, Need: need})[0].(Granted)
+	granted, ok := Reduce(s.forwarders[r.forwarder], PlacementRequested{At: s.now, Need: need})[0].(Granted)
 	if !ok {
 		s.refused[r.second]++
 		return
@@ -218,7 +218,7 @@
 	now := scriptStart
 	for i := range 400 { // one answer in eight is slow, including the first
 		now = now.Add(50 * time.Millisecond)
-		effect := Reduce(s, Asked{At: now, Need: Need{Service: "s", FirstWithin: plainTarget}})[0]
+		effect := Reduce(s, PlacementRequested{At: now, Need: Need{Service: "s", FirstWithin: plainTarget}})[0]
 		granted, ok := effect.(Granted)
 		is.True(ok)
 		took := 20 * time.Millisecond
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -221,7 +221,7 @@
 			need.Excluded = strings.Split(value, ",")
 		}
 	}
-	effects := Reduce(s.state, Asked{At: s.now, Need: need})
+	effects := Reduce(s.state, PlacementRequested{At: s.now, Need: need})
 	if granted, ok := effects[0].(Granted); ok {
 		s.grants[name] = granted.Grant
 	}
@@ -271,7 +271,7 @@
 				continue
 			}
 			need := Need{Service: "s", Prompt: rapid.IntRange(1, 9000).Draw(t, "prompt"), Output: 500, Again: rapid.Bool().Draw(t, "again")}
-			if g, ok := Reduce(s, Asked{At: now, Need: need})[0].(Granted); ok {
+			if g, ok := Reduce(s, PlacementRequested{At: now, Need: need})[0].(Granted); ok {
 				open = append(open, g.Grant)
 			}
 		}
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -138,7 +138,7 @@
 // It is more than sites have today, so that the shared retry budget is not exceeded.
 const assumedForwarders = 32
 
-// Reduce applies an event to the state. Asked, AskedSame, AskedFresh, AskedStill and
+// Reduce applies an event to the state. PlacementRequested, AskedSame, AskedFresh, AskedStill and
 // Counted have exactly one effect, Noticed at most one, other events have none.
 func Reduce(s *State, event Event) []Effect {
 	switch e := event.(type) {
@@ -148,7 +148,7 @@
 		s.applyServerChanges(e)
 	case Services:
 		s.replaceServices(e)
-	case Asked:
+	case PlacementRequested:
 		return []Effect{s.requestPlacement(e)}
 	case AskedSame:
 		return []Effect{s.checkResend(e)}
--- a/internal/reducer/placement/queue.go
+++ b/internal/reducer/placement/queue.go
@@ -129,7 +129,7 @@
 	need := q.need
 	need.Waited = true // the forwarder has counted the request
 	need.Excluded = s.excludedFor(q)
-	switch e := dispatch.Reduce(s.engines, dispatch.Asked{At: at, Need: need})[0].(type) {
+	switch e := dispatch.Reduce(s.engines, dispatch.PlacementRequested{At: at, Need: need})[0].(type) {
 	case dispatch.Granted:
 		s.placements[q.key] = placement{Grant: e.Grant, since: at}
 		s.flow(need.Service).hold(need.Memory())
