--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -217,7 +217,7 @@
 // mayRepeatAt asks the reducer whether a request may be sent to the same server
 // once more.
 func (f *Forwarder) mayRepeatAt(g dispatch.Grant) bool {
-	effects := f.reduce(dispatch.AskedSame{At: f.now(), Grant: g})
+	effects := f.reduce(dispatch.ResendRequested{At: f.now(), Grant: g})
 	_, granted := effects[0].(dispatch.Granted)
 	return granted
 }
--- a/internal/reducer/dispatch/choose.go
+++ b/internal/reducer/dispatch/choose.go
@@ -82,7 +82,7 @@
 }
 
 // checkResend counts a further send to the same server against the retry budget.
-func (s *State) checkResend(e AskedSame) Effect {
+func (s *State) checkResend(e ResendRequested) Effect {
 	service := s.services[e.Grant.Need.Service]
 	if s.inBackoff(e.At, e.Grant.Server) {
 		return Refused{Reason: oriolebend.ReasonServerRests, RetryAfter: retryUnknown}
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -96,9 +96,9 @@
 	Parts int
 }
 
-// AskedSame asks whether a request may be sent again to the server of its
+// ResendRequested asks whether a request may be sent again to the server of its
 // placement.
-type AskedSame struct {
+type ResendRequested struct {
 	At    time.Time
 	Grant Grant
 }
@@ -179,7 +179,7 @@
 
 func (PlacementRequested) isDispatchEvent() {}
 
-func (AskedSame) isDispatchEvent() {}
+func (ResendRequested) isDispatchEvent() {}
 
 func (AskedStill) isDispatchEvent() {}
 
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -125,7 +125,7 @@
 	case "place":
 		s.place(words[1], words[2], words[3:], out)
 	case "resend":
-		print(out, words[1], Reduce(s.state, AskedSame{At: s.now, Grant: s.grants[words[1]]}))
+		print(out, words[1], Reduce(s.state, ResendRequested{At: s.now, Grant: s.grants[words[1]]}))
 	case "send":
 		print(out, words[1], Reduce(s.state, AskedStill{At: s.now, Grant: s.grants[words[1]]}))
 	case "end":
