--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -224,7 +224,7 @@
 
 // refusesStill is why the server of a grant is not sent its request any more, empty if it is.
 func (f *Forwarder) refusesStill(g dispatch.Grant) oriolebend.Reason {
-	if r, refused := f.reduce(dispatch.AskedStill{At: f.now(), Grant: g})[0].(dispatch.Refused); refused {
+	if r, refused := f.reduce(dispatch.SendRequested{At: f.now(), Grant: g})[0].(dispatch.Refused); refused {
 		return r.Reason
 	}
 	return ""
--- a/internal/reducer/dispatch/choose.go
+++ b/internal/reducer/dispatch/choose.go
@@ -110,7 +110,7 @@
 // A prompt can wait in the queue of its prefill engine for longer than a leaving server
 // keeps serving. The request would then reach a server that has stopped, or that its
 // operator believes to be idle.
-func (s *State) checkSend(e AskedStill) Effect {
+func (s *State) checkSend(e SendRequested) Effect {
 	c := s.grantedServer(e.Grant.Server)
 	if c == nil && s.wasRemoved(e.Grant.Server) || c != nil && graceOver(e.At, c.leavingSince) {
 		return Refused{Reason: oriolebend.ReasonLeaving, RetryAfter: retryUnknown}
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -110,9 +110,9 @@
 	Server message.BackendServer
 }
 
-// AskedStill asks whether a request may still be sent to the server of its placement. Its
+// SendRequested asks whether a request may still be sent to the server of its placement. Its
 // prompt was prefilled in the meantime, which can take seconds in a peak.
-type AskedStill struct {
+type SendRequested struct {
 	At    time.Time
 	Grant Grant
 }
@@ -181,7 +181,7 @@
 
 func (ResendRequested) isDispatchEvent() {}
 
-func (AskedStill) isDispatchEvent() {}
+func (SendRequested) isDispatchEvent() {}
 
 func (AskedFresh) isDispatchEvent() {}
 
--- a/internal/reducer/dispatch/removed_test.go
+++ b/internal/reducer/dispatch/removed_test.go
@@ -35,7 +35,7 @@
 	is.Equal(reason(engine(1, 1)), oriolebend.ReasonLeaving)
 	is.Equal(reason(engine(2, 1)), oriolebend.ReasonLeaving) // it has restarted
 	is.Equal(reason(engine(2, 2)), oriolebend.Reason(""))
-	still := AskedStill{At: at, Grant: Grant{Server: engine(1, 1)}}
+	still := SendRequested{At: at, Grant: Grant{Server: engine(1, 1)}}
 	_, refused := Reduce(s, still)[0].(Refused)
 	is.True(refused)
 
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -127,7 +127,7 @@
 	case "resend":
 		print(out, words[1], Reduce(s.state, ResendRequested{At: s.now, Grant: s.grants[words[1]]}))
 	case "send":
-		print(out, words[1], Reduce(s.state, AskedStill{At: s.now, Grant: s.grants[words[1]]}))
+		print(out, words[1], Reduce(s.state, SendRequested{At: s.now, Grant: s.grants[words[1]]}))
 	case "end":
 		ended := Ended{At: s.now, Grant: s.grants[words[1]], Outcome: Outcome(words[2])}
 		if len(words) > 3 {
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -138,7 +138,7 @@
 // It is more than sites have today, so that the shared retry budget is not exceeded.
 const assumedForwarders = 32
 
-// Reduce applies an event to the state. PlacementRequested, ResendRequested, AskedFresh, AskedStill and
+// Reduce applies an event to the state. PlacementRequested, ResendRequested, AskedFresh, SendRequested and
 // Counted have exactly one effect, Noticed at most one, other events have none.
 func Reduce(s *State, event Event) []Effect {
 	switch e := event.(type) {
@@ -152,7 +152,7 @@
 		return []Effect{s.requestPlacement(e)}
 	case ResendRequested:
 		return []Effect{s.checkResend(e)}
-	case AskedStill:
+	case SendRequested:
 		return []Effect{s.checkSend(e)}
 	case AskedFresh:
 		return []Effect{s.checkOffer(e)}
