--- a/internal/forwarder/places.go
+++ b/internal/forwarder/places.go
@@ -189,7 +189,7 @@
 
 // refusesWork is why a server takes no new work, empty if it does.
 func (f *Forwarder) refusesWork(server message.BackendServer) oriolebend.Reason {
-	if r, refused := f.reduce(dispatch.AskedFresh{At: f.now(), Server: server})[0].(dispatch.Refused); refused {
+	if r, refused := f.reduce(dispatch.PlacementOffered{At: f.now(), Server: server})[0].(dispatch.Refused); refused {
 		return r.Reason
 	}
 	return ""
--- a/internal/reducer/dispatch/choose.go
+++ b/internal/reducer/dispatch/choose.go
@@ -140,7 +140,7 @@
 // treated as unknown, 660 requests received placements at crashed engines during five seconds
 // in which the core was partitioned, and the allocator learnt nothing from the placements
 // that were returned.
-func (s *State) checkOffer(e AskedFresh) Effect {
+func (s *State) checkOffer(e PlacementOffered) Effect {
 	c := s.grantedServer(e.Server)
 	if c == nil && s.wasRemoved(e.Server) || c != nil && !c.acceptsWork() {
 		return Refused{Reason: oriolebend.ReasonLeaving, RetryAfter: retryUnknown}
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -103,9 +103,9 @@
 	Grant Grant
 }
 
-// AskedFresh asks whether the server of a placement that another process has just
+// PlacementOffered asks whether the server of a placement that another process has just
 // granted accepts new work, as far as this forwarder knows.
-type AskedFresh struct {
+type PlacementOffered struct {
 	At     time.Time
 	Server message.BackendServer
 }
@@ -183,7 +183,7 @@
 
 func (SendRequested) isDispatchEvent() {}
 
-func (AskedFresh) isDispatchEvent() {}
+func (PlacementOffered) isDispatchEvent() {}
 
 func (Counted) isDispatchEvent() {}
 
--- a/internal/reducer/dispatch/removed_test.go
+++ b/internal/reducer/dispatch/removed_test.go
@@ -23,7 +23,7 @@
 		return message.BackendServer{Instance: fmt.Sprint(i), Incarnation: incarnation, Service: "s", Phase: message.PhaseReady}
 	}
 	reason := func(server message.BackendServer) oriolebend.Reason {
-		if r, refused := Reduce(s, AskedFresh{Server: server})[0].(Refused); refused {
+		if r, refused := Reduce(s, PlacementOffered{Server: server})[0].(Refused); refused {
 			return r.Reason
 		}
 		return ""
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -149,7 +149,7 @@
 		}
 		Reduce(s.state, written)
 	case "offer":
-		effects := Reduce(s.state, AskedFresh{At: s.now, Server: s.grants[words[1]].Server})
+		effects := Reduce(s.state, PlacementOffered{At: s.now, Server: s.grants[words[1]].Server})
 		if _, accepted := effects[0].(Granted); accepted {
 			fmt.Fprintln(out, words[1], "accepted")
 			return
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -138,7 +138,7 @@
 // It is more than sites have today, so that the shared retry budget is not exceeded.
 const assumedForwarders = 32
 
-// Reduce applies an event to the state. PlacementRequested, ResendRequested, AskedFresh, SendRequested and
+// Reduce applies an event to the state. PlacementRequested, ResendRequested, PlacementOffered, SendRequested and
 // Counted have exactly one effect, Noticed at most one, other events have none.
 func Reduce(s *State, event Event) []Effect {
 	switch e := event.(type) {
@@ -154,7 +154,7 @@
 		return []Effect{s.checkResend(e)}
 	case SendRequested:
 		return []Effect{s.checkSend(e)}
-	case AskedFresh:
+	case PlacementOffered:
 		return []Effect{s.checkOffer(e)}
 	case Noticed:
 		return s.applyNotice(e)
