--- a/internal/forwarder/places.go
+++ b/internal/forwarder/places.go
@@ -56,7 +56,7 @@
 		f.reduce(e)
 		return
 	}
-	f.reduce(dispatch.Judged(e))
+	f.reduce(dispatch.OutcomeObserved(e))
 }
 
 // placeGeneration waits for a place, from the process that knows all of them or,
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -195,11 +195,11 @@
 
 func (PromptRead) isDispatchEvent() {}
 
-// Judged reports the outcome of a send before its placement is released by a later Ended:
+// OutcomeObserved reports the outcome of a send before its placement is released by a later Ended:
 // the server may still work on the request.
-type Judged Ended
+type OutcomeObserved Ended
 
-func (Judged) isDispatchEvent() {}
+func (OutcomeObserved) isDispatchEvent() {}
 
 // Effect is what the caller of Reduce has to do.
 type Effect interface{ isDispatchEffect() }
--- a/internal/reducer/dispatch/outcome.go
+++ b/internal/reducer/dispatch/outcome.go
@@ -63,11 +63,11 @@
 			service.budget.withdrawRetry(e.At, s.config.RetryWindow)
 		}
 	}
-	s.applyOutcome(Judged(e))
+	s.applyOutcome(OutcomeObserved(e))
 }
 
 // applyOutcome updates the health of a grant's server from the outcome of a send.
-func (s *State) applyOutcome(e Judged) {
+func (s *State) applyOutcome(e OutcomeObserved) {
 	c := s.grantedServer(e.Grant.Server)
 	if c == nil {
 		return
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -168,7 +168,7 @@
 		s.countGeneration(e)
 	case Counted:
 		return []Effect{s.countRequest(e)}
-	case Judged:
+	case OutcomeObserved:
 		s.applyOutcome(e)
 	case Ended:
 		s.releasePlacement(e)
--- a/internal/reducer/placement/state.go
+++ b/internal/reducer/placement/state.go
@@ -206,7 +206,7 @@
 	if !found {
 		return
 	}
-	dispatch.Reduce(s.engines, dispatch.Judged{At: at, Grant: p.Grant, Outcome: dispatch.OutcomeCut})
+	dispatch.Reduce(s.engines, dispatch.OutcomeObserved{At: at, Grant: p.Grant, Outcome: dispatch.OutcomeCut})
 	s.retain(at, key)
 }
 
