--- a/internal/forwarder/notice.go
+++ b/internal/forwarder/notice.go
@@ -129,7 +129,7 @@
 		f.config.Observer.Count("noticeUnreadable", "", "")
 		f.config.Logger.Info("what a server says of itself can't be read", "server", server.Instance, "address", server.Address, "error", err)
 	}
-	for _, effect := range f.reduce(dispatch.Noticed{At: f.now(), Sent: sent, Server: server, Notice: said, Served: served && err == nil}) {
+	for _, effect := range f.reduce(dispatch.NoticeReceived{At: f.now(), Sent: sent, Server: server, Notice: said, Served: served && err == nil}) {
 		learnt, _ := effect.(dispatch.Learnt)
 		f.logLearnt(server, learnt)
 		if learnt.Ended {
--- a/internal/forwarder/places_test.go
+++ b/internal/forwarder/places_test.go
@@ -82,7 +82,7 @@
 	places := &outdated{engines: slices.Clone(s.servers)}
 	s.forwarder.config.Places = places
 	said := func(i int, n dispatch.Notice) {
-		s.forwarder.reduce(dispatch.Noticed{At: s.forwarder.now(), Server: s.servers[i], Notice: n})
+		s.forwarder.reduce(dispatch.NoticeReceived{At: s.forwarder.now(), Server: s.servers[i], Notice: n})
 	}
 	said(1, dispatch.Notice{Limited: true, PerSecond: 0.1})
 	status, _ := s.generation("/cut/")
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -22,8 +22,8 @@
 	PerSecond float64
 }
 
-// Noticed reports the notice that came with a response.
-type Noticed struct {
+// NoticeReceived reports the notice that came with a response.
+type NoticeReceived struct {
 	At time.Time
 	// Sent is when the request of the response was sent.
 	Sent   time.Time
@@ -34,7 +34,7 @@
 	Served bool
 }
 
-func (Noticed) isDispatchEvent() {}
+func (NoticeReceived) isDispatchEvent() {}
 
 // Learnt reports what a notice changed. It is meant for the log.
 type Learnt struct {
@@ -84,7 +84,7 @@
 func (LimitEnded) isDispatchEvent() {}
 
 // applyNotice applies the notice of a server and returns what it changed.
-func (s *State) applyNotice(e Noticed) []Effect {
+func (s *State) applyNotice(e NoticeReceived) []Effect {
 	kept := s.reported[e.Server.Start()]
 	if kept == nil {
 		if e.Notice == (Notice{}) {
@@ -100,7 +100,7 @@
 	return []Effect{changes}
 }
 
-func (k *reportedState) apply(e Noticed) Learnt {
+func (k *reportedState) apply(e NoticeReceived) Learnt {
 	var changes Learnt
 	if e.Notice.Leaving && k.leavingSince.IsZero() {
 		k.leavingSince, changes.Leaving = e.At, true
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -171,7 +171,7 @@
 // notice has a server report its state with a served response to a request sent just now.
 func (s *script) notice(words []string, out *strings.Builder) {
 	is := is.New(s.t)
-	e := Noticed{At: s.now, Sent: s.now, Server: message.BackendServer{Instance: words[1]}, Served: true}
+	e := NoticeReceived{At: s.now, Sent: s.now, Server: message.BackendServer{Instance: words[1]}, Served: true}
 	for _, option := range words[2:] {
 		key, value, _ := strings.Cut(option, "=")
 		var err error
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -139,7 +139,7 @@
 const assumedForwarders = 32
 
 // Reduce applies an event to the state. PlacementRequested, ResendRequested, PlacementOffered, SendRequested and
-// Counted have exactly one effect, Noticed at most one, other events have none.
+// Counted have exactly one effect, NoticeReceived at most one, other events have none.
 func Reduce(s *State, event Event) []Effect {
 	switch e := event.(type) {
 	case Fleet:
@@ -156,7 +156,7 @@
 		return []Effect{s.checkSend(e)}
 	case PlacementOffered:
 		return []Effect{s.checkOffer(e)}
-	case Noticed:
+	case NoticeReceived:
 		return s.applyNotice(e)
 	case Withheld:
 		s.delayPermission(e)
