--- a/internal/forwarder/notice.go
+++ b/internal/forwarder/notice.go
@@ -130,7 +130,7 @@
 		f.config.Logger.Info("what a server says of itself can't be read", "server", server.Instance, "address", server.Address, "error", err)
 	}
 	for _, effect := range f.reduce(dispatch.NoticeReceived{At: f.now(), Sent: sent, Server: server, Notice: said, Served: served && err == nil}) {
-		learnt, _ := effect.(dispatch.Learnt)
+		learnt, _ := effect.(dispatch.NoticeChanges)
 		f.logLearnt(server, learnt)
 		if learnt.Ended {
 			f.config.Limits.Ended(server, f.now().Sub(sent))
@@ -139,7 +139,7 @@
 }
 
 // logLearnt writes a line for each thing that a server has newly said of itself.
-func (f *Forwarder) logLearnt(server message.BackendServer, l dispatch.Learnt) {
+func (f *Forwarder) logLearnt(server message.BackendServer, l dispatch.NoticeChanges) {
 	line := func(event, text string, more ...any) {
 		f.config.Observer.Count(event, "", "")
 		f.config.Logger.Info(text, append([]any{"server", server.Instance, "address", server.Address, "service", server.Service}, more...)...)
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -36,8 +36,8 @@
 
 func (NoticeReceived) isDispatchEvent() {}
 
-// Learnt reports what a notice changed. It is meant for the log.
-type Learnt struct {
+// NoticeChanges reports what a notice changed. It is meant for the log.
+type NoticeChanges struct {
 	// Leaving is set if the server had not reported before that it is leaving.
 	Leaving bool
 	// Rest is the backoff period of the server from now on; zero means that it ends no later
@@ -49,7 +49,7 @@
 	PerSecond      float64
 }
 
-func (Learnt) isDispatchEffect() {}
+func (NoticeChanges) isDispatchEffect() {}
 
 // reportedState is the state that one incarnation of a server has reported. It is kept apart
 // from what control VMs report about the server: it stays valid for a server that control VMs
@@ -94,14 +94,14 @@
 		s.reported[e.Server.Start()] = kept
 	}
 	changes := kept.apply(e)
-	if changes == (Learnt{}) {
+	if changes == (NoticeChanges{}) {
 		return nil
 	}
 	return []Effect{changes}
 }
 
-func (k *reportedState) apply(e NoticeReceived) Learnt {
-	var changes Learnt
+func (k *reportedState) apply(e NoticeReceived) NoticeChanges {
+	var changes NoticeChanges
 	if e.Notice.Leaving && k.leavingSince.IsZero() {
 		k.leavingSince, changes.Leaving = e.At, true
 	}
