--- a/internal/forwarder/permit.go
+++ b/internal/forwarder/permit.go
@@ -71,7 +71,7 @@
 	case answer.Granted:
 		p[server.Start()] = f.now()
 	default:
-		f.reduce(dispatch.Withheld{At: f.now(), Server: server, After: answer.After})
+		f.reduce(dispatch.PermissionRefused{At: f.now(), Server: server, After: answer.After})
 	}
 	return answer.Granted
 }
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -65,8 +65,8 @@
 	limitReported, nextPermission time.Time
 }
 
-// Withheld reports that a permission to send to a server with a rate limit was refused.
-type Withheld struct {
+// PermissionRefused reports that a permission to send to a server with a rate limit was refused.
+type PermissionRefused struct {
 	At     time.Time
 	Server message.BackendServer
 	// After is when another permission may be requested.
@@ -79,7 +79,7 @@
 	Server message.BackendServer
 }
 
-func (Withheld) isDispatchEvent() {}
+func (PermissionRefused) isDispatchEvent() {}
 
 func (LimitEnded) isDispatchEvent() {}
 
@@ -121,7 +121,7 @@
 	return changes
 }
 
-func (s *State) delayPermission(e Withheld) {
+func (s *State) delayPermission(e PermissionRefused) {
 	if kept := s.reported[e.Server.Start()]; kept != nil {
 		kept.nextPermission = e.At.Add(e.After)
 	}
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -160,7 +160,7 @@
 	case "no-permit":
 		after, err := time.ParseDuration(words[2])
 		is.NoErr(err)
-		Reduce(s.state, Withheld{At: s.now, Server: message.BackendServer{Instance: words[1]}, After: after})
+		Reduce(s.state, PermissionRefused{At: s.now, Server: message.BackendServer{Instance: words[1]}, After: after})
 	case "unlimited":
 		Reduce(s.state, LimitEnded{At: s.now, Server: message.BackendServer{Instance: words[1]}})
 	case "prefill-failed":
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -158,7 +158,7 @@
 		return []Effect{s.checkOffer(e)}
 	case NoticeReceived:
 		return s.applyNotice(e)
-	case Withheld:
+	case PermissionRefused:
 		s.delayPermission(e)
 	case LimitEnded:
 		s.clearLimit(e)
