--- a/internal/forwarder/reserve.go
+++ b/internal/forwarder/reserve.go
@@ -150,7 +150,7 @@
 		s.brokeEarly(engine, err)
 		return nil, err
 	}
-	s.f.reduce(dispatch.Read{Need: s.expectedNeed(), Took: took, Ahead: s.grant.Ahead})
+	s.f.reduce(dispatch.PrefillMeasured{Need: s.expectedNeed(), Took: took, Ahead: s.grant.Ahead})
 	return &result, nil
 }
 
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -77,9 +77,9 @@
 	Again bool
 }
 
-// Read reports how long the prefill of a prompt took, for a placement that was
+// PrefillMeasured reports how long the prefill of a prompt took, for a placement that was
 // granted here or elsewhere.
-type Read struct {
+type PrefillMeasured struct {
 	Need Need
 	Took time.Duration
 	// Ahead is Grant.Ahead of the placement.
@@ -187,7 +187,7 @@
 
 func (Counted) isDispatchEvent() {}
 
-func (Read) isDispatchEvent() {}
+func (PrefillMeasured) isDispatchEvent() {}
 
 func (Written) isDispatchEvent() {}
 
--- a/internal/reducer/dispatch/load.go
+++ b/internal/reducer/dispatch/load.go
@@ -37,7 +37,7 @@
 // The work that the prompt brings to a decode engine is counted at the same moment. If it
 // were measured at the decode engine, it would lag by the time of a generation: in the first
 // seconds of a load the prefill pool would seem too small, and after a peak too large.
-func (s *State) countPrefill(e Read) {
+func (s *State) countPrefill(e PrefillMeasured) {
 	v := s.services[e.Need.Service]
 	if v == nil {
 		return
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -138,7 +138,7 @@
 		took, err := time.ParseDuration(words[2])
 		is.NoErr(err)
 		Reduce(s.state, PromptRead{At: s.now, Grant: s.grants[words[1]], Took: took})
-		Reduce(s.state, Read{Need: s.grants[words[1]].Need, Took: took, Ahead: s.grants[words[1]].Ahead})
+		Reduce(s.state, PrefillMeasured{Need: s.grants[words[1]].Need, Took: took, Ahead: s.grants[words[1]].Ahead})
 	case "generated":
 		took, err := time.ParseDuration(words[2])
 		is.NoErr(err)
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -162,7 +162,7 @@
 		s.delayPermission(e)
 	case LimitEnded:
 		s.clearLimit(e)
-	case Read:
+	case PrefillMeasured:
 		s.countPrefill(e)
 	case Written:
 		s.countGeneration(e)
--- a/internal/reducer/placement/state.go
+++ b/internal/reducer/placement/state.go
@@ -138,7 +138,7 @@
 	}
 	dispatch.Reduce(s.engines, dispatch.PromptRead{At: e.At, Grant: p.Grant, Failed: e.Failed, Unused: e.Unused})
 	if !e.Failed && !e.Unused {
-		dispatch.Reduce(s.engines, dispatch.Read{Need: p.Need, Took: e.Took, Ahead: p.Ahead})
+		dispatch.Reduce(s.engines, dispatch.PrefillMeasured{Need: p.Need, Took: e.Took, Ahead: p.Ahead})
 	}
 	// The prefill part is over; a second report must not be counted.
 	p.Prefill = nil
