--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -240,7 +240,7 @@
 		s.answer.End()
 		if s.streaming {
 			s.f.config.Quarantine.Answered(s.fingerprint)
-			s.f.reduce(dispatch.Written{Need: s.expectedNeed(), Took: time.Since(s.request.Received) - s.first, Parts: s.parts})
+			s.f.reduce(dispatch.GenerationMeasured{Need: s.expectedNeed(), Took: time.Since(s.request.Received) - s.first, Parts: s.parts})
 		}
 		s.ended(s.grant, dispatch.OutcomeAnswered, 0)
 		s.log(response.Status, "", oriolebend.RanYes)
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -88,8 +88,8 @@
 	Here bool
 }
 
-// Written reports that a generation has ended, and how long the engine wrote.
-type Written struct {
+// GenerationMeasured reports that a generation has ended, and how long the engine wrote.
+type GenerationMeasured struct {
 	Need Need
 	Took time.Duration
 	// Parts is how many parts the stream had.
@@ -189,7 +189,7 @@
 
 func (PrefillMeasured) isDispatchEvent() {}
 
-func (Written) isDispatchEvent() {}
+func (GenerationMeasured) isDispatchEvent() {}
 
 func (Ended) isDispatchEvent() {}
 
--- a/internal/reducer/dispatch/load.go
+++ b/internal/reducer/dispatch/load.go
@@ -61,7 +61,7 @@
 // In the first seconds of a load the shortest generations end first. If they were counted
 // with their expected output, engines would seem faster than they are: the decode pool would
 // seem large enough, and the first peak would find engines still idle in the prefill pool.
-func (s *State) countGeneration(e Written) {
+func (s *State) countGeneration(e GenerationMeasured) {
 	if v := s.services[e.Need.Service]; v != nil {
 		tokens := e.Need.Output
 		if engine := v.limits.Engine; engine != nil && engine.TokensPerPart > 0 && e.Parts > 0 {
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -142,7 +142,7 @@
 	case "generated":
 		took, err := time.ParseDuration(words[2])
 		is.NoErr(err)
-		written := Written{Need: s.grants[words[1]].Need, Took: took}
+		written := GenerationMeasured{Need: s.grants[words[1]].Need, Took: took}
 		if len(words) > 3 {
 			written.Parts, err = strconv.Atoi(words[3])
 			is.NoErr(err)
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -164,7 +164,7 @@
 		s.clearLimit(e)
 	case PrefillMeasured:
 		s.countPrefill(e)
-	case Written:
+	case GenerationMeasured:
 		s.countGeneration(e)
 	case Counted:
 		return []Effect{s.countRequest(e)}
