--- a/internal/reducer/dispatch/generation.go
+++ b/internal/reducer/dispatch/generation.go
@@ -118,9 +118,9 @@
 	return int(float64(v.limits.Engine.KVTokens) * s.config.Overcommit)
 }
 
-// Roomiest returns the engine with the most free memory among those that a generation may
+// MostFreeEngine returns the engine with the most free memory among those that a generation may
 // use, and how many these are.
-func Roomiest(s *State, at time.Time, n Need) (instance string, engines int) {
+func MostFreeEngine(s *State, at time.Time, n Need) (instance string, engines int) {
 	service := s.services[n.Service]
 	if service == nil || service.limits.Engine == nil {
 		return "", 0
--- a/internal/reducer/placement/sizes.go
+++ b/internal/reducer/placement/sizes.go
@@ -129,7 +129,7 @@
 	}
 	need := q.need
 	need.Excluded = s.excludedFor(q)
-	engine, engines := dispatch.Roomiest(s.engines, at, need)
+	engine, engines := dispatch.MostFreeEngine(s.engines, at, need)
 	if float64(len(s.reserved)+1) <= mostReserved*float64(engines+len(s.reserved)) {
 		s.reserved[q.key] = engine
 	}
