--- a/internal/forwarder/places.go
+++ b/internal/forwarder/places.go
@@ -38,7 +38,7 @@
 
 // promptRead tells whoever gave the place that its prefill engine is done.
 func (f *Forwarder) promptRead(e dispatch.PromptRead) {
-	if e.Grant.Remote != 0 || e.Grant.Told != 0 {
+	if e.Grant.Remote != 0 || e.Grant.ReportedID != 0 {
 		f.config.Places.PromptRead(e)
 	}
 	if e.Grant.Remote == 0 {
@@ -49,7 +49,7 @@
 // ended tells whoever gave a place how it was used. This forwarder judges the engine as
 // well: while nobody gives places, it looks for them among engines that it knows then.
 func (f *Forwarder) ended(e dispatch.Ended) {
-	if e.Grant.Remote != 0 || e.Grant.Told != 0 {
+	if e.Grant.Remote != 0 || e.Grant.ReportedID != 0 {
 		f.config.Places.Ended(e)
 	}
 	if e.Grant.Remote == 0 {
@@ -72,7 +72,7 @@
 		need.Waited = waited
 		grant, refused := w.f.place(need)
 		if refused == nil && w.f.config.Places != nil && need.Prompt > 0 {
-			grant.Told = w.f.config.Places.Found(grant)
+			grant.ReportedID = w.f.config.Places.Found(grant)
 		}
 		if refused == nil || refused.reason != oriolebend.ReasonNoMemory {
 			return grant, refused
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -300,7 +300,7 @@
 }
 
 // number is the number under which a place is told.
-func number(g dispatch.Grant) uint64 { return cmp.Or(g.Remote, g.Told) }
+func number(g dispatch.Grant) uint64 { return cmp.Or(g.Remote, g.ReportedID) }
 
 // PromptRead implements forwarder.Places.
 func (c *Client) PromptRead(e dispatch.PromptRead) {
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -157,7 +157,7 @@
 			Need: dispatch.Need{Service: "s", Prompt: 900}, Server: message.BackendServer{Instance: "d"},
 			Prefill: &message.BackendServer{Instance: "p"},
 		}
-		grant.Told = s.client.Found(grant)
+		grant.ReportedID = s.client.Found(grant)
 		s.lead("one:1")
 		time.Sleep(time.Second)
 		s.refused(ctx, is, 900)
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -215,9 +215,9 @@
 	// Remote numbers a placement that another process granted; zero means that it was
 	// granted here.
 	Remote uint64
-	// Told numbers a placement that was granted here and is reported to the allocator,
+	// ReportedID numbers a placement that was granted here and is reported to the allocator,
 	// the process that grants placements; zero means that it is not reported.
-	Told uint64
+	ReportedID uint64
 }
 
 // Granted means that the request is to be sent.
