--- a/internal/forwarder/work.go
+++ b/internal/forwarder/work.go
@@ -80,7 +80,7 @@
 		FirstWithin: time.Duration(w.route.AnswerWithin), Arrived: w.request.Received,
 		PauseWithin: time.Duration(w.route.PauseWithin), Returned: w.returned,
 		FailureDomain: w.f.config.Dispatch.FailureDomain,
-		Tried:         w.tried, Again: w.sent+w.prefills > 0,
+		Tried:         w.tried, Retry: w.sent+w.prefills > 0,
 	}
 }
 
--- a/internal/reducer/dispatch/choose.go
+++ b/internal/reducer/dispatch/choose.go
@@ -41,17 +41,17 @@
 	if service == nil {
 		return Refused{Reason: oriolebend.ReasonUnknownService, RetryAfter: retryUnknown}
 	}
-	if !e.Need.Again && !e.Need.Waited {
+	if !e.Need.Retry && !e.Need.Waited {
 		service.budget.addRequest(e.At, s.config.RetryWindow)
 	}
-	if e.Need.Again && !s.mayRetry(service, e.At) {
+	if e.Need.Retry && !s.mayRetry(service, e.At) {
 		return Refused{Reason: oriolebend.ReasonRetryBudget, RetryAfter: retryBudget}
 	}
 	grant, refused := s.choose(e, service)
 	if refused != nil {
 		return *refused
 	}
-	if e.Need.Again {
+	if e.Need.Retry {
 		service.budget.addRetry(e.At, s.config.RetryWindow)
 	}
 	s.addWork(grant)
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -54,8 +54,8 @@
 	// Excluded are further instances that must not be chosen, neither for the response nor
 	// for the prefill, because they currently accept nothing from the forwarder.
 	Excluded []string
-	// Again is set if this send is a retry, not the first send of the request.
-	Again bool
+	// Retry is set if this send is a retry, not the first send of the request.
+	Retry bool
 	// Waited is set if a placement was requested before and no server had room.
 	Waited bool
 }
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -212,7 +212,7 @@
 		case "from":
 			need.FailureDomain = value
 		case "retry":
-			need.Again = true
+			need.Retry = true
 		case "waited":
 			need.Waited = true
 		case "tried":
@@ -270,7 +270,7 @@
 				end(rapid.IntRange(0, len(open)-1).Draw(t, "which"))
 				continue
 			}
-			need := Need{Service: "s", Prompt: rapid.IntRange(1, 9000).Draw(t, "prompt"), Output: 500, Again: rapid.Bool().Draw(t, "again")}
+			need := Need{Service: "s", Prompt: rapid.IntRange(1, 9000).Draw(t, "prompt"), Output: 500, Retry: rapid.Bool().Draw(t, "again")}
 			if g, ok := Reduce(s, PlacementRequested{At: now, Need: need})[0].(Granted); ok {
 				open = append(open, g.Grant)
 			}
