--- a/internal/reducer/dispatch/choose.go
+++ b/internal/reducer/dispatch/choose.go
@@ -71,7 +71,7 @@
 		return Refused{Reason: oriolebend.ReasonUnknownService, RetryAfter: retryUnknown}
 	case closed:
 		return refused
-	case !e.Again:
+	case !e.Retry:
 		service.budget.addRequest(e.At, s.config.RetryWindow)
 	case !s.mayRetry(service, e.At):
 		return Refused{Reason: oriolebend.ReasonRetryBudget, RetryAfter: retryBudget}
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -73,8 +73,8 @@
 	Service string
 	// Tried are the instances that the request was sent to before.
 	Tried []string
-	// Again is set if this send is a retry.
-	Again bool
+	// Retry is set if this send is a retry.
+	Retry bool
 }
 
 // PrefillMeasured reports how long the prefill of a prompt took, for a placement that was
