--- a/internal/forwarder/permit.go
+++ b/internal/forwarder/permit.go
@@ -127,7 +127,7 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if reason := f.state.ClosedReason(f.now(), server); reason != "" {
+	if reason := f.state.UnavailableReason(f.now(), server); reason != "" {
 		return reason
 	}
 	if _, limited := f.state.Limit(server); limited {
@@ -142,7 +142,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	_, limited := f.state.Limit(server)
-	return limited || f.state.ClosedReason(f.now(), server) == oriolebend.ReasonServerRests
+	return limited || f.state.UnavailableReason(f.now(), server) == oriolebend.ReasonServerRests
 }
 
 // placeCall finds a server for a plain call that may be sent to it.
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -149,9 +149,9 @@
 	return Limit{PerSecond: kept.perSecond, Named: kept.limitReported}, true
 }
 
-// ClosedReason returns why a server currently accepts nothing from this forwarder, empty if it
+// UnavailableReason returns why a server currently accepts nothing from this forwarder, empty if it
 // does.
-func (s *State) ClosedReason(at time.Time, server message.BackendServer) oriolebend.Reason {
+func (s *State) UnavailableReason(at time.Time, server message.BackendServer) oriolebend.Reason {
 	_, reason := s.unavailable(at, server)
 	return reason
 }
