--- a/internal/forwarder/permit.go
+++ b/internal/forwarder/permit.go
@@ -107,7 +107,7 @@
 func (f *Forwarder) closed(service string) []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.state.Closed(f.now(), service)
+	return f.state.Unavailable(f.now(), service)
 }
 
 // allClosed reports whether no server takes the request for what the servers have said of
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -187,8 +187,8 @@
 	return kept != nil && at.Before(kept.backoffUntil)
 }
 
-// Closed lists the servers of a service that currently accept nothing from this forwarder.
-func (s *State) Closed(at time.Time, name string) []string {
+// Unavailable lists the servers of a service that currently accept nothing from this forwarder.
+func (s *State) Unavailable(at time.Time, name string) []string {
 	if len(s.reported) == 0 {
 		return nil
 	}
