--- a/internal/forwarder/permit.go
+++ b/internal/forwarder/permit.go
@@ -115,7 +115,7 @@
 func (w *work) allClosed() (refusal, bool) {
 	w.f.mutex.Lock()
 	defer w.f.mutex.Unlock()
-	refused, closed := w.f.state.AllClosed(w.f.now(), w.need())
+	refused, closed := w.f.state.AllUnavailable(w.f.now(), w.need())
 	return refusal{reason: refused.Reason, after: refused.RetryAfter}, closed
 }
 
--- a/internal/reducer/dispatch/choose.go
+++ b/internal/reducer/dispatch/choose.go
@@ -65,7 +65,7 @@
 // countRequest counts a request whose server another process chooses.
 func (s *State) countRequest(e Counted) Effect {
 	service := s.services[e.Service]
-	refused, closed := s.AllClosed(e.At, Need{Service: e.Service, Tried: e.Tried})
+	refused, closed := s.AllUnavailable(e.At, Need{Service: e.Service, Tried: e.Tried})
 	switch {
 	case service == nil:
 		return Refused{Reason: oriolebend.ReasonUnknownService, RetryAfter: retryUnknown}
@@ -169,7 +169,7 @@
 func (s *State) choose(e PlacementRequested, service *service) (Grant, *Refused) {
 	candidates := s.candidates(e)
 	if len(candidates) == 0 {
-		if refused, closed := s.AllClosed(e.At, e.Need); closed {
+		if refused, closed := s.AllUnavailable(e.At, e.Need); closed {
 			return Grant{}, &refused
 		}
 		return Grant{}, &Refused{Reason: oriolebend.ReasonNoServer, RetryAfter: retryUnknown}
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -204,10 +204,10 @@
 // retryClosed is the shortest retry delay for a caller whose request no server accepts.
 const retryClosed = 50 * time.Millisecond
 
-// AllClosed reports whether every server of a service rejects a request because of the state
+// AllUnavailable reports whether every server of a service rejects a request because of the state
 // that the servers have reported. If so, the result says why, and when the first of them may
 // accept one.
-func (s *State) AllClosed(at time.Time, n Need) (Refused, bool) {
+func (s *State) AllUnavailable(at time.Time, n Need) (Refused, bool) {
 	var first time.Time
 	var refused Refused
 	for _, c := range s.inOrder[n.Service] {
