--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -234,7 +234,7 @@
 func (f *Forwarder) readTime(service string, prompt int) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.state.ReadTime(service, prompt)
+	return f.state.PrefillTime(service, prompt)
 }
 
 // loaded reports whether a route's service is overloaded, as far as this forwarder
--- a/internal/reducer/dispatch/overflow.go
+++ b/internal/reducer/dispatch/overflow.go
@@ -62,8 +62,8 @@
 	return v.prefillTime(prefiller.pendingPrompt) > time.Duration(part*float64(e.Need.FirstWithin))
 }
 
-// ReadTime is how long a prefill engine of a service takes to prefill a prompt.
-func (s *State) ReadTime(name string, prompt int) time.Duration {
+// PrefillTime is how long a prefill engine of a service takes to prefill a prompt.
+func (s *State) PrefillTime(name string, prompt int) time.Duration {
 	v := s.services[name]
 	if v == nil {
 		return 0
