--- a/internal/reducer/dispatch/choose.go
+++ b/internal/reducer/dispatch/choose.go
@@ -145,7 +145,7 @@
 	if c == nil && s.wasRemoved(e.Server) || c != nil && !c.acceptsWork() {
 		return Refused{Reason: oriolebend.ReasonLeaving, RetryAfter: retryUnknown}
 	}
-	if until, reason := s.unavailable(e.At, e.Server); reason != "" {
+	if until, reason := s.unavailableUntil(e.At, e.Server); reason != "" {
 		return Refused{Reason: reason, RetryAfter: until.Sub(e.At)}
 	}
 	return Granted{}
@@ -217,7 +217,7 @@
 // available reports whether a server accepts the request, by the state that the server has
 // reported and the exclusions of the request.
 func (s *State) available(e PlacementRequested, c *server) bool {
-	_, reason := s.unavailable(e.At, c.BackendServer)
+	_, reason := s.unavailableUntil(e.At, c.BackendServer)
 	return reason == "" && !slices.Contains(e.Need.Excluded, c.Instance)
 }
 
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -152,13 +152,13 @@
 // UnavailableReason returns why a server currently accepts nothing from this forwarder, empty if it
 // does.
 func (s *State) UnavailableReason(at time.Time, server message.BackendServer) oriolebend.Reason {
-	_, reason := s.unavailable(at, server)
+	_, reason := s.unavailableUntil(at, server)
 	return reason
 }
 
-// unavailable returns until when and why a server accepts nothing from this forwarder, by the
+// unavailableUntil returns until when and why a server accepts nothing from this forwarder, by the
 // state that the server has reported. The reason is empty if the server accepts requests.
-func (s *State) unavailable(at time.Time, server message.BackendServer) (time.Time, oriolebend.Reason) {
+func (s *State) unavailableUntil(at time.Time, server message.BackendServer) (time.Time, oriolebend.Reason) {
 	if len(s.reported) == 0 {
 		return time.Time{}, ""
 	}
@@ -166,10 +166,10 @@
 	if kept == nil {
 		return time.Time{}, ""
 	}
-	return kept.unavailable(at)
+	return kept.unavailableUntil(at)
 }
 
-func (k *reportedState) unavailable(at time.Time) (time.Time, oriolebend.Reason) {
+func (k *reportedState) unavailableUntil(at time.Time) (time.Time, oriolebend.Reason) {
 	switch {
 	case !k.leavingSince.IsZero():
 		return at.Add(retryUnknown), oriolebend.ReasonLeaving
@@ -194,7 +194,7 @@
 	}
 	var list []string
 	for _, c := range s.inOrder[name] {
-		if _, reason := s.unavailable(at, c.BackendServer); reason != "" {
+		if _, reason := s.unavailableUntil(at, c.BackendServer); reason != "" {
 			list = append(list, c.Instance)
 		}
 	}
@@ -214,7 +214,7 @@
 		if !c.acceptsWork() || c.Role == oriolebend.Prefill || slices.Contains(n.Tried, c.Instance) {
 			continue
 		}
-		until, reason := s.unavailable(at, c.BackendServer)
+		until, reason := s.unavailableUntil(at, c.BackendServer)
 		switch reason {
 		case "":
 			return Refused{}, false
