--- a/internal/forwarder/notice.go
+++ b/internal/forwarder/notice.go
@@ -54,7 +54,7 @@
 		return notice, errors.Join(errLeaving, errLimit)
 	}
 	rest, _, errRest := decimals(h, retryAfter)
-	notice.Rest = time.Duration(min(rest, restMost.Seconds()) * float64(time.Second))
+	notice.Backoff = time.Duration(min(rest, restMost.Seconds()) * float64(time.Second))
 	return notice, errors.Join(errLeaving, errLimit, errRest)
 }
 
--- a/internal/forwarder/notice_test.go
+++ b/internal/forwarder/notice_test.go
@@ -39,8 +39,8 @@
 	if n.Leaving {
 		words = append(words, "leaving")
 	}
-	if n.Rest > 0 {
-		words = append(words, "rest="+n.Rest.String())
+	if n.Backoff > 0 {
+		words = append(words, "rest="+n.Backoff.String())
 	}
 	if n.Limited {
 		words = append(words, "limit="+strconv.FormatFloat(n.PerSecond, 'f', -1, 64))
@@ -66,7 +66,7 @@
 		n, _ := Own{}.Notice(http.StatusServiceUnavailable, http.Header{ownLeaving: {leaving}, ownLimit: {limit}, retryAfter: {rest}})
 		is.True(n.PerSecond >= 0 && !math.IsInf(n.PerSecond, 0) && !math.IsNaN(n.PerSecond))
 		is.True(n.Limited || n.PerSecond == 0)
-		is.True(n.Rest >= 0 && n.Rest <= restMost)
+		is.True(n.Backoff >= 0 && n.Backoff <= restMost)
 	})
 }
 
--- a/internal/forwarder/places_test.go
+++ b/internal/forwarder/places_test.go
@@ -87,7 +87,7 @@
 	said(1, dispatch.Notice{Limited: true, PerSecond: 0.1})
 	status, _ := s.generation("/cut/")
 	is.Equal(status, http.StatusOK) // nothing is known of the first one yet
-	said(0, dispatch.Notice{Rest: time.Minute})
+	said(0, dispatch.Notice{Backoff: time.Minute})
 	for range 2 {
 		status, _ = s.generation("/cut/")
 		is.Equal(status, http.StatusOK)
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -13,9 +13,9 @@
 type Notice struct {
 	// Leaving is set if the server accepts no new work.
 	Leaving bool
-	// Rest is the backoff period for which the server wants no request from this VM; zero
+	// Backoff is the backoff period for which the server wants no request from this VM; zero
 	// means that it reports none.
-	Rest time.Duration
+	Backoff time.Duration
 	// Limited is set if the server reports a rate limit. PerSecond is the requests per second
 	// that it accepts from all VMs together for as long as it reports the limit.
 	Limited   bool
@@ -105,8 +105,8 @@
 	if e.Notice.Leaving && k.leavingSince.IsZero() {
 		k.leavingSince, changes.Leaving = e.At, true
 	}
-	if until := e.At.Add(e.Notice.Rest); e.Notice.Rest > 0 && until.After(k.backoffUntil) {
-		k.backoffUntil, changes.Rest = until, e.Notice.Rest
+	if until := e.At.Add(e.Notice.Backoff); e.Notice.Backoff > 0 && until.After(k.backoffUntil) {
+		k.backoffUntil, changes.Rest = until, e.Notice.Backoff
 	}
 	switch {
 	case e.Notice.Limited:
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -180,7 +180,7 @@
 			e.Notice.Limited = true
 			e.Notice.PerSecond, err = strconv.ParseFloat(value, 64)
 		case "backoff":
-			e.Notice.Rest, err = time.ParseDuration(value)
+			e.Notice.Backoff, err = time.ParseDuration(value)
 		case "leaving":
 			e.Notice.Leaving = true
 		case "sent":
