--- a/internal/forwarder/notice.go
+++ b/internal/forwarder/notice.go
@@ -147,8 +147,8 @@
 	if l.Leaving {
 		line("serverLeaves", "server says that it leaves")
 	}
-	if l.Rest > 0 {
-		line("serverRests", "server asks for rest", "restMs", l.Rest.Milliseconds())
+	if l.Backoff > 0 {
+		line("serverRests", "server asks for rest", "restMs", l.Backoff.Milliseconds())
 	}
 	if l.Limited {
 		line("serverLimited", "server names its limit", "perSecond", l.PerSecond)
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -40,9 +40,9 @@
 type NoticeChanges struct {
 	// Leaving is set if the server had not reported before that it is leaving.
 	Leaving bool
-	// Rest is the backoff period of the server from now on; zero means that it ends no later
+	// Backoff is the backoff period of the server from now on; zero means that it ends no later
 	// than the backoff period known before.
-	Rest time.Duration
+	Backoff time.Duration
 	// Limited is set if the server reports a limit for the first time or a different one,
 	// Ended if the server no longer reports a limit.
 	Limited, Ended bool
@@ -106,7 +106,7 @@
 		k.leavingSince, changes.Leaving = e.At, true
 	}
 	if until := e.At.Add(e.Notice.Backoff); e.Notice.Backoff > 0 && until.After(k.backoffUntil) {
-		k.backoffUntil, changes.Rest = until, e.Notice.Backoff
+		k.backoffUntil, changes.Backoff = until, e.Notice.Backoff
 	}
 	switch {
 	case e.Notice.Limited:
