--- a/internal/reducer/pools/event.go
+++ b/internal/reducer/pools/event.go
@@ -36,8 +36,8 @@
 	Accepted bool
 	// Unsure is set if the order may still be carried out.
 	Unsure bool
-	// Rest is the backoff period that the engine has requested.
-	Rest time.Duration
+	// Backoff is the backoff period that the engine has requested.
+	Backoff time.Duration
 }
 
 func (Leads) isPoolsEvent() {}
--- a/internal/reducer/pools/script_test.go
+++ b/internal/reducer/pools/script_test.go
@@ -46,7 +46,7 @@
 				case "answer":
 					answered := Answered{At: now, Order: last, Unsure: words[1] == "unsure"} // never accepted
 					if words[1] == "backoff" {
-						answered.Rest = time.Duration(number(t, words[2])) * time.Second
+						answered.Backoff = time.Duration(number(t, words[2])) * time.Second
 					}
 					Reduce(s, answered)
 				case "pass":
--- a/internal/reducer/pools/state.go
+++ b/internal/reducer/pools/state.go
@@ -206,8 +206,8 @@
 		v.noOrderUntil[e.Order.Engine.Instance] = e.At.Add(unknownOutcomeFor)
 	case !e.Accepted:
 		delete(v.moving, e.Order.Engine.Instance)
-		if e.Rest > 0 {
-			v.noOrderUntil[e.Order.Engine.Instance] = e.At.Add(e.Rest)
+		if e.Backoff > 0 {
+			v.noOrderUntil[e.Order.Engine.Instance] = e.At.Add(e.Backoff)
 		}
 	}
 }
--- a/internal/role/poolkeeper.go
+++ b/internal/role/poolkeeper.go
@@ -114,7 +114,7 @@
 	answered := pools.Answered{At: time.Now(), Order: o, Accepted: accepted}
 	notSent, known := errors.AsType[*NotOrderedError](err)
 	if known {
-		answered.Rest = notSent.Rest
+		answered.Backoff = notSent.Rest
 	}
 	answered.Unsure = err != nil && !known
 	k.reduce(answered)
