--- a/internal/forwarder/permit.go
+++ b/internal/forwarder/permit.go
@@ -64,7 +64,7 @@
 	if !limited || p.fresh(asked, server) {
 		return true
 	}
-	answer := f.config.Limits.Permit(ctx, LimitAsk{Server: server, PerSecond: limit.PerSecond, Age: asked.Sub(limit.Named)})
+	answer := f.config.Limits.Permit(ctx, LimitAsk{Server: server, PerSecond: limit.PerSecond, Age: asked.Sub(limit.ReportedAt)})
 	switch {
 	case answer.Ended:
 		f.reduce(dispatch.LimitEnded{At: asked, Server: server})
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -136,8 +136,8 @@
 // Limit is the rate limit that a server has reported.
 type Limit struct {
 	PerSecond float64
-	// Named is when a response last reported the limit.
-	Named time.Time
+	// ReportedAt is when a response last reported the limit.
+	ReportedAt time.Time
 }
 
 // Limit returns the limit of a server, false if no limit is known.
@@ -146,7 +146,7 @@
 	if kept == nil || !kept.limited {
 		return Limit{}, false
 	}
-	return Limit{PerSecond: kept.perSecond, Named: kept.limitReported}, true
+	return Limit{PerSecond: kept.perSecond, ReportedAt: kept.limitReported}, true
 }
 
 // UnavailableReason returns why a server currently accepts nothing from this forwarder, empty if it
