--- a/internal/places/giver.go
+++ b/internal/places/giver.go
@@ -236,7 +236,7 @@
 		if q := m.Question; q != nil {
 			need := needOf(*q)
 			need.FailureDomain = g.sessions[session].failureDomain
-			g.reduce(placement.Asked{
+			g.reduce(placement.Requested{
 				At: now, Key: key, Need: need, Rank: q.Rank, Call: q.Call, InTime: now.Add(q.InTime), Until: now.Add(q.Within),
 			})
 		}
--- a/internal/reducer/placement/event.go
+++ b/internal/reducer/placement/event.go
@@ -19,8 +19,8 @@
 // FleetChanged reports changes to the list of engines.
 type FleetChanged dispatch.FleetChanged
 
-// Asked is a placement request.
-type Asked struct {
+// Requested is a placement request.
+type Requested struct {
 	At   time.Time
 	Key  Key
 	Need dispatch.Need
@@ -84,7 +84,7 @@
 
 func (FleetChanged) isPlacementEvent() {}
 
-func (Asked) isPlacementEvent() {}
+func (Requested) isPlacementEvent() {}
 
 func (Withdrawn) isPlacementEvent() {}
 
--- a/internal/reducer/placement/fairness_test.go
+++ b/internal/reducer/placement/fairness_test.go
@@ -74,7 +74,7 @@
 	key := Key{Session: 1, ID: s.lastID}
 	s.owner[key] = organisation
 	s.requested[organisation]++
-	s.apply(Reduce(s.state, Asked{
+	s.apply(Reduce(s.state, Requested{
 		At: s.now, Key: key, Need: dispatch.Need{Service: "s", Prompt: 1000 + s.random.IntN(4000), Output: 800},
 		Call: s.lastID, InTime: s.now.Add(600 * time.Millisecond), Until: s.now.Add(2700 * time.Millisecond),
 	}))
--- a/internal/reducer/placement/queue.go
+++ b/internal/reducer/placement/queue.go
@@ -30,7 +30,7 @@
 // late reports whether the request has missed its target.
 func (q *request) late(at time.Time) bool { return !at.Before(q.inTime) }
 
-func (s *State) enqueue(e Asked) []Answer {
+func (s *State) enqueue(e Requested) []Answer {
 	s.arrivals++
 	q := &request{
 		key: e.Key, need: e.Need, rank: e.Rank, call: e.Call,
--- a/internal/reducer/placement/script_test.go
+++ b/internal/reducer/placement/script_test.go
@@ -91,7 +91,7 @@
 	is.New(s.t).NoErr(err)
 	for i := range s.number(words[1]) {
 		key := Key{Session: 1000, ID: uint64(i)}
-		requested := s.request([]string{"request", "1000/" + strconv.Itoa(i), words[2]}).(Asked)
+		requested := s.request([]string{"request", "1000/" + strconv.Itoa(i), words[2]}).(Requested)
 		Reduce(s.state, requested)
 		s.now = s.now.Add(held)
 		Reduce(s.state, Ended{At: s.now, Key: key, Outcome: dispatch.OutcomeAnswered})
@@ -117,7 +117,7 @@
 }
 
 func (s *script) request(words []string) Event {
-	requested := Asked{
+	requested := Requested{
 		At: s.now, Key: s.key(words[1]), Need: dispatch.Need{Service: "s", Prompt: s.number(words[2])},
 		InTime: s.now.Add(600 * time.Millisecond), Until: s.now.Add(2700 * time.Millisecond),
 	}
--- a/internal/reducer/placement/sizes_test.go
+++ b/internal/reducer/placement/sizes_test.go
@@ -83,7 +83,7 @@
 	key := Key{Session: 1, ID: uint64(len(s.byKey) + 1)}
 	s.byKey[key] = r
 	call := uint64(slices.Index(s.requests, r) + 1)
-	s.apply(Reduce(s.state, Asked{
+	s.apply(Reduce(s.state, Requested{
 		At: s.now, Key: key, Need: r.need, Call: call,
 		InTime: s.now.Add(600 * time.Millisecond), Until: s.now.Add(2700 * time.Millisecond),
 	}))
--- a/internal/reducer/placement/state.go
+++ b/internal/reducer/placement/state.go
@@ -75,7 +75,7 @@
 		dispatch.Reduce(s.engines, e.Servers)
 	case FleetChanged:
 		dispatch.Reduce(s.engines, dispatch.FleetChanged(e))
-	case Asked:
+	case Requested:
 		return s.enqueue(e)
 	case Withdrawn:
 		s.waiting = slices.DeleteFunc(s.waiting, func(q *request) bool { return q.key == e.Key })
