--- a/internal/places/giver.go
+++ b/internal/places/giver.go
@@ -214,7 +214,7 @@
 	if s, open := g.sessions[session]; open {
 		delete(g.sessions, session)
 		s.End()
-		g.reduce(placement.SessionSilent{At: time.Now(), Session: session})
+		g.reduce(placement.SessionDisconnected{At: time.Now(), Session: session})
 	}
 }
 
--- a/internal/reducer/placement/event.go
+++ b/internal/reducer/placement/event.go
@@ -64,9 +64,9 @@
 	Took    time.Duration
 }
 
-// SessionSilent reports that a session broke off. Its placement requests are dropped; its
+// SessionDisconnected reports that a session broke off. Its placement requests are dropped; its
 // placements are retained until their work is likely to have ended, or until SessionLost.
-type SessionSilent struct {
+type SessionDisconnected struct {
 	At      time.Time
 	Session uint64
 }
@@ -94,7 +94,7 @@
 
 func (Ended) isPlacementEvent() {}
 
-func (SessionSilent) isPlacementEvent() {}
+func (SessionDisconnected) isPlacementEvent() {}
 
 func (SessionLost) isPlacementEvent() {}
 
--- a/internal/reducer/placement/script_test.go
+++ b/internal/reducer/placement/script_test.go
@@ -65,7 +65,7 @@
 	case "resume":
 		event = Resumed{At: s.now, Key: s.key(words[1]), Need: dispatch.Need{Service: "s", Prompt: s.number(words[2])}, Server: message.ServerStart{Instance: words[3]}}
 	case "disconnect":
-		event = SessionSilent{At: s.now, Session: uint64(s.number(words[1]))}
+		event = SessionDisconnected{At: s.now, Session: uint64(s.number(words[1]))}
 	case "lost":
 		event = SessionLost{At: s.now, Session: uint64(s.number(words[1]))}
 	case "pass":
--- a/internal/reducer/placement/state.go
+++ b/internal/reducer/placement/state.go
@@ -85,7 +85,7 @@
 		s.releasePrefill(e)
 	case Ended:
 		return s.end(e)
-	case SessionSilent:
+	case SessionDisconnected:
 		s.disconnect(e)
 		return s.serve(e.At)
 	case SessionLost:
@@ -187,7 +187,7 @@
 // memory were released at once, it would be granted a second time. The symptoms are that
 // engines refuse reservations, and that generations are stopped in favour of others and
 // prefilled again.
-func (s *State) disconnect(e SessionSilent) {
+func (s *State) disconnect(e SessionDisconnected) {
 	s.waiting = slices.DeleteFunc(s.waiting, func(q *request) bool { return q.key.Session == e.Session })
 	for key := range s.placements {
 		if key.Session == e.Session {
