--- a/internal/reducer/placement/queue.go
+++ b/internal/reducer/placement/queue.go
@@ -114,7 +114,7 @@
 		s.reserveEngine(r.at, q)
 	}
 	if s.unservable(r, q) {
-		s.counted.Hopeless++
+		s.counted.Unservable++
 		return s.refuse(r.at, q), true
 	}
 	r.ahead[q.need.Service] += memory
--- a/internal/reducer/placement/state.go
+++ b/internal/reducer/placement/state.go
@@ -104,10 +104,10 @@
 	// Waiting counts the waiting requests, Places the current placements.
 	Waiting, Places int
 	// Granted and Full count, since the last summary, the placements granted and those
-	// whose engine turned out to be full. Hopeless counts the requests that were refused
+	// whose engine turned out to be full. Unservable counts the requests that were refused
 	// because others before them would use all the memory that becomes free in time,
 	// Returned those that were repeated after such a refusal.
-	Granted, Full, Hopeless, Returned int
+	Granted, Full, Unservable, Returned int
 	// FreeShare is the share of free KV memory of each service.
 	FreeShare map[string]float64
 }
