--- a/internal/reducer/pools/event.go
+++ b/internal/reducer/pools/event.go
@@ -23,8 +23,8 @@
 	Servers  []message.BackendServer
 }
 
-// Heard reports the work of one forwarder within about a second.
-type Heard struct{ Loads []message.ServiceLoad }
+// LoadsReported reports the work of one forwarder within about a second.
+type LoadsReported struct{ Loads []message.ServiceLoad }
 
 // Ticked passes a second.
 type Ticked struct{ At time.Time }
@@ -44,7 +44,7 @@
 
 func (Engines) isPoolsEvent() {}
 
-func (Heard) isPoolsEvent() {}
+func (LoadsReported) isPoolsEvent() {}
 
 func (Ticked) isPoolsEvent() {}
 
--- a/internal/reducer/pools/script_test.go
+++ b/internal/reducer/pools/script_test.go
@@ -53,7 +53,7 @@
 					for range number(t, words[1]) {
 						now = now.Add(time.Second)
 						if len(words) > 2 {
-							Reduce(s, Heard{Loads: []message.ServiceLoad{load(t, words[2:])}})
+							Reduce(s, LoadsReported{Loads: []message.ServiceLoad{load(t, words[2:])}})
 						}
 						for _, o := range Reduce(s, Ticked{At: now}) {
 							last = o
--- a/internal/reducer/pools/state.go
+++ b/internal/reducer/pools/state.go
@@ -125,7 +125,7 @@
 		s.setLeadership(e)
 	case Engines:
 		s.replaceEngines(e)
-	case Heard:
+	case LoadsReported:
 		s.addLoads(e)
 	case Answered:
 		s.applyAnswer(e)
@@ -167,7 +167,7 @@
 	s.services = services
 }
 
-func (s *State) addLoads(e Heard) {
+func (s *State) addLoads(e LoadsReported) {
 	for _, load := range e.Loads {
 		v := s.services[load.Service]
 		if v == nil || v.limits.KVTokens <= 0 {
--- a/internal/role/poolkeeper.go
+++ b/internal/role/poolkeeper.go
@@ -134,7 +134,7 @@
 }
 
 // Heard takes what a forwarder did.
-func (k *PoolKeeper) Heard(loads []message.ServiceLoad) { k.reduce(pools.Heard{Loads: loads}) }
+func (k *PoolKeeper) Heard(loads []message.ServiceLoad) { k.reduce(pools.LoadsReported{Loads: loads}) }
 
 // SetRouting implements routewatch.Sink.
 func (k *PoolKeeper) SetRouting(r oriolebend.Routing) {
