--- a/internal/reducer/pools/event.go
+++ b/internal/reducer/pools/event.go
@@ -10,8 +10,8 @@
 // Event changes a State.
 type Event interface{ isPoolsEvent() }
 
-// Leads reports whether this control VM leads, and in which term.
-type Leads struct {
+// LeadershipReported reports whether this control VM leads, and in which term.
+type LeadershipReported struct {
 	At   time.Time
 	Term uint64
 	Lead bool
@@ -40,7 +40,7 @@
 	Backoff time.Duration
 }
 
-func (Leads) isPoolsEvent() {}
+func (LeadershipReported) isPoolsEvent() {}
 
 func (Engines) isPoolsEvent() {}
 
--- a/internal/reducer/pools/script_test.go
+++ b/internal/reducer/pools/script_test.go
@@ -40,9 +40,9 @@
 					}
 					Reduce(s, e)
 				case "lead":
-					Reduce(s, Leads{At: now, Lead: true, Term: uint64(number(t, words[1]))})
+					Reduce(s, LeadershipReported{At: now, Lead: true, Term: uint64(number(t, words[1]))})
 				case "follow":
-					Reduce(s, Leads{At: now})
+					Reduce(s, LeadershipReported{At: now})
 				case "answer":
 					answered := Answered{At: now, Order: last, Unsure: words[1] == "unsure"} // never accepted
 					if words[1] == "backoff" {
--- a/internal/reducer/pools/state.go
+++ b/internal/reducer/pools/state.go
@@ -121,7 +121,7 @@
 // Reduce applies an event to the state and returns the orders to give.
 func Reduce(s *State, event Event) []Order {
 	switch e := event.(type) {
-	case Leads:
+	case LeadershipReported:
 		s.setLeadership(e)
 	case Engines:
 		s.replaceEngines(e)
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func (s *State) setLeadership(e Leads) {
+func (s *State) setLeadership(e LeadershipReported) {
 	switch {
 	case !e.Lead:
 		s.leadingSince = time.Time{}
--- a/internal/role/poolkeeper.go
+++ b/internal/role/poolkeeper.go
@@ -82,7 +82,7 @@
 	for wait(ctx, judgeEvery); ctx.Err() == nil; wait(ctx, judgeEvery) {
 		status := k.Status()
 		k.tell()
-		k.reduce(pools.Leads{At: time.Now(), Term: status.Term, Lead: status.Role == agreement.Leader})
+		k.reduce(pools.LeadershipReported{At: time.Now(), Term: status.Term, Lead: status.Role == agreement.Leader})
 		var giving sync.WaitGroup
 		for _, order := range k.reduce(pools.Ticked{At: time.Now()}) {
 			giving.Go(func() { k.give(ctx, order) })
