--- a/internal/reducer/pools/event.go
+++ b/internal/reducer/pools/event.go
@@ -29,8 +29,8 @@
 // Ticked passes a second.
 type Ticked struct{ At time.Time }
 
-// Answered reports the result of an order.
-type Answered struct {
+// OrderAnswered reports the result of an order.
+type OrderAnswered struct {
 	At       time.Time
 	Order    Order
 	Accepted bool
@@ -48,7 +48,7 @@
 
 func (Ticked) isPoolsEvent() {}
 
-func (Answered) isPoolsEvent() {}
+func (OrderAnswered) isPoolsEvent() {}
 
 // Order is an order to an engine to change its role. It is the only effect.
 type Order struct {
--- a/internal/reducer/pools/state.go
+++ b/internal/reducer/pools/state.go
@@ -127,7 +127,7 @@
 		s.replaceEngines(e)
 	case LoadsReported:
 		s.addLoads(e)
-	case Answered:
+	case OrderAnswered:
 		s.applyAnswer(e)
 	case Ticked:
 		return s.tick(e.At)
@@ -196,7 +196,7 @@
 	}
 }
 
-func (s *State) applyAnswer(e Answered) {
+func (s *State) applyAnswer(e OrderAnswered) {
 	v := s.services[e.Order.Service]
 	if v == nil {
 		return
--- a/internal/role/poolkeeper.go
+++ b/internal/role/poolkeeper.go
@@ -111,7 +111,7 @@
 		"role", o.Role, "fencing", o.Fencing, "accepted", accepted, "error", err,
 		"prefillEngines", o.Grounds.PrefillEngines, "decodeEngines", o.Grounds.DecodeEngines,
 		"prefillWork", o.Grounds.PrefillWork, "decodeWork", o.Grounds.DecodeWork, "wantedPrefill", o.Grounds.Wanted)
-	answered := pools.Answered{At: time.Now(), Order: o, Accepted: accepted}
+	answered := pools.OrderAnswered{At: time.Now(), Order: o, Accepted: accepted}
 	notSent, known := errors.AsType[*NotOrderedError](err)
 	if known {
 		answered.Backoff = notSent.Rest
