--- a/internal/reducer/pools/event.go
+++ b/internal/reducer/pools/event.go
@@ -34,8 +34,8 @@
 	At       time.Time
 	Order    Order
 	Accepted bool
-	// Unsure is set if the order may still be carried out.
-	Unsure bool
+	// OutcomeUnknown is set if the order may still be carried out.
+	OutcomeUnknown bool
 	// Backoff is the backoff period that the engine has requested.
 	Backoff time.Duration
 }
--- a/internal/reducer/pools/script_test.go
+++ b/internal/reducer/pools/script_test.go
@@ -44,7 +44,7 @@
 				case "follow":
 					Reduce(s, LeadershipReported{At: now})
 				case "answer":
-					answered := OrderAnswered{At: now, Order: last, Unsure: words[1] == "unsure"} // never accepted
+					answered := OrderAnswered{At: now, Order: last, OutcomeUnknown: words[1] == "unsure"} // never accepted
 					if words[1] == "backoff" {
 						answered.Backoff = time.Duration(number(t, words[2])) * time.Second
 					}
--- a/internal/reducer/pools/state.go
+++ b/internal/reducer/pools/state.go
@@ -202,7 +202,7 @@
 		return
 	}
 	switch {
-	case e.Unsure:
+	case e.OutcomeUnknown:
 		v.noOrderUntil[e.Order.Engine.Instance] = e.At.Add(unknownOutcomeFor)
 	case !e.Accepted:
 		delete(v.moving, e.Order.Engine.Instance)
--- a/internal/role/poolkeeper.go
+++ b/internal/role/poolkeeper.go
@@ -116,7 +116,7 @@
 	if known {
 		answered.Backoff = notSent.Rest
 	}
-	answered.Unsure = err != nil && !known
+	answered.OutcomeUnknown = err != nil && !known
 	k.reduce(answered)
 }
 
