--- a/internal/reducer/pools/event.go
+++ b/internal/reducer/pools/event.go
@@ -57,8 +57,8 @@
 	Role    oriolebend.PoolRole
 	// Fencing increases with each order, across all leaders.
 	Fencing uint64
-	// Away is how long the engine accepts no work during the change.
-	Away time.Duration
+	// UnavailableFor is how long the engine accepts no work during the change.
+	UnavailableFor time.Duration
 	// Grounds is the basis of the decision.
 	Grounds Grounds
 }
--- a/internal/reducer/pools/state.go
+++ b/internal/reducer/pools/state.go
@@ -336,12 +336,12 @@
 			}
 		}
 		s.issued++
-		order.Away = time.Duration(v.limits.RoleChange) + announceAfter
+		order.UnavailableFor = time.Duration(v.limits.RoleChange) + announceAfter
 		order.Engine, order.Fencing = pool[best], s.term*fencingPerTerm+s.issued
 		orders = append(orders, order)
 		pool = slices.Delete(pool, best, best+1)
 		v.moving[order.Engine.Instance] = move{
-			role: order.Role, incarnation: order.Engine.Incarnation, until: at.Add(order.Away + settleFor),
+			role: order.Role, incarnation: order.Engine.Incarnation, until: at.Add(order.UnavailableFor + settleFor),
 		}
 		v.quietUntil = at.Add(time.Duration(v.limits.RoleChange) + settleFor)
 		v.lastRole = order.Role
--- a/internal/role/poolkeeper.go
+++ b/internal/role/poolkeeper.go
@@ -124,7 +124,7 @@
 // then: a process that was paused in between would otherwise send it among the
 // orders of its successor.
 func (k *PoolKeeper) order(ctx context.Context, o pools.Order) (bool, error) {
-	if err := k.Announce(ctx, o.Engine, o.Away); err != nil {
+	if err := k.Announce(ctx, o.Engine, o.UnavailableFor); err != nil {
 		return false, &NotOrderedError{Cause: err}
 	}
 	if !k.Leads() {
