--- a/internal/places/giver.go
+++ b/internal/places/giver.go
@@ -107,7 +107,7 @@
 	}
 	for service, free := range s.FreeShare {
 		g.Logger.Info("places are short", "service", service, "freeShare", free, "waiting", s.Waiting,
-			"places", s.Places, "granted", s.Granted, "full", s.Full, "hopeless", s.Unservable, "returned", s.Returned)
+			"places", s.Placements, "granted", s.Granted, "full", s.Full, "hopeless", s.Unservable, "returned", s.Returned)
 	}
 }
 
--- a/internal/reducer/placement/state.go
+++ b/internal/reducer/placement/state.go
@@ -101,8 +101,8 @@
 
 // Summary describes a State for the log.
 type Summary struct {
-	// Waiting counts the waiting requests, Places the current placements.
-	Waiting, Places int
+	// Waiting counts the waiting requests, Placements the current placements.
+	Waiting, Placements int
 	// Granted and Full count, since the last summary, the placements granted and those
 	// whose engine turned out to be full. Unservable counts the requests that were refused
 	// because others before them would use all the memory that becomes free in time,
@@ -116,7 +116,7 @@
 func (s *State) Summarize(at time.Time) Summary {
 	summary := s.counted
 	s.counted = Summary{}
-	summary.Waiting, summary.Places = len(s.waiting), len(s.placements)
+	summary.Waiting, summary.Placements = len(s.waiting), len(s.placements)
 	summary.FreeShare = s.engines.FreeShares(at)
 	return summary
 }
