--- a/internal/reducer/dispatch/bench_test.go
+++ b/internal/reducer/dispatch/bench_test.go
@@ -9,15 +9,15 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// BenchmarkAsked chooses engines for generations at sites of 30, 100 and 320 forwarders, as
+// BenchmarkPlacementRequested chooses engines for generations at sites of 30, 100 and 320 forwarders, as
 // the leader does for all of them.
-func BenchmarkAsked(b *testing.B) {
+func BenchmarkPlacementRequested(b *testing.B) {
 	for _, engines := range []int{60, 180, 1100} {
-		b.Run(fmt.Sprint(engines), func(b *testing.B) { benchmarkAsked(b, engines) })
+		b.Run(fmt.Sprint(engines), func(b *testing.B) { benchmarkPlacementRequested(b, engines) })
 	}
 }
 
-func benchmarkAsked(b *testing.B, engines int) {
+func benchmarkPlacementRequested(b *testing.B, engines int) {
 	s := New(Config{Seed: 1})
 	at := time.Unix(1, 0)
 	Reduce(s, Services{Services: []oriolebend.RouteService{{Name: "s", Engine: &oriolebend.EngineLimits{KVTokens: 1 << 40}}}})
--- a/internal/reducer/dispatch/choose.go
+++ b/internal/reducer/dispatch/choose.go
@@ -32,7 +32,7 @@
 const (
 	healthGood    health = iota
 	healthSuspect        // it fails more often, or is slower, than the others
-	healthSilent         // it has not announced itself for a while
+	healthSilent         // no announcement was received from it for a while
 	healthAvoided        // it failed a moment ago
 )
 
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -100,23 +100,23 @@
 	return []Effect{changes}
 }
 
-func (k *reportedState) apply(e NoticeReceived) NoticeChanges {
+func (r *reportedState) apply(e NoticeReceived) NoticeChanges {
 	var changes NoticeChanges
-	if e.Notice.Leaving && k.leavingSince.IsZero() {
-		k.leavingSince, changes.Leaving = e.At, true
+	if e.Notice.Leaving && r.leavingSince.IsZero() {
+		r.leavingSince, changes.Leaving = e.At, true
 	}
-	if until := e.At.Add(e.Notice.Backoff); e.Notice.Backoff > 0 && until.After(k.backoffUntil) {
-		k.backoffUntil, changes.Backoff = until, e.Notice.Backoff
+	if until := e.At.Add(e.Notice.Backoff); e.Notice.Backoff > 0 && until.After(r.backoffUntil) {
+		r.backoffUntil, changes.Backoff = until, e.Notice.Backoff
 	}
 	switch {
 	case e.Notice.Limited:
-		if !k.limited || k.perSecond != e.Notice.PerSecond {
+		if !r.limited || r.perSecond != e.Notice.PerSecond {
 			changes.Limited, changes.PerSecond = true, e.Notice.PerSecond
 		}
-		k.limited, k.perSecond, k.limitReported = true, e.Notice.PerSecond, e.At
-	case k.limited && e.Served && e.Sent.After(k.limitReported):
+		r.limited, r.perSecond, r.limitReported = true, e.Notice.PerSecond, e.At
+	case r.limited && e.Served && e.Sent.After(r.limitReported):
 		// A response that was in flight when the limit was reported does not end the limit.
-		k.limited, changes.Ended = false, true
+		r.limited, changes.Ended = false, true
 	}
 	return changes
 }
@@ -169,14 +169,14 @@
 	return kept.unavailableUntil(at)
 }
 
-func (k *reportedState) unavailableUntil(at time.Time) (time.Time, oriolebend.Reason) {
+func (r *reportedState) unavailableUntil(at time.Time) (time.Time, oriolebend.Reason) {
 	switch {
-	case !k.leavingSince.IsZero():
+	case !r.leavingSince.IsZero():
 		return at.Add(retryUnknown), oriolebend.ReasonLeaving
-	case at.Before(k.backoffUntil):
-		return k.backoffUntil, oriolebend.ReasonServerRests
-	case k.limited && at.Before(k.nextPermission):
-		return k.nextPermission, oriolebend.ReasonServerLimit
+	case at.Before(r.backoffUntil):
+		return r.backoffUntil, oriolebend.ReasonServerRests
+	case r.limited && at.Before(r.nextPermission):
+		return r.nextPermission, oriolebend.ReasonServerLimit
 	}
 	return time.Time{}, ""
 }
