--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -54,7 +54,7 @@
 	// Excluded are further instances that must not be chosen, neither for the response nor
 	// for the prefill, because they currently accept nothing from the forwarder.
 	Excluded []string
-	// Retry is set if this send is a retry, not the first send of the request.
+	// Retry is set if this is not the first send of the request.
 	Retry bool
 	// Waited is set if a placement was requested before and no server had room.
 	Waited bool
@@ -73,7 +73,7 @@
 	Service string
 	// Tried are the instances that the request was sent to before.
 	Tried []string
-	// Retry is set if this send is a retry.
+	// Retry is set if this is not the first send of the request.
 	Retry bool
 }
 
@@ -135,7 +135,7 @@
 	// OutcomeDeclined is a response that the request was not run, by a server that has
 	// reported a limit or a backoff period, or that it is leaving.
 	OutcomeDeclined Outcome = "declined"
-	// OutcomeBroken is a missing, incomplete or implausible response.
+	// OutcomeBroken is a missing or incomplete response, or one that can't be trusted.
 	OutcomeBroken Outcome = "broken"
 	// OutcomeCut is an incomplete response of a server that may still work on the request.
 	OutcomeCut Outcome = "cut"
@@ -195,8 +195,8 @@
 
 func (PromptRead) isDispatchEvent() {}
 
-// OutcomeObserved reports the outcome of a send before its placement is released by a later Ended:
-// the server may still work on the request.
+// OutcomeObserved reports the outcome of a send whose placement is released by a later Ended,
+// because the server may still work on the request.
 type OutcomeObserved Ended
 
 func (OutcomeObserved) isDispatchEvent() {}
