--- a/internal/forwarder/places.go
+++ b/internal/forwarder/places.go
@@ -21,7 +21,7 @@
 	// which gives places next knows of it. The number names it in what follows.
 	Found(g dispatch.Grant) uint64
 	// PromptRead and Ended tell what became of a place.
-	PromptRead(e dispatch.PromptRead)
+	PromptRead(e dispatch.PrefillEnded)
 	Ended(e dispatch.Ended)
 }
 
@@ -37,7 +37,7 @@
 }
 
 // promptRead tells whoever gave the place that its prefill engine is done.
-func (f *Forwarder) promptRead(e dispatch.PromptRead) {
+func (f *Forwarder) promptRead(e dispatch.PrefillEnded) {
 	if e.Grant.Remote != 0 || e.Grant.ReportedID != 0 {
 		f.config.Places.PromptRead(e)
 	}
@@ -175,7 +175,7 @@
 		return true
 	}
 	leaves := reason == oriolebend.ReasonLeaving
-	w.f.promptRead(dispatch.PromptRead{At: w.f.now(), Grant: g, Failed: leaves, Unused: !leaves})
+	w.f.promptRead(dispatch.PrefillEnded{At: w.f.now(), Grant: g, Failed: leaves, Unused: !leaves})
 	w.rejectPlace(g, reason, dispatch.OutcomeCancelled)
 	return false
 }
--- a/internal/forwarder/places_test.go
+++ b/internal/forwarder/places_test.go
@@ -32,8 +32,8 @@
 	return nil, false
 }
 
-func (o *outdated) Found(dispatch.Grant) uint64    { return 0 }
-func (o *outdated) PromptRead(dispatch.PromptRead) {}
+func (o *outdated) Found(dispatch.Grant) uint64      { return 0 }
+func (o *outdated) PromptRead(dispatch.PrefillEnded) {}
 
 func (o *outdated) Ended(e dispatch.Ended) {
 	o.mutex.Lock()
--- a/internal/forwarder/reserve.go
+++ b/internal/forwarder/reserve.go
@@ -125,7 +125,7 @@
 // unusedPrefill tells the reducer that the grant's prefill engine is not asked.
 func (s *sending) unusedPrefill() {
 	if s.grant.Prefill != nil {
-		s.f.promptRead(dispatch.PromptRead{At: s.f.now(), Grant: s.grant, Unused: true})
+		s.f.promptRead(dispatch.PrefillEnded{At: s.f.now(), Grant: s.grant, Unused: true})
 	}
 }
 
@@ -141,7 +141,7 @@
 	began := s.f.now()
 	result, err := s.f.readPrompt(ctx, engine, request)
 	took := s.f.now().Sub(began)
-	s.f.promptRead(dispatch.PromptRead{
+	s.f.promptRead(dispatch.PrefillEnded{
 		At: s.f.now(), Grant: s.grant, Took: took,
 		Failed: err != nil && ctx.Err() == nil, Unused: ctx.Err() != nil,
 	})
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -303,7 +303,7 @@
 func number(g dispatch.Grant) uint64 { return cmp.Or(g.Remote, g.ReportedID) }
 
 // PromptRead implements forwarder.Places.
-func (c *Client) PromptRead(e dispatch.PromptRead) {
+func (c *Client) PromptRead(e dispatch.PrefillEnded) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	id := number(e.Grant)
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -125,7 +125,7 @@
 		s.lead("two:1")
 		time.Sleep(time.Second)
 		s.refused(ctx, is, 900) // 1,020 tokens are granted, 900 are in use
-		s.client.PromptRead(dispatch.PromptRead{Grant: grant})
+		s.client.PromptRead(dispatch.PrefillEnded{Grant: grant})
 		s.client.Ended(dispatch.Ended{Grant: grant, Outcome: dispatch.OutcomeAnswered})
 		s.granted(ctx, is, 900)
 	})
@@ -161,7 +161,7 @@
 		s.lead("one:1")
 		time.Sleep(time.Second)
 		s.refused(ctx, is, 900)
-		s.client.PromptRead(dispatch.PromptRead{Grant: grant})
+		s.client.PromptRead(dispatch.PrefillEnded{Grant: grant})
 		s.client.Ended(dispatch.Ended{Grant: grant, Outcome: dispatch.OutcomeAnswered})
 		s.granted(ctx, is, 900)
 	})
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -158,9 +158,9 @@
 	Took time.Duration
 }
 
-// PromptRead reports that the prefill engine of a grant is no longer needed for it, also
+// PrefillEnded reports that the prefill engine of a grant is no longer needed for it, also
 // if no request was sent to the engine.
-type PromptRead struct {
+type PrefillEnded struct {
 	At    time.Time
 	Grant Grant
 	// Took is used only by the process that granted the placement, if it is another one.
@@ -193,7 +193,7 @@
 
 func (Ended) isDispatchEvent() {}
 
-func (PromptRead) isDispatchEvent() {}
+func (PrefillEnded) isDispatchEvent() {}
 
 // OutcomeObserved reports the outcome of a send whose placement is released by a later Ended,
 // because the server may still work on the request.
--- a/internal/reducer/dispatch/outcome.go
+++ b/internal/reducer/dispatch/outcome.go
@@ -21,7 +21,7 @@
 )
 
 // releasePrefill releases the prefill part of a grant.
-func (s *State) releasePrefill(e PromptRead) {
+func (s *State) releasePrefill(e PrefillEnded) {
 	p := s.grantedServer(*e.Grant.Prefill)
 	if p == nil {
 		return
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -137,7 +137,7 @@
 	case "prefilled":
 		took, err := time.ParseDuration(words[2])
 		is.NoErr(err)
-		Reduce(s.state, PromptRead{At: s.now, Grant: s.grants[words[1]], Took: took})
+		Reduce(s.state, PrefillEnded{At: s.now, Grant: s.grants[words[1]], Took: took})
 		Reduce(s.state, PrefillMeasured{Need: s.grants[words[1]].Need, Took: took, Ahead: s.grants[words[1]].Ahead})
 	case "generated":
 		took, err := time.ParseDuration(words[2])
@@ -164,7 +164,7 @@
 	case "unlimited":
 		Reduce(s.state, LimitEnded{At: s.now, Server: message.BackendServer{Instance: words[1]}})
 	case "prefill-failed":
-		Reduce(s.state, PromptRead{At: s.now, Grant: s.grants[words[1]], Failed: true})
+		Reduce(s.state, PrefillEnded{At: s.now, Grant: s.grants[words[1]], Failed: true})
 	}
 }
 
@@ -260,7 +260,7 @@
 			g := open[at]
 			open = append(open[:at], open[at+1:]...)
 			if g.Prefill != nil {
-				Reduce(s, PromptRead{At: now, Grant: g, Took: time.Millisecond, Failed: rapid.Bool().Draw(t, "failed")})
+				Reduce(s, PrefillEnded{At: now, Grant: g, Took: time.Millisecond, Failed: rapid.Bool().Draw(t, "failed")})
 			}
 			Reduce(s, Ended{At: now, Grant: g, Outcome: rapid.SampledFrom(outcomes).Draw(t, "outcome")})
 		}
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -172,7 +172,7 @@
 		s.applyOutcome(e)
 	case Ended:
 		s.releasePlacement(e)
-	case PromptRead:
+	case PrefillEnded:
 		s.releasePrefill(e)
 	}
 	return nil
--- a/internal/reducer/placement/state.go
+++ b/internal/reducer/placement/state.go
@@ -136,7 +136,7 @@
 	if !found || p.Prefill == nil {
 		return
 	}
-	dispatch.Reduce(s.engines, dispatch.PromptRead{At: e.At, Grant: p.Grant, Failed: e.Failed, Unused: e.Unused})
+	dispatch.Reduce(s.engines, dispatch.PrefillEnded{At: e.At, Grant: p.Grant, Failed: e.Failed, Unused: e.Unused})
 	if !e.Failed && !e.Unused {
 		dispatch.Reduce(s.engines, dispatch.PrefillMeasured{Need: p.Need, Took: e.Took, Ahead: p.Ahead})
 	}
@@ -170,7 +170,7 @@
 		s.counted.Full++
 	}
 	if p.Prefill != nil {
-		dispatch.Reduce(s.engines, dispatch.PromptRead{At: at, Grant: p.Grant, Unused: true})
+		dispatch.Reduce(s.engines, dispatch.PrefillEnded{At: at, Grant: p.Grant, Unused: true})
 	}
 	dispatch.Reduce(s.engines, dispatch.Ended{At: at, Grant: p.Grant, Outcome: outcome, Took: took})
 }
