--- a/internal/places/giver.go
+++ b/internal/places/giver.go
@@ -247,7 +247,7 @@
 	case message.PlaceWithdrawn:
 		g.reduce(placement.Withdrawn{At: now, Key: key})
 	case message.PlaceRead:
-		g.reduce(placement.PromptRead{At: now, Key: key, Took: m.Took, Failed: m.Failed, Unused: m.Unused})
+		g.reduce(placement.PrefillEnded{At: now, Key: key, Took: m.Took, Failed: m.Failed, Unused: m.Unused})
 	case message.PlaceEnded:
 		g.reduce(placement.Ended{At: now, Key: key, Outcome: dispatch.Outcome(m.Outcome), Took: m.Took})
 	}
--- a/internal/reducer/placement/event.go
+++ b/internal/reducer/placement/event.go
@@ -48,8 +48,8 @@
 	Server, Prefill message.ServerStart
 }
 
-// PromptRead reports that the prefill engine of a placement is done.
-type PromptRead struct {
+// PrefillEnded reports that the prefill engine of a placement is done.
+type PrefillEnded struct {
 	At             time.Time
 	Key            Key
 	Took           time.Duration
@@ -90,7 +90,7 @@
 
 func (Resumed) isPlacementEvent() {}
 
-func (PromptRead) isPlacementEvent() {}
+func (PrefillEnded) isPlacementEvent() {}
 
 func (Ended) isPlacementEvent() {}
 
--- a/internal/reducer/placement/fairness_test.go
+++ b/internal/reducer/placement/fairness_test.go
@@ -103,7 +103,7 @@
 			s.ends = append(s.ends, end)
 			continue
 		}
-		Reduce(s.state, PromptRead{At: s.now, Key: end.key, Took: 100 * time.Millisecond})
+		Reduce(s.state, PrefillEnded{At: s.now, Key: end.key, Took: 100 * time.Millisecond})
 		s.apply(Reduce(s.state, Ended{At: s.now, Key: end.key, Outcome: dispatch.OutcomeAnswered}))
 	}
 	s.apply(Reduce(s.state, Ticked{At: s.now}))
--- a/internal/reducer/placement/script_test.go
+++ b/internal/reducer/placement/script_test.go
@@ -59,7 +59,7 @@
 	case "withdraw":
 		event = Withdrawn{At: s.now, Key: s.key(words[1])}
 	case "prefilled":
-		event = PromptRead{At: s.now, Key: s.key(words[1]), Took: 100 * time.Millisecond}
+		event = PrefillEnded{At: s.now, Key: s.key(words[1]), Took: 100 * time.Millisecond}
 	case "end":
 		event = Ended{At: s.now, Key: s.key(words[1]), Outcome: dispatch.Outcome(words[2])}
 	case "resume":
--- a/internal/reducer/placement/sizes_test.go
+++ b/internal/reducer/placement/sizes_test.go
@@ -119,7 +119,7 @@
 func (s *shortage) pass(step time.Duration, load float64, returned map[*sizedRequest]bool) {
 	s.now = s.now.Add(step)
 	for _, e := range s.due(&s.ends) {
-		Reduce(s.state, PromptRead{At: s.now, Key: e.key, Took: 100 * time.Millisecond})
+		Reduce(s.state, PrefillEnded{At: s.now, Key: e.key, Took: 100 * time.Millisecond})
 		s.apply(Reduce(s.state, Ended{At: s.now, Key: e.key, Outcome: dispatch.OutcomeAnswered}))
 	}
 	for _, e := range s.due(&s.returns) {
--- a/internal/reducer/placement/state.go
+++ b/internal/reducer/placement/state.go
@@ -81,7 +81,7 @@
 		s.waiting = slices.DeleteFunc(s.waiting, func(q *request) bool { return q.key == e.Key })
 	case Resumed:
 		s.resume(e)
-	case PromptRead:
+	case PrefillEnded:
 		s.releasePrefill(e)
 	case Ended:
 		return s.end(e)
@@ -131,7 +131,7 @@
 	}
 }
 
-func (s *State) releasePrefill(e PromptRead) {
+func (s *State) releasePrefill(e PrefillEnded) {
 	p, found := s.placements[e.Key]
 	if !found || p.Prefill == nil {
 		return
