--- a/internal/forwarder/places.go
+++ b/internal/forwarder/places.go
@@ -108,7 +108,7 @@
 	need.Output = w.ask.expected()
 	need.Excluded = w.f.closed(need.Service)
 	if !waited {
-		effect := w.f.reduce(dispatch.Counted{At: w.f.now(), Service: need.Service, Tried: need.Tried, Retry: need.Retry})[0]
+		effect := w.f.reduce(dispatch.RequestCounted{At: w.f.now(), Service: need.Service, Tried: need.Tried, Retry: need.Retry})[0]
 		if r, ok := effect.(dispatch.Refused); ok {
 			return dispatch.Grant{}, &refusal{reason: r.Reason, after: r.RetryAfter}, true
 		}
--- a/internal/reducer/dispatch/choose.go
+++ b/internal/reducer/dispatch/choose.go
@@ -63,7 +63,7 @@
 }
 
 // countRequest counts a request whose server another process chooses.
-func (s *State) countRequest(e Counted) Effect {
+func (s *State) countRequest(e RequestCounted) Effect {
 	service := s.services[e.Service]
 	refused, closed := s.AllUnavailable(e.At, Need{Service: e.Service, Tried: e.Tried})
 	switch {
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -66,9 +66,9 @@
 	Need Need
 }
 
-// Counted counts a request whose server another process chooses, so that its
+// RequestCounted counts a request whose server another process chooses, so that its
 // retries stay within this forwarder's part of the retry budget.
-type Counted struct {
+type RequestCounted struct {
 	At      time.Time
 	Service string
 	// Tried are the instances that the request was sent to before.
@@ -185,7 +185,7 @@
 
 func (PlacementOffered) isDispatchEvent() {}
 
-func (Counted) isDispatchEvent() {}
+func (RequestCounted) isDispatchEvent() {}
 
 func (PrefillMeasured) isDispatchEvent() {}
 
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -166,7 +166,7 @@
 		s.countPrefill(e)
 	case GenerationMeasured:
 		s.countGeneration(e)
-	case Counted:
+	case RequestCounted:
 		return []Effect{s.countRequest(e)}
 	case OutcomeObserved:
 		s.applyOutcome(e)
