--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -215,7 +215,7 @@
 // pool would have had.
 func (s *sending) readHere() {
 	if s.grant.Prefill == nil && s.ask.Prompt > 0 {
-		s.f.reduce(dispatch.PrefillMeasured{Need: s.expectedNeed(), Took: time.Since(s.request.Received), Here: true})
+		s.f.reduce(dispatch.PrefillMeasured{Need: s.expectedNeed(), Took: time.Since(s.request.Received), AtDecodeEngine: true})
 	}
 }
 
--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -84,8 +84,8 @@
 	Took time.Duration
 	// Ahead is Grant.Ahead of the placement.
 	Ahead int
-	// Here is set if the decode engine prefilled the prompt itself.
-	Here bool
+	// AtDecodeEngine is set if the decode engine prefilled the prompt itself.
+	AtDecodeEngine bool
 }
 
 // GenerationMeasured reports that a generation has ended, and how long the engine wrote.
--- a/internal/reducer/dispatch/load.go
+++ b/internal/reducer/dispatch/load.go
@@ -42,7 +42,7 @@
 	if v == nil {
 		return
 	}
-	if !e.Here {
+	if !e.AtDecodeEngine {
 		v.prefillRate.add(tokensPerMilli(e.Need.Prompt+e.Ahead, e.Took))
 		v.highRate.add(tokensPerMilli(e.Need.Prompt, e.Took))
 	}
