--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -242,7 +242,7 @@
 func (f *Forwarder) loaded(service string, target time.Duration) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.state.Loaded(f.now(), service, target)
+	return f.state.Overloaded(f.now(), service, target)
 }
 
 // Serve answers one request; it is an http1.Handler.
--- a/internal/reducer/dispatch/admit.go
+++ b/internal/reducer/dispatch/admit.go
@@ -63,10 +63,10 @@
 	return v.sojourn.count >= medianFirst && at.Sub(v.lastAnswer) <= sojournHolds
 }
 
-// Loaded reports whether the latency of a service is so high that a part of its plain
+// Overloaded reports whether the latency of a service is so high that a part of its plain
 // requests is refused. A second send beside the first one would then only make the
 // queue longer.
-func (s *State) Loaded(at time.Time, name string, target time.Duration) bool {
+func (s *State) Overloaded(at time.Time, name string, target time.Duration) bool {
 	v := s.services[name]
 	return v != nil && v.sojournKnown(at) && v.sojourn.value > admitAll*target.Seconds()
 }
