--- a/internal/reducer/dispatch/event.go
+++ b/internal/reducer/dispatch/event.go
@@ -195,8 +195,9 @@
 
 func (PrefillEnded) isDispatchEvent() {}
 
-// OutcomeObserved reports the outcome of a send whose placement is released by a later Ended,
-// because the server may still work on the request.
+// OutcomeObserved reports the outcome of a send without releasing its placement. Either a later
+// Ended releases it, because the server may still work on the request, or another process
+// granted the placement.
 type OutcomeObserved Ended
 
 func (OutcomeObserved) isDispatchEvent() {}
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -138,8 +138,9 @@
 // It is more than sites have today, so that the shared retry budget is not exceeded.
 const assumedForwarders = 32
 
-// Reduce applies an event to the state. PlacementRequested, ResendRequested, PlacementOffered, SendRequested and
-// Counted have exactly one effect, NoticeReceived at most one, other events have none.
+// Reduce applies an event to the state. PlacementRequested, ResendRequested, SendRequested,
+// PlacementOffered and RequestCounted have exactly one effect, NoticeReceived at most one, other
+// events have none.
 func Reduce(s *State, event Event) []Effect {
 	switch e := event.(type) {
 	case Fleet:
