--- a/internal/reducer/dispatch/fleet.go
+++ b/internal/reducer/dispatch/fleet.go
@@ -133,7 +133,7 @@
 // FreeShare is the share of the KV memory of a service's decode engines that no grant
 // of this state needs. Engines that accept no work do not count. Neither do silent
 // engines: most of these are lost for good, and counting their memory would make it
-// look idle while requests wait.
+// look idle while requests wait. An avoided engine counts as having no free memory.
 func (s *State) FreeShare(at time.Time, name string) float64 {
 	v := s.services[name]
 	if v == nil || v.limits.Engine == nil {
--- a/internal/reducer/placement/state.go
+++ b/internal/reducer/placement/state.go
@@ -106,7 +106,7 @@
 	// Granted and Full count, since the last summary, the placements granted and those
 	// whose engine turned out to be full. Unservable counts the requests that were refused
 	// because others before them would use all the memory that becomes free in time,
-	// Returned those that were repeated after such a refusal.
+	// Returned those that were repeated after a refusal for lack of memory.
 	Granted, Full, Unservable, Returned int
 	// FreeShare is the share of free KV memory of each service.
 	FreeShare map[string]float64
