--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -206,7 +206,7 @@
 
 // choose asks the reducer for a server for a request.
 func (f *Forwarder) choose(n dispatch.Need) (dispatch.Grant, *refusal) {
-	effects := f.reduce(dispatch.Asked{At: f.now(), Need: n})
+	effects := f.reduce(dispatch.PlacementRequested{At: f.now(), Need: n})
 	switch e := effects[0].(type) {
 	case dispatch.Granted:
 		return e.Grant, nil
@@ -218,7 +218,7 @@
 
 // mayResend asks the reducer whether a request may be sent to the same server once more.
 func (f *Forwarder) mayResend(g dispatch.Grant) bool {
-	effects := f.reduce(dispatch.AskedSame{At: f.now(), Grant: g})
+	effects := f.reduce(dispatch.ResendRequested{At: f.now(), Grant: g})
 	_, granted := effects[0].(dispatch.Granted)
 	return granted
 }
@@ -226,7 +226,7 @@
 // refusalForGrant returns the reason why a request must not be sent any more to the server of its
 // grant, empty if it may be sent.
 func (f *Forwarder) refusalForGrant(g dispatch.Grant) oriolebend.Reason {
-	if r, refused := f.reduce(dispatch.AskedStill{At: f.now(), Grant: g})[0].(dispatch.Refused); refused {
+	if r, refused := f.reduce(dispatch.SendRequested{At: f.now(), Grant: g})[0].(dispatch.Refused); refused {
 		return r.Reason
 	}
 	return ""
@@ -236,14 +236,14 @@
 func (f *Forwarder) prefillTime(service string, prompt int) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.state.ReadTime(service, prompt)
+	return f.state.PrefillTime(service, prompt)
 }
 
 // overloaded reports whether a route's service is overloaded, as far as this forwarder knows.
 func (f *Forwarder) overloaded(service string, target time.Duration) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.state.Loaded(f.now(), service, target)
+	return f.state.Overloaded(f.now(), service, target)
 }
 
 // Serve answers one request; it is an http1.Handler.
--- a/internal/forwarder/notice.go
+++ b/internal/forwarder/notice.go
@@ -54,7 +54,7 @@
 		return notice, errors.Join(errLeaving, errLimit)
 	}
 	backoff, _, errBackoff := decimals(h, retryAfter)
-	notice.Rest = time.Duration(min(backoff, maxBackoff.Seconds()) * float64(time.Second))
+	notice.Backoff = time.Duration(min(backoff, maxBackoff.Seconds()) * float64(time.Second))
 	return notice, errors.Join(errLeaving, errLimit, errBackoff)
 }
 
@@ -130,8 +130,8 @@
 		f.config.Observer.Count("noticeUnreadable", "", "")
 		f.config.Logger.Info("what a server says of itself can't be read", "server", server.Instance, "address", server.Address, "error", err)
 	}
-	for _, effect := range f.reduce(dispatch.Noticed{At: f.now(), Sent: sent, Server: server, Notice: notice, Served: served && err == nil}) {
-		changes, _ := effect.(dispatch.Learnt)
+	for _, effect := range f.reduce(dispatch.NoticeReceived{At: f.now(), Sent: sent, Server: server, Notice: notice, Served: served && err == nil}) {
+		changes, _ := effect.(dispatch.NoticeChanges)
 		f.logChanges(server, changes)
 		if changes.Ended {
 			f.config.Limits.Ended(server, f.now().Sub(sent))
@@ -140,7 +140,7 @@
 }
 
 // logChanges logs each change of the state that a server reports.
-func (f *Forwarder) logChanges(server message.BackendServer, c dispatch.Learnt) {
+func (f *Forwarder) logChanges(server message.BackendServer, c dispatch.NoticeChanges) {
 	line := func(event, text string, more ...any) {
 		f.config.Observer.Count(event, "", "")
 		f.config.Logger.Info(text, append([]any{"server", server.Instance, "address", server.Address, "service", server.Service}, more...)...)
@@ -148,8 +148,8 @@
 	if c.Leaving {
 		line("serverLeaves", "server says that it leaves")
 	}
-	if c.Rest > 0 {
-		line("serverRests", "server asks for rest", "restMs", c.Rest.Milliseconds())
+	if c.Backoff > 0 {
+		line("serverRests", "server asks for rest", "restMs", c.Backoff.Milliseconds())
 	}
 	if c.Limited {
 		line("serverLimited", "server names its limit", "perSecond", c.PerSecond)
--- a/internal/forwarder/permit.go
+++ b/internal/forwarder/permit.go
@@ -67,14 +67,14 @@
 	if !limited || p.valid(requested, server) {
 		return true
 	}
-	answer := f.config.Limits.Permit(ctx, PermissionRequest{Server: server, PerSecond: limit.PerSecond, Age: requested.Sub(limit.Named)})
+	answer := f.config.Limits.Permit(ctx, PermissionRequest{Server: server, PerSecond: limit.PerSecond, Age: requested.Sub(limit.ReportedAt)})
 	switch {
 	case answer.Ended:
 		f.reduce(dispatch.LimitEnded{At: requested, Server: server})
 	case answer.Granted:
 		p[server.Start()] = f.now()
 	default:
-		f.reduce(dispatch.Withheld{At: f.now(), Server: server, After: answer.After})
+		f.reduce(dispatch.PermissionRefused{At: f.now(), Server: server, After: answer.After})
 	}
 	return answer.Granted
 }
@@ -110,7 +110,7 @@
 func (f *Forwarder) closedServers(service string) []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.state.Closed(f.now(), service)
+	return f.state.Unavailable(f.now(), service)
 }
 
 // allClosed reports whether the state that the servers report leaves no server for the request. The
@@ -118,7 +118,7 @@
 func (w *work) allClosed() (refusal, bool) {
 	w.f.mutex.Lock()
 	defer w.f.mutex.Unlock()
-	refused, closed := w.f.state.AllClosed(w.f.now(), w.need())
+	refused, closed := w.f.state.AllUnavailable(w.f.now(), w.need())
 	return refusal{reason: refused.Reason, after: refused.RetryAfter}, closed
 }
 
@@ -130,7 +130,7 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if reason := f.state.ClosedReason(f.now(), server); reason != "" {
+	if reason := f.state.UnavailableReason(f.now(), server); reason != "" {
 		return reason
 	}
 	if _, limited := f.state.Limit(server); limited {
@@ -145,7 +145,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	_, limited := f.state.Limit(server)
-	return limited || f.state.ClosedReason(f.now(), server) == oriolebend.ReasonServerRests
+	return limited || f.state.UnavailableReason(f.now(), server) == oriolebend.ReasonServerRests
 }
 
 // placeCall chooses a server for a plain call that may be sent to it.
--- a/internal/forwarder/placement.go
+++ b/internal/forwarder/placement.go
@@ -21,7 +21,7 @@
 	// knows of it. The returned number identifies the placement in later calls.
 	RegisterLocal(g dispatch.Grant) uint64
 	// PromptRead and Ended report the progress and the end of a placement.
-	PromptRead(e dispatch.PromptRead)
+	PromptRead(e dispatch.PrefillEnded)
 	Ended(e dispatch.Ended)
 }
 
@@ -38,8 +38,8 @@
 
 // reportPromptRead reports that the prefill engine of a placement is done: to the allocator if it
 // knows the placement, and to the reducer if this forwarder chose the placement itself.
-func (f *Forwarder) reportPromptRead(e dispatch.PromptRead) {
-	if e.Grant.Remote != 0 || e.Grant.Told != 0 {
+func (f *Forwarder) reportPromptRead(e dispatch.PrefillEnded) {
+	if e.Grant.Remote != 0 || e.Grant.ReportedID != 0 {
 		f.config.Places.PromptRead(e)
 	}
 	if e.Grant.Remote == 0 {
@@ -51,14 +51,14 @@
 // outcome also updates this forwarder's view of the engine: while there is no allocator, the
 // forwarder chooses engines from that view.
 func (f *Forwarder) reportEnded(e dispatch.Ended) {
-	if e.Grant.Remote != 0 || e.Grant.Told != 0 {
+	if e.Grant.Remote != 0 || e.Grant.ReportedID != 0 {
 		f.config.Places.Ended(e)
 	}
 	if e.Grant.Remote == 0 {
 		f.reduce(e)
 		return
 	}
-	f.reduce(dispatch.Judged(e))
+	f.reduce(dispatch.OutcomeObserved(e))
 }
 
 // placeGeneration waits for a placement, from the allocator or, if no allocator can be asked, from
@@ -74,7 +74,7 @@
 		need.Waited = waited
 		grant, refused := w.f.choose(need)
 		if refused == nil && w.f.config.Places != nil && need.Prompt > 0 {
-			grant.Told = w.f.config.Places.RegisterLocal(grant)
+			grant.ReportedID = w.f.config.Places.RegisterLocal(grant)
 		}
 		if refused == nil || refused.reason != oriolebend.ReasonNoMemory {
 			return grant, refused
@@ -110,7 +110,7 @@
 	need.Output = w.info.expected()
 	need.Excluded = w.f.closedServers(need.Service)
 	if !waited {
-		effect := w.f.reduce(dispatch.Counted{At: w.f.now(), Service: need.Service, Tried: need.Tried, Again: need.Again})[0]
+		effect := w.f.reduce(dispatch.RequestCounted{At: w.f.now(), Service: need.Service, Tried: need.Tried, Retry: need.Retry})[0]
 		if r, ok := effect.(dispatch.Refused); ok {
 			return dispatch.Grant{}, &refusal{reason: r.Reason, after: r.RetryAfter}, true
 		}
@@ -178,7 +178,7 @@
 		return true
 	}
 	leaves := reason == oriolebend.ReasonLeaving
-	w.f.reportPromptRead(dispatch.PromptRead{At: w.f.now(), Grant: g, Failed: leaves, Unused: !leaves})
+	w.f.reportPromptRead(dispatch.PrefillEnded{At: w.f.now(), Grant: g, Failed: leaves, Unused: !leaves})
 	w.rejectPlacement(g, reason, dispatch.OutcomeCancelled)
 	return false
 }
@@ -192,7 +192,7 @@
 
 // refusalForNewWork returns the reason why a server accepts no new work, empty if it does.
 func (f *Forwarder) refusalForNewWork(server message.BackendServer) oriolebend.Reason {
-	if r, refused := f.reduce(dispatch.AskedFresh{At: f.now(), Server: server})[0].(dispatch.Refused); refused {
+	if r, refused := f.reduce(dispatch.PlacementOffered{At: f.now(), Server: server})[0].(dispatch.Refused); refused {
 		return r.Reason
 	}
 	return ""
--- a/internal/forwarder/placement_test.go
+++ b/internal/forwarder/placement_test.go
@@ -33,7 +33,7 @@
 }
 
 func (o *outdatedPlaces) RegisterLocal(dispatch.Grant) uint64 { return 0 }
-func (o *outdatedPlaces) PromptRead(dispatch.PromptRead)      {}
+func (o *outdatedPlaces) PromptRead(dispatch.PrefillEnded)    {}
 
 func (o *outdatedPlaces) Ended(e dispatch.Ended) {
 	o.mutex.Lock()
@@ -81,12 +81,12 @@
 	places := &outdatedPlaces{engines: slices.Clone(s.servers)}
 	s.forwarder.config.Places = places
 	report := func(i int, n dispatch.Notice) {
-		s.forwarder.reduce(dispatch.Noticed{At: s.forwarder.now(), Server: s.servers[i], Notice: n})
+		s.forwarder.reduce(dispatch.NoticeReceived{At: s.forwarder.now(), Server: s.servers[i], Notice: n})
 	}
 	report(1, dispatch.Notice{Limited: true, PerSecond: 0.1})
 	status, _ := s.generation("/cut/")
 	is.Equal(status, http.StatusOK) // the state of the first engine is not known yet
-	report(0, dispatch.Notice{Rest: time.Minute})
+	report(0, dispatch.Notice{Backoff: time.Minute})
 	for range 2 {
 		status, _ = s.generation("/cut/")
 		is.Equal(status, http.StatusOK)
--- a/internal/forwarder/reserve.go
+++ b/internal/forwarder/reserve.go
@@ -126,7 +126,7 @@
 // releasePrefill reports to the reducer that the grant's prefill engine is not used.
 func (s *streamSend) releasePrefill() {
 	if s.grant.Prefill != nil {
-		s.f.reportPromptRead(dispatch.PromptRead{At: s.f.now(), Grant: s.grant, Unused: true})
+		s.f.reportPromptRead(dispatch.PrefillEnded{At: s.f.now(), Grant: s.grant, Unused: true})
 	}
 }
 
@@ -142,7 +142,7 @@
 	began := s.f.now()
 	result, err := s.f.requestPrefill(ctx, engine, request)
 	took := s.f.now().Sub(began)
-	s.f.reportPromptRead(dispatch.PromptRead{
+	s.f.reportPromptRead(dispatch.PrefillEnded{
 		At: s.f.now(), Grant: s.grant, Took: took,
 		Failed: err != nil && ctx.Err() == nil, Unused: ctx.Err() != nil,
 	})
@@ -151,7 +151,7 @@
 		s.detectCrash(engine, err)
 		return nil, err
 	}
-	s.f.reduce(dispatch.Read{Need: s.expectedNeed(), Took: took, Ahead: s.grant.Ahead})
+	s.f.reduce(dispatch.PrefillMeasured{Need: s.expectedNeed(), Took: took, Ahead: s.grant.Ahead})
 	return &result, nil
 }
 
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -215,7 +215,7 @@
 // pool would have done.
 func (s *streamSend) recordLocalPrefill() {
 	if s.grant.Prefill == nil && s.info.Prompt > 0 {
-		s.f.reduce(dispatch.Read{Need: s.expectedNeed(), Took: time.Since(s.request.Received), Here: true})
+		s.f.reduce(dispatch.PrefillMeasured{Need: s.expectedNeed(), Took: time.Since(s.request.Received), AtDecodeEngine: true})
 	}
 }
 
@@ -240,7 +240,7 @@
 		s.answer.End()
 		if s.streaming {
 			s.f.config.Quarantine.Answered(s.fingerprint)
-			s.f.reduce(dispatch.Written{Need: s.expectedNeed(), Took: time.Since(s.request.Received) - s.first, Parts: s.events})
+			s.f.reduce(dispatch.GenerationMeasured{Need: s.expectedNeed(), Took: time.Since(s.request.Received) - s.first, Parts: s.events})
 		}
 		s.reportEnded(s.grant, dispatch.OutcomeAnswered, 0)
 		s.log(response.Status, "", oriolebend.RanYes)
--- a/internal/places/allocator.go
+++ b/internal/places/allocator.go
@@ -107,7 +107,7 @@
 	}
 	for service, free := range s.FreeShare {
 		a.Logger.Info("places are short", "service", service, "freeShare", free, "waiting", s.Waiting,
-			"places", s.Places, "granted", s.Granted, "full", s.Full, "hopeless", s.Hopeless, "returned", s.Returned)
+			"places", s.Placements, "granted", s.Granted, "full", s.Full, "hopeless", s.Unservable, "returned", s.Returned)
 	}
 }
 
@@ -213,7 +213,7 @@
 	if s, open := a.sessions[session]; open {
 		delete(a.sessions, session)
 		s.End()
-		a.reduce(placement.SessionSilent{At: time.Now(), Session: session})
+		a.reduce(placement.SessionDisconnected{At: time.Now(), Session: session})
 	}
 }
 
@@ -235,7 +235,7 @@
 		if q := m.Question; q != nil {
 			need := needOf(*q)
 			need.FailureDomain = a.sessions[session].failureDomain
-			a.reduce(placement.Asked{
+			a.reduce(placement.Requested{
 				At: now, Key: key, Need: need, Rank: q.Rank, Call: q.Call, InTime: now.Add(q.InTime), Until: now.Add(q.Within),
 			})
 		}
@@ -246,7 +246,7 @@
 	case message.PlaceWithdrawn:
 		a.reduce(placement.Withdrawn{At: now, Key: key})
 	case message.PlaceRead:
-		a.reduce(placement.PromptRead{At: now, Key: key, Took: m.Took, Failed: m.Failed, Unused: m.Unused})
+		a.reduce(placement.PrefillEnded{At: now, Key: key, Took: m.Took, Failed: m.Failed, Unused: m.Unused})
 	case message.PlaceEnded:
 		a.reduce(placement.Ended{At: now, Key: key, Outcome: dispatch.Outcome(m.Outcome), Took: m.Took})
 	}
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -303,10 +303,10 @@
 }
 
 // placementID returns the number that identifies a placement to the allocator.
-func placementID(g dispatch.Grant) uint64 { return cmp.Or(g.Remote, g.Told) }
+func placementID(g dispatch.Grant) uint64 { return cmp.Or(g.Remote, g.ReportedID) }
 
 // PromptRead implements forwarder.Places.
-func (c *Client) PromptRead(e dispatch.PromptRead) {
+func (c *Client) PromptRead(e dispatch.PrefillEnded) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	id := placementID(e.Grant)
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -125,7 +125,7 @@
 		s.lead("two:1")
 		time.Sleep(time.Second)
 		s.refused(ctx, is, 900) // 1,020 tokens can be granted, 900 are in use
-		s.client.PromptRead(dispatch.PromptRead{Grant: grant})
+		s.client.PromptRead(dispatch.PrefillEnded{Grant: grant})
 		s.client.Ended(dispatch.Ended{Grant: grant, Outcome: dispatch.OutcomeAnswered})
 		s.granted(ctx, is, 900)
 	})
@@ -157,11 +157,11 @@
 			Need: dispatch.Need{Service: "s", Prompt: 900}, Server: message.BackendServer{Instance: "d"},
 			Prefill: &message.BackendServer{Instance: "p"},
 		}
-		grant.Told = s.client.RegisterLocal(grant)
+		grant.ReportedID = s.client.RegisterLocal(grant)
 		s.lead("one:1")
 		time.Sleep(time.Second)
 		s.refused(ctx, is, 900)
-		s.client.PromptRead(dispatch.PromptRead{Grant: grant})
+		s.client.PromptRead(dispatch.PrefillEnded{Grant: grant})
 		s.client.Ended(dispatch.Ended{Grant: grant, Outcome: dispatch.OutcomeAnswered})
 		s.granted(ctx, is, 900)
 	})
--- a/internal/reducer/dispatch/bench_test.go
+++ b/internal/reducer/dispatch/bench_test.go
@@ -9,15 +9,15 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// BenchmarkAsked places generations among the engines of sites of 30, 100 and 320
-// forwarders, as their leader does for each of them.
-func BenchmarkAsked(b *testing.B) {
+// BenchmarkPlacementRequested chooses engines for generations at sites of 30, 100 and 320 forwarders, as
+// the leader does for all of them.
+func BenchmarkPlacementRequested(b *testing.B) {
 	for _, engines := range []int{60, 180, 1100} {
-		b.Run(fmt.Sprint(engines), func(b *testing.B) { benchmarkAsked(b, engines) })
+		b.Run(fmt.Sprint(engines), func(b *testing.B) { benchmarkPlacementRequested(b, engines) })
 	}
 }
 
-func benchmarkAsked(b *testing.B, engines int) {
+func benchmarkPlacementRequested(b *testing.B, engines int) {
 	s := New(Config{Seed: 1})
 	at := time.Unix(1, 0)
 	Reduce(s, Services{Services: []oriolebend.RouteService{{Name: "s", Engine: &oriolebend.EngineLimits{KVTokens: 1 << 40}}}})
@@ -34,7 +34,7 @@
 	Reduce(s, fleet)
 	b.ReportAllocs()
 	for b.Loop() {
-		granted, ok := Reduce(s, Asked{At: at, Need: Need{Service: "s", Prompt: 100, Output: 50}})[0].(Granted)
+		granted, ok := Reduce(s, PlacementRequested{At: at, Need: Need{Service: "s", Prompt: 100, Output: 50}})[0].(Granted)
 		if !ok {
 			b.Fatal("not granted")
 		}
--- a/internal/role/poolkeeper.go
+++ b/internal/role/poolkeeper.go
@@ -82,7 +82,7 @@
 	for wait(ctx, judgeEvery); ctx.Err() == nil; wait(ctx, judgeEvery) {
 		status := k.Status()
 		k.tell()
-		k.reduce(pools.Leads{At: time.Now(), Term: status.Term, Lead: status.Role == agreement.Leader})
+		k.reduce(pools.LeadershipReported{At: time.Now(), Term: status.Term, Lead: status.Role == agreement.Leader})
 		var giving sync.WaitGroup
 		for _, order := range k.reduce(pools.Ticked{At: time.Now()}) {
 			giving.Go(func() { k.give(ctx, order) })
@@ -111,12 +111,12 @@
 		"role", o.Role, "fencing", o.Fencing, "accepted", accepted, "error", err,
 		"prefillEngines", o.Grounds.PrefillEngines, "decodeEngines", o.Grounds.DecodeEngines,
 		"prefillWork", o.Grounds.PrefillWork, "decodeWork", o.Grounds.DecodeWork, "wantedPrefill", o.Grounds.Wanted)
-	answered := pools.Answered{At: time.Now(), Order: o, Accepted: accepted}
+	answered := pools.OrderAnswered{At: time.Now(), Order: o, Accepted: accepted}
 	notSent, known := errors.AsType[*NotOrderedError](err)
 	if known {
-		answered.Rest = notSent.Rest
+		answered.Backoff = notSent.Rest
 	}
-	answered.Unsure = err != nil && !known
+	answered.OutcomeUnknown = err != nil && !known
 	k.reduce(answered)
 }
 
@@ -124,7 +124,7 @@
 // then: a process that was paused in between would otherwise send it among the
 // orders of its successor.
 func (k *PoolKeeper) order(ctx context.Context, o pools.Order) (bool, error) {
-	if err := k.Announce(ctx, o.Engine, o.Away); err != nil {
+	if err := k.Announce(ctx, o.Engine, o.UnavailableFor); err != nil {
 		return false, &NotOrderedError{Cause: err}
 	}
 	if !k.Leads() {
@@ -134,7 +134,7 @@
 }
 
 // Heard takes what a forwarder did.
-func (k *PoolKeeper) Heard(loads []message.ServiceLoad) { k.reduce(pools.Heard{Loads: loads}) }
+func (k *PoolKeeper) Heard(loads []message.ServiceLoad) { k.reduce(pools.LoadsReported{Loads: loads}) }
 
 // SetRouting implements routewatch.Sink.
 func (k *PoolKeeper) SetRouting(r oriolebend.Routing) {
