--- a/internal/control/resolver.go
+++ b/internal/control/resolver.go
@@ -20,10 +20,10 @@
 
 // Gates asks gates on behalf of a control VM.
 type Gates interface {
-	// AskStatus asks the gate of the server or, if that server is gone, any
+	// QueryStatus asks the gate of the server or, if that server is gone, any
 	// gate of the service. It returns a message.CallAnswer or message.Refusal;
 	// a Refusal with Ran "no" comes only from the server's own gate.
-	AskStatus(ctx context.Context, server, service string, q message.StatusQuery) (message.Message, error)
+	QueryStatus(ctx context.Context, server, service string, q message.StatusQuery) (message.Message, error)
 }
 
 // ResolverConfig sets up a Resolver.
@@ -103,7 +103,7 @@
 }
 
 func (r *Resolver) ask(ctx context.Context, e recovery.QueryStatus) {
-	answer, err := r.config.Gates.AskStatus(ctx, e.Server, e.Service, e.Query)
+	answer, err := r.config.Gates.QueryStatus(ctx, e.Server, e.Service, e.Query)
 	if err != nil {
 		answer = nil
 	}
--- a/internal/control/resolver_test.go
+++ b/internal/control/resolver_test.go
@@ -18,7 +18,7 @@
 	asked []message.StatusQuery
 }
 
-func (g *fakeGates) AskStatus(_ context.Context, _, _ string, q message.StatusQuery) (message.Message, error) {
+func (g *fakeGates) QueryStatus(_ context.Context, _, _ string, q message.StatusQuery) (message.Message, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.asked = append(g.asked, q)
--- a/internal/role/statusgates.go
+++ b/internal/role/statusgates.go
@@ -20,10 +20,10 @@
 	members func() []oriolebend.Server
 }
 
-// AskStatus asks the gate of the server that had the call, or else any gate of
+// QueryStatus asks the gate of the server that had the call, or else any gate of
 // the service. The word of another gate that the attempt did not run is worth
 // nothing, for it never had it; it is passed on as unknown.
-func (g statusGates) AskStatus(ctx context.Context, server, service string, q message.StatusQuery) (message.Message, error) {
+func (g statusGates) QueryStatus(ctx context.Context, server, service string, q message.StatusQuery) (message.Message, error) {
 	target, found := g.find(server, service)
 	if !found {
 		return nil, &oriolebend.Problem{Reason: oriolebend.ReasonNoServer, Ran: oriolebend.RanUnknown}
--- a/internal/role/statusgates_test.go
+++ b/internal/role/statusgates_test.go
@@ -51,7 +51,7 @@
 						oriolebend.Server{Name: "mute", GateAddress: "mute:1", Role: oriolebend.Service, Service: "mute"},
 						oriolebend.Server{Name: "away", GateAddress: "away:1", Role: oriolebend.Service, Service: "away"})
 				}}
-				answer, err := gates.AskStatus(ctx, row.server, row.service, message.StatusQuery{})
+				answer, err := gates.QueryStatus(ctx, row.server, row.service, message.StatusQuery{})
 				is.Equal(err != nil, row.fails)
 				if !row.fails {
 					is.Equal(answer.(message.Refusal).Ran, row.ran)
