--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -41,9 +41,9 @@
 	// LeaseFor is how long what this entry holds outlives its last sign of
 	// life, and how long a retry waits after this entry died; zero means 6s.
 	LeaseFor time.Duration
-	// TryFor is how long one control VM may take before another is asked; zero
+	// TryTimeout is how long one control VM may take before another is asked; zero
 	// means 1s.
-	TryFor time.Duration
+	TryTimeout time.Duration
 	// GiveUp bounds a call whose context has no deadline; zero means 5s.
 	GiveUp time.Duration
 	// Backoff is the largest first wait between tries; it doubles up to
@@ -65,7 +65,7 @@
 
 func (c ClientConfig) withDefaults() ClientConfig {
 	c.LeaseFor = orDefault(c.LeaseFor, defaultLeaseFor)
-	c.TryFor = orDefault(c.TryFor, defaultTryFor)
+	c.TryTimeout = orDefault(c.TryTimeout, defaultTryFor)
 	c.GiveUp = orDefault(c.GiveUp, defaultGiveUp)
 	c.Backoff = orDefault(c.Backoff, defaultBackoff)
 	c.MaxWait = orDefault(c.MaxWait, defaultMaxWait)
@@ -120,7 +120,7 @@
 	}
 	c.renewLease(ctx)
 	workers.Wait()
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.config.TryFor)
+	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.config.TryTimeout)
 	defer cancel()
 	_, _ = c.ask(last, c.renewal(true))
 	c.close()
@@ -275,7 +275,7 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	return !bounded || time.Until(deadline) > pause+c.config.TryFor/shortestTry
+	return !bounded || time.Until(deadline) > pause+c.config.TryTimeout/shortestTry
 }
 
 // wait is the time before the next try, with full jitter: entries that lost
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -213,7 +213,7 @@
 	if err != nil {
 		return nil, &oriolebend.Problem{Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanNo, Cause: err}
 	}
-	return session.ask(ctx, ticket, m, c.config.TryFor)
+	return session.ask(ctx, ticket, m, c.config.TryTimeout)
 }
 
 // acquire returns the present session or waits for a new one.
@@ -253,7 +253,7 @@
 }
 
 func (c *Client) dial(d *dialing, address string) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.config.TryFor)
+	ctx, cancel := context.WithTimeout(context.Background(), c.config.TryTimeout)
 	defer cancel()
 	stream, err := c.config.Dialer.Open(ctx, address)
 	c.mu.Lock()
