--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -44,8 +44,8 @@
 	// TryTimeout is how long one control VM may take before another is asked; zero
 	// means 1s.
 	TryTimeout time.Duration
-	// GiveUp bounds a call whose context has no deadline; zero means 5s.
-	GiveUp time.Duration
+	// CallTimeout bounds a call whose context has no deadline; zero means 5s.
+	CallTimeout time.Duration
 	// Backoff is the largest first wait between tries; it doubles up to
 	// MaxWait. Zero means 20ms and 1s.
 	Backoff time.Duration
@@ -66,7 +66,7 @@
 func (c ClientConfig) withDefaults() ClientConfig {
 	c.LeaseFor = orDefault(c.LeaseFor, defaultLeaseFor)
 	c.TryTimeout = orDefault(c.TryTimeout, defaultTryFor)
-	c.GiveUp = orDefault(c.GiveUp, defaultGiveUp)
+	c.CallTimeout = orDefault(c.CallTimeout, defaultGiveUp)
 	c.Backoff = orDefault(c.Backoff, defaultBackoff)
 	c.MaxWait = orDefault(c.MaxWait, defaultMaxWait)
 	c.Backlog = orDefault(c.Backlog, defaultBacklog)
@@ -243,7 +243,7 @@
 func (c *Client) ask(ctx context.Context, m message.Message) (message.Message, *oriolebend.Problem) {
 	if _, bounded := ctx.Deadline(); !bounded {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, c.config.GiveUp)
+		ctx, cancel = context.WithTimeout(ctx, c.config.CallTimeout)
 		defer cancel()
 	}
 	ticket := c.nextTicket()
