--- a/internal/control/backlog.go
+++ b/internal/control/backlog.go
@@ -64,7 +64,7 @@
 func (c *Client) workBacklog(ctx context.Context) {
 	flush, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { time.AfterFunc(c.config.FlushFor, cancel) })
+	stop := context.AfterFunc(ctx, func() { time.AfterFunc(c.config.FlushTimeout, cancel) })
 	defer stop()
 	for {
 		select {
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -53,9 +53,9 @@
 	// Backlog bounds the claims and outcomes that are sent again in the
 	// background; zero means 4,096.
 	Backlog int
-	// FlushFor is how long a stopping client goes on with its backlog; zero
+	// FlushTimeout is how long a stopping client goes on with its backlog; zero
 	// means 5s.
-	FlushFor time.Duration
+	FlushTimeout time.Duration
 	// Retried is told the reason of each retry, for a counter; it may be nil.
 	Retried func(oriolebend.Reason)
 	// Dropped is told of each request that the backlog had no room for; the
@@ -70,7 +70,7 @@
 	c.Backoff = orDefault(c.Backoff, defaultBackoff)
 	c.MaxWait = orDefault(c.MaxWait, defaultMaxWait)
 	c.Backlog = orDefault(c.Backlog, defaultBacklog)
-	c.FlushFor = orDefault(c.FlushFor, defaultFlushFor)
+	c.FlushTimeout = orDefault(c.FlushTimeout, defaultFlushFor)
 	if c.Retried == nil {
 		c.Retried = func(oriolebend.Reason) {}
 	}
