--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -49,7 +49,7 @@
 	// Backoff is the largest first wait between tries; it doubles up to
 	// MaxWait. Zero means 20ms and 1s.
 	Backoff time.Duration
-	MaxWait time.Duration
+	MaxBackoff time.Duration
 	// Backlog bounds the claims and outcomes that are sent again in the
 	// background; zero means 4,096.
 	Backlog int
@@ -68,7 +68,7 @@
 	c.TryTimeout = orDefault(c.TryTimeout, defaultTryFor)
 	c.CallTimeout = orDefault(c.CallTimeout, defaultGiveUp)
 	c.Backoff = orDefault(c.Backoff, defaultBackoff)
-	c.MaxWait = orDefault(c.MaxWait, defaultMaxWait)
+	c.MaxBackoff = orDefault(c.MaxBackoff, defaultMaxWait)
 	c.Backlog = orDefault(c.Backlog, defaultBacklog)
 	c.FlushTimeout = orDefault(c.FlushTimeout, defaultFlushFor)
 	if c.Retried == nil {
@@ -186,7 +186,7 @@
 			Reason:     claimed.Reason,
 			Ran:        oriolebend.RanNo,
 			RequestID:  m.RequestID,
-			RetryAfter: c.config.MaxWait,
+			RetryAfter: c.config.MaxBackoff,
 		}
 	}
 	if claimed.Outcome == message.ClaimOwned {
@@ -248,7 +248,7 @@
 	}
 	ticket := c.nextTicket()
 	m = withTicket(m, ticket)
-	p := &oriolebend.Problem{Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanNo, RetryAfter: c.config.MaxWait}
+	p := &oriolebend.Problem{Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanNo, RetryAfter: c.config.MaxBackoff}
 	for try := 0; ; try++ {
 		answer, failed := c.try(ctx, ticket, m)
 		if failed == nil {
@@ -284,7 +284,7 @@
 	if try == 0 && failed.Reason == oriolebend.ReasonNotLeader {
 		return 0
 	}
-	limit := c.config.MaxWait
+	limit := c.config.MaxBackoff
 	if try < 16 {
 		limit = min(limit, c.config.Backoff<<try)
 	}
