--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -38,8 +38,8 @@
 	InFlight int
 	// PerStream bounds the unanswered requests of one stream; zero means 1,024.
 	PerStream int
-	// ProposeFor bounds the wait for a quorum; zero means 5s.
-	ProposeFor time.Duration
+	// ProposeTimeout bounds the wait for a quorum; zero means 5s.
+	ProposeTimeout time.Duration
 	// PassEvery is how often the leader passes time; zero means 1s.
 	PassEvery time.Duration
 	// ExpireLimit bounds what one pass removes; zero means 1,024.
@@ -53,7 +53,7 @@
 	c.MaxGroup = orDefault(c.MaxGroup, defaultMaxGroup)
 	c.InFlight = orDefault(c.InFlight, defaultInFlight)
 	c.PerStream = orDefault(c.PerStream, defaultPerStream)
-	c.ProposeFor = orDefault(c.ProposeFor, defaultProposeFor)
+	c.ProposeTimeout = orDefault(c.ProposeTimeout, defaultProposeFor)
 	c.PassEvery = orDefault(c.PassEvery, defaultPassEvery)
 	c.ExpireLimit = orDefault(c.ExpireLimit, defaultExpireLimit)
 	return c
@@ -101,7 +101,7 @@
 	if err != nil {
 		return record.Result{}, internalProblem(oriolebend.RanNo, err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.config.ProposeFor)
+	ctx, cancel := context.WithTimeout(ctx, s.config.ProposeTimeout)
 	defer cancel()
 	encoded, err := s.config.Log.Propose(ctx, data)
 	if err != nil {
@@ -174,7 +174,7 @@
 }
 
 func (s *Server) answerGroup(ctx context.Context, group []request) {
-	ctx, cancel := context.WithTimeout(ctx, s.config.ProposeFor)
+	ctx, cancel := context.WithTimeout(ctx, s.config.ProposeTimeout)
 	defer cancel()
 	if err := s.config.Log.Confirm(ctx); err != nil {
 		s.refuseAll(group, asProblem(err))
