--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -40,8 +40,8 @@
 	PerStream int
 	// ProposeTimeout bounds the wait for a quorum; zero means 5s.
 	ProposeTimeout time.Duration
-	// PassEvery is how often the leader passes time; zero means 1s.
-	PassEvery time.Duration
+	// ExpireInterval is how often the leader passes time; zero means 1s.
+	ExpireInterval time.Duration
 	// ExpireLimit bounds what one pass removes; zero means 1,024.
 	ExpireLimit int
 	// Observe is told each command that this control VM proposed and what it
@@ -54,7 +54,7 @@
 	c.InFlight = orDefault(c.InFlight, defaultInFlight)
 	c.PerStream = orDefault(c.PerStream, defaultPerStream)
 	c.ProposeTimeout = orDefault(c.ProposeTimeout, defaultProposeFor)
-	c.PassEvery = orDefault(c.PassEvery, defaultPassEvery)
+	c.ExpireInterval = orDefault(c.ExpireInterval, defaultPassEvery)
 	c.ExpireLimit = orDefault(c.ExpireLimit, defaultExpireLimit)
 	return c
 }
@@ -126,7 +126,7 @@
 
 // passTime has the leader end leases and remove what is old.
 func (s *Server) passTime(ctx context.Context) {
-	ticker := time.NewTicker(s.config.PassEvery)
+	ticker := time.NewTicker(s.config.ExpireInterval)
 	defer ticker.Stop()
 	led := false
 	for {
