--- a/internal/control/resolver.go
+++ b/internal/control/resolver.go
@@ -39,9 +39,9 @@
 	ListLimit int
 	// ListEvery is how often the unknown records are listed; zero means 1s.
 	ListEvery time.Duration
-	// Asked is told what came of each question that settled nothing, for a
+	// Unresolved is told what came of each question that settled nothing, for a
 	// counter; it may be nil.
-	Asked func(oriolebend.Reason)
+	Unresolved func(oriolebend.Reason)
 }
 
 // Resolver carries the recovery reducer out on one control VM.
@@ -55,8 +55,8 @@
 func NewResolver(c ResolverConfig) *Resolver {
 	c.ListLimit = orDefault(c.ListLimit, defaultListLimit)
 	c.ListEvery = orDefault(c.ListEvery, defaultListEvery)
-	if c.Asked == nil {
-		c.Asked = func(oriolebend.Reason) {}
+	if c.Unresolved == nil {
+		c.Unresolved = func(oriolebend.Reason) {}
 	}
 	return &Resolver{
 		config: c,
@@ -97,7 +97,7 @@
 		case recovery.Resolve:
 			go r.resolve(ctx, e.Resolve)
 		case recovery.Count:
-			r.config.Asked(e.Reason)
+			r.config.Unresolved(e.Reason)
 		}
 	}
 }
@@ -124,6 +124,6 @@
 func (r *Resolver) resolve(ctx context.Context, m record.Resolve) {
 	c := record.Command{At: time.Now(), Resolve: []record.Resolve{m}}
 	if _, err := r.config.Server.Propose(ctx, c); err != nil {
-		r.config.Asked(asProblem(err).Reason)
+		r.config.Unresolved(asProblem(err).Reason)
 	}
 }
--- a/internal/role/controlprocess.go
+++ b/internal/role/controlprocess.go
@@ -171,7 +171,7 @@
 			members: func() []oriolebend.Server { return store.View().Members() },
 		},
 		Recovery: recovery.Config{Seed: newIncarnation()},
-		Asked:    func(reason oriolebend.Reason) { p.observer().Count("statusAsked", reason, "") },
+		Unresolved:    func(reason oriolebend.Reason) { p.observer().Count("statusAsked", reason, "") },
 	})
 	reached := NewReachedTable(name)
 	c.confirmer = &Confirmer{Self: name, Replica: log, Dialer: c.endpoint, Reached: reached}
