--- a/internal/control/backlog.go
+++ b/internal/control/backlog.go
@@ -8,15 +8,16 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// backlogWorkers is how many requests of the backlog are sent at a time.
+// backlogWorkers is the number of requests from the backlog that are sent concurrently.
 const backlogWorkers = 4
 
-// later has a request sent again in the background.
+// enqueue adds a request to the backlog, from which it is sent again in the background. It reports
+// false if the backlog is full.
 //
-// The lease is the entry's and not the record's, so a record whose claim or
-// outcome was given up would stay open for as long as the entry lives: retries
-// of its caller would attach to work that nobody does.
-func (c *Client) later(m message.Message) bool {
+// A lease belongs to the entry and not to a record. Without the backlog, a record whose claim or
+// outcome was abandoned would stay open for as long as the entry lives, and retries of its caller
+// would attach to an owner that does not process the request.
+func (c *Client) enqueue(m message.Message) bool {
 	select {
 	case c.backlog <- m:
 		return true
@@ -26,42 +27,43 @@
 	}
 }
 
-// hold notes that the record of a claim is this entry's: a later claim with the
-// same id is a renewal, whose failure must not close what runs.
-func (c *Client) hold(requestID string) {
+// markOwned records that this entry owns the record of a claim. A later claim with the same id is a
+// renewal, whose failure must not close the running request.
+func (c *Client) markOwned(requestID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.held[requestID] = true
+	c.owned[requestID] = true
 }
 
-func (c *Client) release(requestID string) {
+func (c *Client) unmarkOwned(requestID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.held, requestID)
+	delete(c.owned, requestID)
 }
 
-// giveUp has the backlog close a claim, unless it was a renewal. Its request id is spent: a second
-// claim with it could be dispatched just as the backlog tells that it was not.
-func (c *Client) giveUp(m message.Claim) {
+// abandonClaim has the backlog close a claim, unless the claim was a renewal. Its request id can't
+// be used again: a second claim with it could be dispatched just as the backlog settles it as not
+// run.
+func (c *Client) abandonClaim(m message.Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.held[m.RequestID] {
+	if c.owned[m.RequestID] {
 		return
 	}
-	if c.later(m) {
-		c.givenUp[m.RequestID] = true
+	if c.enqueue(m) {
+		c.abandoned[m.RequestID] = true
 	}
 }
 
-func (c *Client) wasGivenUp(requestID string) bool {
+func (c *Client) isAbandoned(requestID string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.givenUp[requestID]
+	return c.abandoned[requestID]
 }
 
-// workBacklog sends what calls gave up on until a quorum has answered it. Once
-// ctx has ended it goes on until the backlog is empty, at most for FlushFor.
-func (c *Client) workBacklog(ctx context.Context) {
+// runBacklog sends the requests of the backlog until a quorum has answered them. After the end of
+// ctx it continues until the backlog is empty, at most for FlushTimeout.
+func (c *Client) runBacklog(ctx context.Context) {
 	flush, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { time.AfterFunc(c.config.FlushTimeout, cancel) })
@@ -69,7 +71,7 @@
 	for {
 		select {
 		case m := <-c.backlog:
-			c.finish(flush, m)
+			c.sendUntilAnswered(flush, m)
 			continue
 		default:
 		}
@@ -77,38 +79,38 @@
 		case <-ctx.Done():
 			return
 		case m := <-c.backlog:
-			c.finish(flush, m)
+			c.sendUntilAnswered(flush, m)
 		}
 	}
 }
 
-// finish sends one request until it is answered, and then what follows of it.
-func (c *Client) finish(ctx context.Context, m message.Message) {
+// sendUntilAnswered sends one request until it is answered, and then the request that closes it, if
+// there is one.
+func (c *Client) sendUntilAnswered(ctx context.Context, m message.Message) {
 	for next := m; ctx.Err() == nil; {
-		answer, err := c.ask(ctx, next)
+		answer, err := c.send(ctx, next)
 		if err != nil {
 			continue
 		}
-		next = closing(next, answer)
+		next = closingSettle(next, answer)
 		if next == nil {
-			c.finished(m)
+			c.forgetAbandoned(m)
 			return
 		}
 	}
 }
 
-func (c *Client) finished(m message.Message) {
+func (c *Client) forgetAbandoned(m message.Message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if claim, ok := m.(message.Claim); ok {
-		delete(c.givenUp, claim.RequestID)
+		delete(c.abandoned, claim.RequestID)
 	}
 }
 
-// closing returns the settle that closes a claim which nobody waits for any
-// more, if it turned out to be owned by this entry. It closes only what is
-// still claimed.
-func closing(m, answer message.Message) message.Message {
+// closingSettle returns the settle that closes an abandoned claim, if the answer shows that this
+// entry owns the record, and nil otherwise. It closes the record only if that is still claimed.
+func closingSettle(m, answer message.Message) message.Message {
 	claim, isClaim := m.(message.Claim)
 	claimed, isAnswer := answer.(message.ClaimAnswer)
 	if !isClaim || !isAnswer || claimed.Outcome != message.ClaimOwned {
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -13,14 +13,14 @@
 	"github.com/oriolebend/oriolebend/internal/peer"
 )
 
-// benchEntries and benchCallers are the streams, and the claims that wait at a
-// time over all of them.
+// benchEntries is the number of streams, benchCallers the number of concurrent claims over all of
+// them.
 const (
 	benchEntries = 32
 	benchCallers = 1024
 )
 
-// fileLog is a fakeLog that syncs each command to a file before it applies it.
+// fileLog is a fakeLog that writes and syncs each command to a file before it applies it.
 type fileLog struct {
 	fakeLog
 	mu   sync.Mutex
@@ -43,9 +43,8 @@
 	return l.file.Sync()
 }
 
-// BenchmarkClaims measures claims a second through clients and one server, at
-// group limits, with a time until a quorum has synced. One operation is one
-// claim.
+// BenchmarkClaims measures claims per second through clients and one server, for several group
+// limits and times until a quorum has synced. One operation is one claim.
 func BenchmarkClaims(b *testing.B) {
 	for _, syncFor := range []time.Duration{0, 2 * time.Millisecond, 8 * time.Millisecond} {
 		for _, group := range []int{1, 16, 128, 512} {
@@ -57,8 +56,7 @@
 	}
 }
 
-// BenchmarkClaimsOnDisk does the same with each group synced to a file of the
-// temporary folder.
+// BenchmarkClaimsOnDisk measures the same with each group synced to a file in the temporary folder.
 func BenchmarkClaimsOnDisk(b *testing.B) {
 	for _, group := range []int{1, 16, 128, 512} {
 		b.Run(fmt.Sprint("group=", group), func(b *testing.B) {
@@ -74,8 +72,8 @@
 	}
 }
 
-// BenchmarkClaimAlone is the delay that a claim adds to a request when nothing
-// else is on its way, without network.
+// BenchmarkClaimAlone measures the delay that a claim adds to a request when no other claim is in
+// progress, without network.
 func BenchmarkClaimAlone(b *testing.B) {
 	for _, syncFor := range []time.Duration{0, 2 * time.Millisecond} {
 		b.Run(fmt.Sprint("sync=", syncFor), func(b *testing.B) {
@@ -85,7 +83,7 @@
 	}
 }
 
-// BenchmarkClaimAloneOnDisk is that delay with a sync to a file.
+// BenchmarkClaimAloneOnDisk measures that delay with a sync to a file.
 func BenchmarkClaimAloneOnDisk(b *testing.B) {
 	file, err := os.Create(filepath.Join(b.TempDir(), "log"))
 	if err != nil {
@@ -109,7 +107,7 @@
 	defer cancel()
 	g.machines["c1"] = NewRecords()
 	server := NewServer(ServerConfig{Self: "c1", Log: log, Records: g.machines["c1"], MaxGroup: group})
-	net := &fakeNet{handlers: map[string]peer.Handler{"c1": server.Serve}, silent: map[string]bool{}, ctx: ctx}
+	net := &fakeNet{handlers: map[string]peer.Handler{"c1": server.Serve}, unresponsive: map[string]bool{}, ctx: ctx}
 	go server.Run(ctx)
 	clients := make([]*Client, benchEntries)
 	for i := range clients {
@@ -120,7 +118,7 @@
 	b.ReportMetric(float64(b.N)/float64(g.proposed), "claims/entry")
 }
 
-// claimMany has callers claim b.N requests through the clients.
+// claimMany claims b.N requests through the clients, with the given number of concurrent callers.
 func claimMany(b *testing.B, clients []*Client, callers int) {
 	b.Helper()
 	var next atomic.Int64
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -12,65 +12,65 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Defaults of ClientConfig.
+// Default values of the fields of ClientConfig.
 const (
-	defaultLeaseFor = 6 * time.Second
-	defaultTryFor   = time.Second
-	defaultGiveUp   = 5 * time.Second
-	defaultBackoff  = 20 * time.Millisecond
-	defaultMaxWait  = time.Second
-	defaultBacklog  = 4096
-	defaultFlushFor = 5 * time.Second
-	// renewalsPerLease is how often an owner renews within one lease, so that
-	// two lost renewals don't end it.
+	defaultLeaseFor     = 6 * time.Second
+	defaultTryTimeout   = time.Second
+	defaultCallTimeout  = 5 * time.Second
+	defaultBackoff      = 20 * time.Millisecond
+	defaultMaxBackoff   = time.Second
+	defaultBacklog      = 4096
+	defaultFlushTimeout = 5 * time.Second
+	// renewalsPerLease is the number of renewals that an owner sends within one lease, so that the
+	// loss of two does not end the lease.
 	renewalsPerLease = 3
-	// shortestTry is the part of TryFor that a last try needs at least.
-	shortestTry = 10
+	// minTryDivisor sets the minimum time for a last try, as a fraction of TryTimeout.
+	minTryDivisor = 10
 )
 
-// ClientConfig sets up a Client.
+// ClientConfig configures a Client. Dialer, Members and Owner are required.
 type ClientConfig struct {
 	// Dialer opens streams to the control VMs.
 	Dialer peer.Dialer
 	// Members are the peer addresses of all control VMs.
 	Members []string
-	// Owner is the name and start of this entry; no two starts share it.
+	// Owner is the name and incarnation of this entry; no two incarnations share it.
 	Owner string
-	// OwnerAddress is where other entries reach this one.
+	// OwnerAddress is the address at which other entries reach this one.
 	OwnerAddress string
-	// LeaseFor is how long what this entry holds outlives its last sign of
-	// life, and how long a retry waits after this entry died; zero means 6s.
+	// LeaseFor is the duration of the lease under which this entry owns records, counted from its
+	// last claim, settle or renewal: how long the records stay owned after a crash of the entry,
+	// and so how long a retry waits then. Zero means 6s.
 	LeaseFor time.Duration
-	// TryTimeout is how long one control VM may take before another is asked; zero
-	// means 1s.
+	// TryTimeout is the timeout of a request to one control VM, after which another one is tried;
+	// zero means 1s.
 	TryTimeout time.Duration
 	// CallTimeout bounds a call whose context has no deadline; zero means 5s.
 	CallTimeout time.Duration
-	// Backoff is the largest first wait between tries; it doubles up to
-	// MaxWait. Zero means 20ms and 1s.
-	Backoff time.Duration
+	// Backoff is the upper limit of the random delay before the second try; it doubles with each
+	// try up to MaxBackoff. Zero means 20ms and 1s.
+	Backoff    time.Duration
 	MaxBackoff time.Duration
-	// Backlog bounds the claims and outcomes that are sent again in the
-	// background; zero means 4,096.
+	// Backlog bounds the claims and outcomes that wait to be sent again in the background; zero
+	// means 4,096.
 	Backlog int
-	// FlushTimeout is how long a stopping client goes on with its backlog; zero
-	// means 5s.
+	// FlushTimeout is how long a stopping client continues to send its backlog; zero means 5s.
 	FlushTimeout time.Duration
-	// Retried is told the reason of each retry, for a counter; it may be nil.
+	// Retried is called with the reason of each retry, for a counter; it may be nil.
 	Retried func(oriolebend.Reason)
-	// Dropped is told of each request that the backlog had no room for; the
-	// record then stays open for as long as this entry lives. It may be nil.
+	// Dropped is called for each request that was dropped because the backlog was full; the record
+	// then stays open for as long as this entry lives. It may be nil.
 	Dropped func()
 }
 
 func (c ClientConfig) withDefaults() ClientConfig {
 	c.LeaseFor = orDefault(c.LeaseFor, defaultLeaseFor)
-	c.TryTimeout = orDefault(c.TryTimeout, defaultTryFor)
-	c.CallTimeout = orDefault(c.CallTimeout, defaultGiveUp)
+	c.TryTimeout = orDefault(c.TryTimeout, defaultTryTimeout)
+	c.CallTimeout = orDefault(c.CallTimeout, defaultCallTimeout)
 	c.Backoff = orDefault(c.Backoff, defaultBackoff)
-	c.MaxBackoff = orDefault(c.MaxBackoff, defaultMaxWait)
+	c.MaxBackoff = orDefault(c.MaxBackoff, defaultMaxBackoff)
 	c.Backlog = orDefault(c.Backlog, defaultBacklog)
-	c.FlushTimeout = orDefault(c.FlushTimeout, defaultFlushFor)
+	c.FlushTimeout = orDefault(c.FlushTimeout, defaultFlushTimeout)
 	if c.Retried == nil {
 		c.Retried = func(oriolebend.Reason) {}
 	}
@@ -80,49 +80,47 @@
 	return c
 }
 
-// Client asks the control VMs on behalf of one entry. Its methods may be used
-// by many goroutines; Run must be running. Errors are *oriolebend.Problem
-// values.
+// Client sends requests to the control VMs on behalf of one entry. Its methods may be called by
+// many goroutines; Run must be running. Errors are *oriolebend.Problem values.
 type Client struct {
 	config  ClientConfig
 	backlog chan message.Message
 
-	mu      sync.Mutex
-	ticket  uint64
-	session *clientSession
-	dialing *dialing
-	member  int
-	// givenUp holds the request ids of claims that the backlog closes.
-	givenUp map[string]bool
-	// held holds those of claims that this entry owns and has not settled.
-	held map[string]bool
+	mu         sync.Mutex
+	ticket     uint64
+	session    *clientSession
+	dialing    *dialing
+	nextMember int
+	// abandoned holds the request ids of claims that the backlog is to close.
+	abandoned map[string]bool
+	// owned holds the request ids of claims that this entry owns and has not settled.
+	owned map[string]bool
 }
 
-// NewClient returns a client; it opens no stream before it is used.
+// NewClient returns a client; it opens no stream before its first request.
 func NewClient(c ClientConfig) *Client {
 	c = c.withDefaults()
 	return &Client{
-		config:  c,
-		backlog: make(chan message.Message, c.Backlog),
-		givenUp: map[string]bool{},
-		held:    map[string]bool{},
+		config:    c,
+		backlog:   make(chan message.Message, c.Backlog),
+		abandoned: map[string]bool{},
+		owned:     map[string]bool{},
 	}
 }
 
-// Run renews the entry's lease and sends again what calls gave up on, until
-// ctx ends and the backlog is empty or FlushFor has passed; then it tells the
-// control VMs that this owner holds nothing any more, so that nobody waits for
-// its lease.
+// Run renews the entry's lease and sends the abandoned requests again, until ctx ends and the
+// backlog is empty or FlushTimeout has passed. Then it reports to the control VMs that this owner
+// has ended, so that no other entry waits for its lease to expire.
 func (c *Client) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	for range backlogWorkers {
-		workers.Go(func() { c.workBacklog(ctx) })
+		workers.Go(func() { c.runBacklog(ctx) })
 	}
 	c.renewLease(ctx)
 	workers.Wait()
 	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.config.TryTimeout)
 	defer cancel()
-	_, _ = c.ask(last, c.renewal(true))
+	_, _ = c.send(last, c.renewal(true))
 	c.close()
 }
 
@@ -139,7 +137,7 @@
 	ticker := time.NewTicker(c.config.LeaseFor / renewalsPerLease)
 	defer ticker.Stop()
 	for {
-		_, _ = c.ask(ctx, c.renewal(false))
+		_, _ = c.send(ctx, c.renewal(false))
 		select {
 		case <-ctx.Done():
 			return
@@ -148,15 +146,14 @@
 	}
 }
 
-// Claim asks for the ownership of a scope. Owner, address and lease are filled
-// in from the configuration where the claim leaves them empty.
+// Claim requests the ownership of a scope. Owner, OwnerAddress and LeaseFor are filled in from the
+// configuration if they are empty.
 //
-// The problem's Ran is "no" only if no control VM was sent the claim. Otherwise
-// the record may stand claimed in this entry's name: the entry must not
-// dispatch, and the client closes the record as not run in the background. A
-// caller that gave a key of its own may have run the request before through
-// another entry; a claim that failed says nothing about that. A new try needs
-// a new request id.
+// The problem's Ran is "no" only if no control VM can have accepted the claim. Otherwise the record
+// may be claimed by this entry: the entry must not dispatch the request, and the client closes the
+// record as not run in the background. If the caller supplied the key, another entry may have run
+// the request before; a failed claim does not show whether it did. A new try needs a new request
+// id.
 func (c *Client) Claim(ctx context.Context, m message.Claim) (message.ClaimAnswer, error) {
 	if m.Owner == "" {
 		m.Owner = c.config.Owner
@@ -167,13 +164,13 @@
 	if m.LeaseFor == 0 {
 		m.LeaseFor = c.config.LeaseFor
 	}
-	if c.wasGivenUp(m.RequestID) {
+	if c.isAbandoned(m.RequestID) {
 		return message.ClaimAnswer{}, &oriolebend.Problem{Reason: oriolebend.ReasonAttemptClosed, Ran: oriolebend.RanNo}
 	}
-	answer, failed := c.ask(ctx, m)
+	answer, failed := c.send(ctx, m)
 	if failed != nil {
 		if failed.Ran != oriolebend.RanNo {
-			c.giveUp(m)
+			c.abandonClaim(m)
 		}
 		return message.ClaimAnswer{}, failed
 	}
@@ -190,42 +187,42 @@
 		}
 	}
 	if claimed.Outcome == message.ClaimOwned {
-		c.hold(m.RequestID)
+		c.markOwned(m.RequestID)
 	}
 	return claimed, nil
 }
 
-// Settle moves a record on. After an error the move may still come to hold;
-// before a dispatch the entry must then not dispatch. A final state is sent
-// again in the background until a quorum took or refused it.
+// Settle moves a record to its next state. After an error the change may still be accepted; if it
+// was a change to running, the entry must not dispatch the request. A final state is sent again in
+// the background until a quorum has accepted or refused it.
 func (c *Client) Settle(ctx context.Context, m message.Settle) (message.Settled, error) {
 	if m.Owner == "" {
 		m.Owner = c.config.Owner
 	}
 	if m.State != message.RecordRunning {
-		c.release(m.RequestID)
+		c.unmarkOwned(m.RequestID)
 	}
-	answer, err := c.ask(ctx, m)
+	answer, err := c.send(ctx, m)
 	if err != nil {
 		if m.State != message.RecordRunning {
-			c.later(m)
+			c.enqueue(m)
 		}
 		return message.Settled{}, err
 	}
 	return answerAs[message.Settled](answer)
 }
 
-// Query looks a record up. Its answer is current: the leader confirms with a
+// Query returns the record of a request. The answer is current: the leader has confirmed with a
 // quorum that it leads.
 func (c *Client) Query(ctx context.Context, m message.Query) (message.ClaimAnswer, error) {
-	answer, err := c.ask(ctx, m)
+	answer, err := c.send(ctx, m)
 	if err != nil {
 		return message.ClaimAnswer{}, err
 	}
 	return answerAs[message.ClaimAnswer](answer)
 }
 
-// answerAs returns an answer as the kind that its request is answered by.
+// answerAs returns an answer as type T, and a problem if it is of another type.
 func answerAs[T message.Message](m message.Message) (T, error) {
 	answer, ok := m.(T)
 	if !ok {
@@ -238,9 +235,9 @@
 	return answer, nil
 }
 
-// ask sends a request until it is answered or ctx ends. It goes on to another
-// control VM when one refuses, ends or stays silent.
-func (c *Client) ask(ctx context.Context, m message.Message) (message.Message, *oriolebend.Problem) {
+// send sends a request until it is answered or ctx ends. It tries another control VM when one
+// refuses, ends the stream or does not answer in time.
+func (c *Client) send(ctx context.Context, m message.Message) (message.Message, *oriolebend.Problem) {
 	if _, bounded := ctx.Deadline(); !bounded {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, c.config.CallTimeout)
@@ -259,28 +256,28 @@
 		}
 		p.Detail = string(failed.Reason)
 		p.Cause = failed.Cause
-		gap := c.wait(try, failed)
-		if !c.fits(ctx, gap) || !pause.For(ctx, gap) {
+		delay := c.backoff(try, failed)
+		if !c.hasTimeForTry(ctx, delay) || !pause.For(ctx, delay) {
 			return nil, p
 		}
 		c.config.Retried(failed.Reason)
 	}
 }
 
-// fits reports whether another try has time after the pause. A try that is cut
-// short right after it was sent would only turn a sure "no" into "unknown", and
-// keep the caller waiting until its deadline for an answer that is known now.
-func (c *Client) fits(ctx context.Context, pause time.Duration) bool {
+// hasTimeForTry reports whether enough time is left for another try after the delay. A try that is
+// cut short right after it was sent would only turn a certain Ran "no" into "unknown", and would
+// make the caller wait until its deadline for an answer that is known now.
+func (c *Client) hasTimeForTry(ctx context.Context, delay time.Duration) bool {
 	deadline, bounded := ctx.Deadline()
 	if ctx.Err() != nil {
 		return false
 	}
-	return !bounded || time.Until(deadline) > pause+c.config.TryTimeout/shortestTry
+	return !bounded || time.Until(deadline) > delay+c.config.TryTimeout/minTryDivisor
 }
 
-// wait is the time before the next try, with full jitter: entries that lost
-// the same leader at the same instant must not all come back at the same one.
-func (c *Client) wait(try int, failed *oriolebend.Problem) time.Duration {
+// backoff returns the delay before the next try, with full jitter: entries that lost the same
+// leader at the same instant must not all reconnect at the same one.
+func (c *Client) backoff(try int, failed *oriolebend.Problem) time.Duration {
 	if try == 0 && failed.Reason == oriolebend.ReasonNotLeader {
 		return 0
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -18,8 +18,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// bench is three control VMs and two entries in one process.
-type bench struct {
+// cluster is three control VMs and two entries in one process.
+type cluster struct {
 	group   *fakeGroup
 	net     *fakeNet
 	servers []*Server
@@ -28,11 +28,11 @@
 	stops   map[string]context.CancelFunc
 }
 
-func withBench(t *testing.T, test func(is *is.I, b *bench)) {
+func withCluster(t *testing.T, test func(is *is.I, b *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		b := newBench(ctx)
+		b := newCluster(ctx)
 		test(is.New(t), b)
 		cancel()
 		synctest.Wait()
@@ -40,10 +40,10 @@
 	})
 }
 
-func newBench(ctx context.Context) *bench {
-	b := &bench{
+func newCluster(ctx context.Context) *cluster {
+	b := &cluster{
 		group:   &fakeGroup{leader: "c2", machines: map[string]*Records{}},
-		net:     &fakeNet{handlers: map[string]peer.Handler{}, silent: map[string]bool{}, ctx: ctx},
+		net:     &fakeNet{handlers: map[string]peer.Handler{}, unresponsive: map[string]bool{}, ctx: ctx},
 		clients: map[string]*Client{},
 		stops:   map[string]context.CancelFunc{},
 	}
@@ -89,7 +89,7 @@
 }
 
 func TestOneEntryRunsTheOtherAttaches(t *testing.T) {
-	withBench(t, func(is *is.I, b *bench) {
+	withCluster(t, func(is *is.I, b *cluster) {
 		ctx := context.Background()
 		c := tip("k1", "r1")
 		first, err := b.clients["e1"].Claim(ctx, c)
@@ -108,16 +108,15 @@
 		is.NoErr(err)
 		is.Equal(found.State, message.RecordAnswered)
 		is.Equal(string(found.Answer.Body), "paid")
-		b.checkCounted(is)
+		b.checkMetrics(is)
 	})
 }
 
-// checkCounted compares the metrics after one request that was run once and
-// asked for twice.
-func (b *bench) checkCounted(is *is.I) {
+// checkMetrics checks the metrics after one request that was run once and claimed twice.
+func (b *cluster) checkMetrics(is *is.I) {
 	registry := prometheus.NewRegistry()
 	is.NoErr(b.metrics.Register(registry))
-	is.True(b.metrics.Register(registry) != nil) // a second time
+	is.True(b.metrics.Register(registry) != nil) // already registered
 	families, err := registry.Gather()
 	is.NoErr(err)
 	values := map[string]float64{}
@@ -136,11 +135,11 @@
 	is.Equal(values["held"], 1.0)
 }
 
-// Symptom: a tip was paid twice after a control VM lost the leadership.
-// Sequence: the claim is durable, its answer is lost, the entry asks the next
-// leader. Cause: a resent claim that counts as a second one.
+// Guards against a tip that is paid twice after a control VM lost the leadership: the claim is
+// durable, its answer is lost, the entry sends the claim to the next leader, and the claim sent
+// again counts as a second one.
 func TestClaimWhoseAnswerIsLost(t *testing.T) {
-	withBench(t, func(is *is.I, b *bench) {
+	withCluster(t, func(is *is.I, b *cluster) {
 		b.group.set(func(g *fakeGroup) { g.loseAnswers = 1 })
 		first, err := b.clients["e1"].Claim(context.Background(), tip("k1", "r1"))
 		is.NoErr(err)
@@ -149,13 +148,12 @@
 	})
 }
 
-// Symptom: after a leader change entries time out although a quorum lives.
-// Sequence: the leader changes between two claims. Cause: a client that stays
-// with the control VM it knew.
+// Guards against entries that time out after a leader change although a quorum is alive: the leader
+// changes between two claims, and the client keeps using the former leader.
 func TestLeaderChange(t *testing.T) {
-	withBench(t, func(is *is.I, b *bench) {
+	withCluster(t, func(is *is.I, b *cluster) {
 		for i, leader := range []string{"c1", "c3", "c2", "c1"} {
-			b.group.lead(leader)
+			b.group.setLeader(leader)
 			a, err := b.clients["e1"].Claim(context.Background(), tip(fmt.Sprint("k", i), fmt.Sprint("r", i)))
 			is.NoErr(err)
 			is.Equal(a.Outcome, message.ClaimOwned)
@@ -163,14 +161,13 @@
 	})
 }
 
-// Symptom: an entry hangs on a leader that a partition cut off. Sequence: the
-// leader takes bytes and answers nothing; another one is elected. Cause: no
-// bound on the silence of one control VM.
+// Guards against an entry that hangs on a partitioned leader: the leader accepts bytes and answers
+// nothing while another one is elected, and the client has no timeout for a single control VM.
 func TestSilentLeader(t *testing.T) {
-	withBench(t, func(is *is.I, b *bench) {
-		b.net.silence("c2", true)
+	withCluster(t, func(is *is.I, b *cluster) {
+		b.net.setUnresponsive("c2", true)
 		client := NewClient(ClientConfig{Dialer: b.net, Members: []string{"c2", "c3"}, Owner: "e3"})
-		b.group.lead("c3")
+		b.group.setLeader("c3")
 		a, err := client.Claim(context.Background(), tip("k1", "r1"))
 		is.NoErr(err)
 		is.Equal(a.Outcome, message.ClaimOwned)
@@ -178,20 +175,20 @@
 	})
 }
 
-// Symptom: a caller is told "not run" though its claim was on the way. Sequence
-// and cause are in the rows: "no" is true only if no control VM took the claim.
+// Guards against Ran "no" for a claim that may still be accepted. "no" is right only if no control
+// VM accepted the claim; the rows are the ways in which a claim fails.
 func TestRanOfAFailedClaim(t *testing.T) {
 	for name, row := range map[string]struct {
-		fault func(b *bench)
+		fault func(b *cluster)
 		ran   oriolebend.Ran
 	}{
-		"no leader":      {func(b *bench) { b.group.lead("") }, oriolebend.RanNo},
-		"no control VM":  {func(b *bench) { b.net.set(func(n *fakeNet) { n.handlers = nil }) }, oriolebend.RanNo},
-		"quorum lost":    {func(b *bench) { b.group.set(func(g *fakeGroup) { g.stuck = true }) }, oriolebend.RanUnknown},
-		"silent members": {func(b *bench) { b.net.set(silenceAll) }, oriolebend.RanUnknown},
+		"no leader":            {func(b *cluster) { b.group.setLeader("") }, oriolebend.RanNo},
+		"no control VM":        {func(b *cluster) { b.net.set(func(n *fakeNet) { n.handlers = nil }) }, oriolebend.RanNo},
+		"quorum lost":          {func(b *cluster) { b.group.set(func(g *fakeGroup) { g.stuck = true }) }, oriolebend.RanUnknown},
+		"unresponsive members": {func(b *cluster) { b.net.set(makeAllUnresponsive) }, oriolebend.RanUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withBench(t, func(is *is.I, b *bench) {
+			withCluster(t, func(is *is.I, b *cluster) {
 				client := NewClient(ClientConfig{Dialer: b.net, Members: []string{"c1", "c2", "c3"}, Owner: "e3"})
 				row.fault(b)
 				_, err := client.Claim(context.Background(), tip("k1", "r1"))
@@ -212,24 +209,24 @@
 	change(n)
 }
 
-func silenceAll(n *fakeNet) {
+func makeAllUnresponsive(n *fakeNet) {
 	for name := range n.handlers {
-		n.silent[name] = true
+		n.unresponsive[name] = true
 	}
 }
 
-// Symptom: a retry attaches for ever to work that nobody does. Sequence: a
-// claim is applied but its entry gives up before the answer; the entry lives
-// on and renews its lease. Cause: nobody closes the record.
+// Guards against a retry that attaches forever to a request that nobody processes: a claim is
+// applied, but its entry gives up before the answer; the entry lives on and renews its lease, so
+// that nothing closes the record.
 func TestGivenUpClaimIsClosed(t *testing.T) {
-	withBench(t, func(is *is.I, b *bench) {
+	withCluster(t, func(is *is.I, b *cluster) {
 		b.group.set(func(g *fakeGroup) { g.syncFor = 300 * time.Millisecond })
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		_, err := b.clients["e1"].Claim(ctx, tip("k1", "r1"))
 		is.True(err != nil)
 		_, err = b.clients["e1"].Claim(context.Background(), tip("k1", "r1"))
-		is.True(err != nil) // the id is spent until the backlog has closed it
+		is.True(err != nil) // the id can't be used again until the backlog has closed the claim
 		time.Sleep(5 * time.Second)
 		found, err := b.clients["e2"].Query(context.Background(), message.Query{RequestID: "r1", Organisation: "asociacion"})
 		is.NoErr(err)
@@ -241,11 +238,11 @@
 	})
 }
 
-// Symptom: an answered tip stays "running", attachers wait. Sequence: the
-// quorum is lost while the outcome is settled, and comes back. Cause: the
-// outcome is sent only while its caller waits.
+// Guards against an answered tip that stays "running" while attached callers wait: the quorum is
+// lost while the outcome is settled, and comes back later, but the outcome is sent only while its
+// caller waits.
 func TestOutcomeIsSentUntilItIsDurable(t *testing.T) {
-	withBench(t, func(is *is.I, b *bench) {
+	withCluster(t, func(is *is.I, b *cluster) {
 		ctx := context.Background()
 		c := tip("k1", "r1")
 		first, err := b.clients["e1"].Claim(ctx, c)
@@ -264,11 +261,10 @@
 	})
 }
 
-// Symptom: retries wait for the lease of an entry that stopped gracefully.
-// Sequence: an entry with an undispatched claim stops. Cause: its lease is
-// left to run out.
-func TestStoppedEntryGivesItsLeaseBack(t *testing.T) {
-	withBench(t, func(is *is.I, b *bench) {
+// Guards against retries that wait for the lease of an entry that stopped gracefully: an entry with
+// an undispatched claim stops and leaves its lease to expire.
+func TestStoppedEntryReleasesItsLease(t *testing.T) {
+	withCluster(t, func(is *is.I, b *cluster) {
 		_, err := b.clients["e1"].Claim(context.Background(), tip("k1", "r1"))
 		is.NoErr(err)
 		b.stops["e1"]()
@@ -280,7 +276,7 @@
 }
 
 func TestGroupsShareLogEntries(t *testing.T) {
-	withBench(t, func(is *is.I, b *bench) {
+	withCluster(t, func(is *is.I, b *cluster) {
 		b.group.set(func(g *fakeGroup) { g.syncFor = 5 * time.Millisecond; g.proposed = 0 })
 		var wait sync.WaitGroup
 		for i := range 400 {
@@ -292,15 +288,15 @@
 			})
 		}
 		wait.Wait()
-		is.True(b.group.proposed < 40) // 400 claims in few log entries
+		is.True(b.group.proposed < 40) // 400 claims share few log entries
 	})
 }
 
-// Symptom: a brief that runs is recorded as given up, and its retry runs it a
-// second time. Sequence: the entry renews its claim while the quorum is lost.
-// Cause: a renewal that is taken for a claim which nobody waits for.
+// Guards against a running brief that is recorded as not run, so that its retry runs it a second
+// time: the entry renews its claim while the quorum is lost, and the failed renewal is treated as
+// an abandoned claim.
 func TestFailedRenewalClosesNothing(t *testing.T) {
-	withBench(t, func(is *is.I, b *bench) {
+	withCluster(t, func(is *is.I, b *cluster) {
 		ctx := context.Background()
 		c := tip("k1", "r1")
 		c.Once = false
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -11,8 +11,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// fakeGroup is an agreed log in memory: it keeps one order of commands and
-// applies them on every control VM.
+// fakeGroup is a replicated log in memory: it keeps one order of commands and applies them on every
+// control VM.
 type fakeGroup struct {
 	mu       sync.Mutex
 	leader   string
@@ -20,22 +20,21 @@
 	machines map[string]*Records
 	// syncFor is the time until a command is durable on a quorum.
 	syncFor time.Duration
-	// stuck commands wait for their context: the quorum is lost.
+	// stuck simulates a lost quorum: commands block until their context ends.
 	stuck bool
-	// loseAnswers counts commands that are applied but whose proposer is told
-	// that the outcome is not known.
+	// loseAnswers is the number of commands that are applied but answered with an unknown outcome.
 	loseAnswers int
 	proposed    int
 }
 
-// fakeLog is one control VM's side of a fakeGroup.
+// fakeLog is the log of one control VM in a fakeGroup.
 type fakeLog struct {
 	group *fakeGroup
 	self  string
 }
 
 func (l *fakeLog) Propose(ctx context.Context, command []byte) ([]byte, error) {
-	if l.group.waits() {
+	if l.group.isStuck() {
 		<-ctx.Done()
 		return nil, &oriolebend.Problem{Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanUnknown}
 	}
@@ -45,7 +44,7 @@
 	return l.group.apply(l.self, command)
 }
 
-func (g *fakeGroup) waits() bool {
+func (g *fakeGroup) isStuck() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.stuck
@@ -74,7 +73,7 @@
 }
 
 func (l *fakeLog) Confirm(ctx context.Context) error {
-	if l.group.waits() {
+	if l.group.isStuck() {
 		<-ctx.Done()
 		return &oriolebend.Problem{Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanNo}
 	}
@@ -90,8 +89,8 @@
 	return l.group.leader, l.group.leader
 }
 
-// lead makes a control VM the leader; "" means that none is known.
-func (g *fakeGroup) lead(name string) {
+// setLeader sets the leader; "" means that none is known.
+func (g *fakeGroup) setLeader(name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.leader = name
@@ -103,14 +102,14 @@
 	change(g)
 }
 
-// fakeNet opens streams to handlers in this process. Addresses in silent take
-// everything and answer nothing.
+// fakeNet opens streams to handlers in this process. Unresponsive addresses accept every message
+// and answer none.
 type fakeNet struct {
-	mu       sync.Mutex
-	handlers map[string]peer.Handler
-	silent   map[string]bool
-	opened   []string
-	ctx      context.Context
+	mu           sync.Mutex
+	handlers     map[string]peer.Handler
+	unresponsive map[string]bool
+	opened       []string
+	ctx          context.Context
 }
 
 func (n *fakeNet) Open(_ context.Context, address string) (peer.Stream, error) {
@@ -122,16 +121,16 @@
 		return nil, io.ErrUnexpectedEOF
 	}
 	near, far := newPipe()
-	if !n.silent[address] {
+	if !n.unresponsive[address] {
 		go handler(n.ctx, far)
 	}
 	return near, nil
 }
 
-func (n *fakeNet) silence(address string, silent bool) {
+func (n *fakeNet) setUnresponsive(address string, unresponsive bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.silent[address] = silent
+	n.unresponsive[address] = unresponsive
 }
 
 // pipeEnd is one end of a stream in memory.
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -8,14 +8,14 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/record"
 )
 
-// request is one message of an entry that waits for its answer.
+// request is a message of an entry that has not been answered yet.
 type request struct {
 	session *serverSession
 	message message.Message
 }
 
-// gather waits for one request and takes what waits behind it, up to limit.
-// It returns nothing once ctx has ended.
+// gather waits for one request and returns it with those queued behind it, at most limit. It
+// returns nil once ctx has ended.
 func gather(ctx context.Context, queue <-chan request, limit int) []request {
 	var group []request
 	select {
@@ -35,9 +35,9 @@
 	return group
 }
 
-// commitGroups proposes what waits as one log entry, a few entries at a time.
-// While they are synced the next group collects by itself, so that a slower
-// disk makes larger groups instead of a longer queue.
+// commitGroups proposes all queued requests as one log entry, with up to InFlight entries proposed
+// at a time. While these are synced, the next group collects in the queue, so that a slower disk
+// makes larger groups instead of a longer queue.
 func (s *Server) commitGroups(ctx context.Context) {
 	slots := make(chan struct{}, s.config.InFlight)
 	for {
@@ -72,36 +72,36 @@
 	g.answer(result)
 }
 
-// commitGroup is a command and who asked for each of its parts.
+// commitGroup is a command together with the session that each of its parts came from.
 type commitGroup struct {
-	command  record.Command
-	settlers []*serverSession
-	claimers []*serverSession
-	renewals []request
+	command        record.Command
+	settleSessions []*serverSession
+	claimSessions  []*serverSession
+	renewals       []request
 }
 
 func (g *commitGroup) add(r request) {
 	switch m := r.message.(type) {
 	case message.Claim:
 		g.command.Claim = append(g.command.Claim, m)
-		g.claimers = append(g.claimers, r.session)
+		g.claimSessions = append(g.claimSessions, r.session)
 	case message.Settle:
 		g.command.Settle = append(g.command.Settle, m)
-		g.settlers = append(g.settlers, r.session)
+		g.settleSessions = append(g.settleSessions, r.session)
 	case message.Renew:
 		g.command.Renew = append(g.command.Renew, m)
 		g.renewals = append(g.renewals, r)
 	}
 }
 
-// answer matches the result's lists to who asked; a result that is too short
-// leaves requests unanswered, and their entries ask again.
+// answer sends each part of the result to the session that requested it. If the result is too
+// short, requests stay unanswered, and their entries send them again.
 func (g *commitGroup) answer(result record.Result) {
-	for i, settled := range result.Settled[:min(len(result.Settled), len(g.settlers))] {
-		g.settlers[i].reply(settled)
+	for i, settled := range result.Settled[:min(len(result.Settled), len(g.settleSessions))] {
+		g.settleSessions[i].reply(settled)
 	}
-	for i, claimed := range result.Claimed[:min(len(result.Claimed), len(g.claimers))] {
-		g.claimers[i].reply(claimed)
+	for i, claimed := range result.Claimed[:min(len(result.Claimed), len(g.claimSessions))] {
+		g.claimSessions[i].reply(claimed)
 	}
 	for _, r := range g.renewals {
 		if m, ok := r.message.(message.Renew); ok {
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -7,16 +7,17 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/record"
 )
 
-// Metrics counts what the leader's commands did, and measures the records of
-// this control VM. Its Observe is that of a ServerConfig.
+// Metrics counts the effects of the commands that this control VM proposed as leader, and measures
+// its records. Its Observe is meant for a ServerConfig.
 type Metrics struct {
 	// Claims counts claims by "outcome".
 	Claims *prometheus.CounterVec
-	// Settles counts moves by the "state" asked for and "accepted".
+	// Settles counts settles by the requested "state" and by "accepted".
 	Settles *prometheus.CounterVec
-	// Resolved counts lost outcomes that were found out, by "state".
+	// Resolved counts lost outcomes that were resolved, by "state".
 	Resolved *prometheus.CounterVec
-	// Passed counts what the passage of time did, by "what".
+	// Passed counts expired leases, records and answers, evicted answers, and records whose owner's
+	// lease expired, by "what".
 	Passed *prometheus.CounterVec
 
 	gauges []prometheus.Collector
@@ -24,16 +25,16 @@
 
 // Label values of Passed.
 const (
-	passedOwners  = "ownerGone"
-	passedNotRun  = "notRun"
-	passedUnknown = "unknown"
-	passedFailed  = "failed"
-	passedAnswers = "answerExpired"
-	passedEvicted = "answerEvicted"
-	passedRecords = "recordExpired"
+	passedLeaseExpired = "ownerGone"
+	passedNotRun       = "notRun"
+	passedUnknown      = "unknown"
+	passedFailed       = "failed"
+	passedAnswers      = "answerExpired"
+	passedEvicted      = "answerEvicted"
+	passedRecords      = "recordExpired"
 )
 
-// NewMetrics makes metrics that are not registered yet.
+// NewMetrics returns metrics that are not registered yet.
 func NewMetrics(records *Records) *Metrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -58,13 +59,12 @@
 			gauge("answer_bytes", "Memory of the stored answers.", func(z record.Sizes) float64 { return float64(z.AnswerBytes) }),
 		},
 	}
-	m.zero()
+	m.initSeries()
 	return m
 }
 
-// zero makes each series exist from the start, so that a rate over its first
-// rise is right.
-func (m *Metrics) zero() {
+// initSeries creates every series at zero, so that a rate over its first increase is right.
+func (m *Metrics) initSeries() {
 	for _, outcome := range []message.ClaimOutcome{
 		message.ClaimOwned, message.ClaimAttach, message.ClaimReplay,
 		message.ClaimConflict, message.ClaimUnknown, message.ClaimRefused,
@@ -79,7 +79,7 @@
 		m.Settles.WithLabelValues(string(state), "false")
 	}
 	for _, what := range []string{
-		passedOwners, passedNotRun, passedUnknown, passedFailed, passedAnswers, passedEvicted, passedRecords,
+		passedLeaseExpired, passedNotRun, passedUnknown, passedFailed, passedAnswers, passedEvicted, passedRecords,
 	} {
 		m.Passed.WithLabelValues(what)
 	}
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// MetricsError tells that the metrics of the records could not be registered.
+// MetricsError means that the metrics of the records could not be registered.
 type MetricsError struct{ Cause error }
 
 // Error implements error.
@@ -104,11 +104,11 @@
 	return "control: register the metrics of records: " + e.Cause.Error()
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *MetricsError) Unwrap() error { return e.Cause }
 
-// Observe counts what one command asked for and did. It is called on the
-// control VM that proposed it.
+// Observe counts the requests of one command and its result. It is called on the control VM that
+// proposed the command.
 func (m *Metrics) Observe(c record.Command, r record.Result) {
 	for _, claimed := range r.Claimed {
 		m.Claims.WithLabelValues(string(claimed.Outcome)).Inc()
@@ -122,13 +122,13 @@
 		}
 	}
 	for what, count := range map[string]int{
-		passedOwners:  r.Expired.Owners,
-		passedNotRun:  r.Expired.NotRun,
-		passedUnknown: r.Expired.Unknown,
-		passedFailed:  r.Expired.Failed,
-		passedAnswers: r.Expired.Answers,
-		passedEvicted: r.Evicted,
-		passedRecords: r.Expired.Records,
+		passedLeaseExpired: r.Expired.Owners,
+		passedNotRun:       r.Expired.NotRun,
+		passedUnknown:      r.Expired.Unknown,
+		passedFailed:       r.Expired.Failed,
+		passedAnswers:      r.Expired.Answers,
+		passedEvicted:      r.Evicted,
+		passedRecords:      r.Expired.Records,
 	} {
 		m.Passed.WithLabelValues(what).Add(float64(count))
 	}
--- a/internal/control/records.go
+++ b/internal/control/records.go
@@ -7,9 +7,8 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/record"
 )
 
-// Records is the state machine of the request records for one control VM: the
-// log applies to it while the server reads. It implements the Machine of
-// package reducer/control.
+// Records is the state machine of the request records on one control VM. The log applies commands
+// to it while the server reads from it. It implements the Machine of package reducer/control.
 type Records struct {
 	mu    sync.RWMutex
 	state *record.State
@@ -20,8 +19,8 @@
 	return &Records{state: record.New()}
 }
 
-// Apply carries out one command. A command that can't be read changes nothing
-// and has an empty result, on every control VM alike.
+// Apply applies one command. A command that can't be decoded changes nothing and has an empty
+// result, on every control VM alike.
 func (r *Records) Apply(index uint64, command []byte) []byte {
 	c, err := record.DecodeCommand(command)
 	if err != nil {
@@ -41,41 +40,41 @@
 	return r.state.Apply(index, c)
 }
 
-// Snapshot encodes the whole state. Reads go on while it is encoded.
+// Snapshot encodes the complete state. Reads continue while it is encoded.
 func (r *Records) Snapshot() ([]byte, error) {
 	return r.Image().Encode()
 }
 
-// Image copies the state, to be encoded while the log applies on.
+// Image copies the state, so that it can be encoded while the log applies further commands.
 func (r *Records) Image() *record.Image {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.state.Image()
 }
 
-// Restore replaces the whole state.
+// Restore replaces the complete state.
 func (r *Records) Restore(snapshot []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Restore(snapshot)
 }
 
-// Query looks a request up in what was applied here.
+// Query returns the record of a request, as of the last command applied on this control VM.
 func (r *Records) Query(q message.Query) message.ClaimAnswer {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.state.Query(q)
 }
 
-// Unknown lists the oldest records whose outcome is lost; with askable only
-// those whose service can tell it.
-func (r *Records) Unknown(limit int, askable bool) []record.UnknownRequest {
+// Unknown lists the oldest records whose outcome is lost; withStatusCall limits it to those whose
+// service has a status call that can tell the outcome.
+func (r *Records) Unknown(limit int, withStatusCall bool) []record.UnknownRequest {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.state.Unknown(limit, askable)
+	return r.state.Unknown(limit, withStatusCall)
 }
 
-// Sizes counts what is held, for gauges.
+// Sizes returns the numbers and sizes of the stored records, for gauges.
 func (r *Records) Sizes() record.Sizes {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/control/replicated_test.go
+++ b/internal/control/replicated_test.go
@@ -17,17 +17,17 @@
 	"github.com/oriolebend/oriolebend/internal/replica"
 )
 
-// memberNames are the control VMs of a replicated group.
+// memberNames are the names of the control VMs of a replicated group.
 var memberNames = []string{"c1", "c2", "c3"}
 
-// replicated is a group of control VMs over the project's own log, with data
-// folders that are synced, and a network in memory.
-type replicated struct {
-	t       testing.TB
-	network *peertest.Network
-	folder  string
-	group   int
-	members map[string]*member
+// replicatedGroup is a group of control VMs that use the project's own log, with data folders that
+// are synced and a network in memory.
+type replicatedGroup struct {
+	t        testing.TB
+	network  *peertest.Network
+	folder   string
+	maxGroup int
+	members  map[string]*member
 }
 
 type member struct {
@@ -36,10 +36,10 @@
 	done sync.WaitGroup
 }
 
-func newReplicated(t testing.TB, group int) *replicated {
-	r := &replicated{
+func newReplicatedGroup(t testing.TB, group int) *replicatedGroup {
+	r := &replicatedGroup{
 		t: t, network: peertest.NewNetwork(1), folder: t.TempDir(),
-		group: group, members: map[string]*member{},
+		maxGroup: group, members: map[string]*member{},
 	}
 	for _, name := range memberNames {
 		r.start(name)
@@ -49,7 +49,7 @@
 
 func addressOf(name string) string { return name + ":1" }
 
-func (r *replicated) start(name string) {
+func (r *replicatedGroup) start(name string) {
 	records := NewRecords()
 	config := replica.Config{
 		Name: name, DataFolder: filepath.Join(r.folder, name), Machine: records, Dialer: r.network.Dialer(name),
@@ -61,7 +61,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	server := NewServer(ServerConfig{Self: name, Log: log, Records: records, MaxGroup: r.group})
+	server := NewServer(ServerConfig{Self: name, Log: log, Records: records, MaxGroup: r.maxGroup})
 	ctx, stop := context.WithCancel(context.Background())
 	m := &member{log: log, stop: stop}
 	m.done.Go(func() { server.Run(ctx) })
@@ -76,7 +76,7 @@
 	r.members[name] = m
 }
 
-// serveFirst gives a stream to the log or the records, by its first message.
+// serveFirst passes a stream to the log or to the records server, depending on its first message.
 func serveFirst(ctx context.Context, s peer.Stream, server *Server, log *replica.Replica) {
 	first, err := s.Receive()
 	if err != nil {
@@ -84,19 +84,19 @@
 	}
 	switch first.(type) {
 	case message.Claim, message.Settle, message.Renew, message.Query:
-		server.Serve(ctx, &begun{Stream: s, first: first})
+		server.Serve(ctx, &resumedStream{Stream: s, first: first})
 	default:
 		log.Serve(ctx, s, first)
 	}
 }
 
-// begun is a stream whose first message was read already.
-type begun struct {
+// resumedStream is a stream whose first message has already been read.
+type resumedStream struct {
 	peer.Stream
 	first message.Message
 }
 
-func (b *begun) Receive() (message.Message, error) {
+func (b *resumedStream) Receive() (message.Message, error) {
 	if first := b.first; first != nil {
 		b.first = nil
 		return first, nil
@@ -104,14 +104,14 @@
 	return b.Stream.Receive()
 }
 
-func (r *replicated) halt(name string) {
+func (r *replicatedGroup) halt(name string) {
 	m := r.members[name]
 	delete(r.members, name)
 	m.stop()
 	m.done.Wait()
 }
 
-func (r *replicated) haltAll() {
+func (r *replicatedGroup) haltAll() {
 	for _, name := range memberNames {
 		if r.members[name] != nil {
 			r.halt(name)
@@ -119,7 +119,7 @@
 	}
 }
 
-func (r *replicated) leader() string {
+func (r *replicatedGroup) leader() string {
 	for range 2000 {
 		for name, m := range r.members {
 			if leader, _ := m.log.Leader(); leader == name {
@@ -132,7 +132,7 @@
 	return ""
 }
 
-func (r *replicated) client(owner string) *Client {
+func (r *replicatedGroup) client(owner string) *Client {
 	config := ClientConfig{Dialer: r.network.Dialer(owner), Owner: owner, OwnerAddress: owner + ":1"}
 	for _, name := range memberNames {
 		config.Members = append(config.Members, addressOf(name))
@@ -140,15 +140,15 @@
 	return NewClient(config)
 }
 
-// Symptom: after a leader change or a restart of the control VMs a tip that was
-// paid is claimable again. Sequence: requests go through one entry while the
-// leader stops, the next one is cut off and all three restart one after the
-// other; then another entry asks. Cause: a record that was told as durable and
-// was not, or a command that is applied twice.
+// Guards against a paid tip that can be claimed again after a leader change or a restart of the
+// control VMs: requests go through one entry while the leader stops, the next leader is partitioned
+// and all three members restart one after the other; then another entry claims the same keys. It
+// would be caused by a record that was reported as durable and was not, or by a command that is
+// applied twice.
 func TestRecordsOutliveLeaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newReplicated(t, 0)
+		r := newReplicatedGroup(t, 0)
 		ctx, cancel := context.WithCancel(t.Context())
 		client, other := r.client("e1"), r.client("e2")
 		var running sync.WaitGroup
@@ -156,11 +156,11 @@
 		running.Go(func() { other.Run(ctx) })
 		const requests = 60
 		var wait sync.WaitGroup
-		wait.Go(func() { r.disturb() })
+		wait.Go(func() { r.changeLeaders() })
 		for i := range requests {
 			wait.Go(func() {
 				time.Sleep(time.Duration(i) * 100 * time.Millisecond)
-				pay(ctx, t, client, fmt.Sprint("k", i), fmt.Sprint("r", i))
+				claimAndSettle(ctx, t, client, fmt.Sprint("k", i), fmt.Sprint("r", i))
 			})
 		}
 		wait.Wait()
@@ -178,8 +178,9 @@
 	})
 }
 
-// disturb changes leaders in three ways, 1.5 s apart.
-func (r *replicated) disturb() {
+// changeLeaders changes the leader by a stop, by a partition and by restarts of all members, 1 s to
+// 3 s apart.
+func (r *replicatedGroup) changeLeaders() {
 	first := r.leader()
 	time.Sleep(1500 * time.Millisecond)
 	r.halt(first)
@@ -201,8 +202,8 @@
 	}
 }
 
-// pay carries one tip through, each step for as long as it takes.
-func pay(ctx context.Context, t *testing.T, c *Client, key, id string) {
+// claimAndSettle claims one tip and settles it as running and then as answered, within one minute.
+func claimAndSettle(ctx context.Context, t *testing.T, c *Client, key, id string) {
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	claim := tip(key, id)
@@ -219,9 +220,9 @@
 	}
 }
 
-// BenchmarkClaimsOnGroup measures claims a second on three control VMs with the
-// project's own log: each group is synced on a quorum of three data folders of
-// this disk. Links take the delay one way, also those of the entries.
+// BenchmarkClaimsOnGroup measures claims per second on three control VMs with the project's own
+// log: each group is synced on a quorum of three data folders on this disk. The delay is that of a
+// link in one direction, those of the entries included.
 func BenchmarkClaimsOnGroup(b *testing.B) {
 	for _, delay := range []time.Duration{0, 1500 * time.Microsecond} {
 		for _, group := range []int{1, 16, 128, 512} {
@@ -236,7 +237,7 @@
 }
 
 func benchGroup(b *testing.B, delay time.Duration, group, callers int) {
-	r := newReplicated(b, group)
+	r := newReplicatedGroup(b, group)
 	defer r.haltAll()
 	r.leader()
 	r.network.Degrade(0, delay)
--- a/internal/control/resolver.go
+++ b/internal/control/resolver.go
@@ -11,44 +11,44 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Defaults of ResolverConfig.
+// Default values of the fields of ResolverConfig, and the capacity of the resolver's queue of
+// answers.
 const (
-	defaultListLimit  = 1024
-	defaultListEvery  = time.Second
-	resolverEventsCap = 64
+	defaultListLimit = 1024
+	defaultListEvery = time.Second
+	answerQueue      = 64
 )
 
-// Gates asks gates on behalf of a control VM.
+// Gates sends status queries to gates on behalf of a control VM.
 type Gates interface {
-	// QueryStatus asks the gate of the server or, if that server is gone, any
-	// gate of the service. It returns a message.CallAnswer or message.Refusal;
-	// a Refusal with Ran "no" comes only from the server's own gate.
+	// QueryStatus queries the gate of the server or, if that server has left, any gate of the
+	// service. It returns a message.CallAnswer or a message.Refusal; only the server's own gate may
+	// refuse with Ran "no".
 	QueryStatus(ctx context.Context, server, service string, q message.StatusQuery) (message.Message, error)
 }
 
-// ResolverConfig sets up a Resolver.
+// ResolverConfig configures a Resolver.
 type ResolverConfig struct {
-	// Server proposes outcomes; the resolver asks only while it leads.
+	// Server proposes the outcomes; the resolver sends queries only while this control VM leads.
 	Server *Server
-	// Gates reaches the gates.
+	// Gates sends the queries.
 	Gates Gates
-	// Recovery sets the pace.
+	// Recovery sets the rate of the queries.
 	Recovery recovery.Config
-	// ListLimit bounds the records that are asked about at a time; zero means
-	// 1,024.
+	// ListLimit bounds the records that are queried at a time; zero means 1,024.
 	ListLimit int
-	// ListEvery is how often the unknown records are listed; zero means 1s.
+	// ListEvery is the interval at which the unknown records are listed; zero means 1s.
 	ListEvery time.Duration
-	// Unresolved is told what came of each question that settled nothing, for a
-	// counter; it may be nil.
+	// Unresolved is called with the reason for each query and each proposal that resolved no
+	// record, for a counter; it may be nil.
 	Unresolved func(oriolebend.Reason)
 }
 
-// Resolver carries the recovery reducer out on one control VM.
+// Resolver runs the recovery reducer on one control VM.
 type Resolver struct {
-	config ResolverConfig
-	state  *reducer.State
-	told   chan recovery.StatusAnswered
+	config  ResolverConfig
+	state   *reducer.State
+	answers chan recovery.StatusAnswered
 }
 
 // NewResolver returns a resolver.
@@ -59,13 +59,13 @@
 		c.Unresolved = func(oriolebend.Reason) {}
 	}
 	return &Resolver{
-		config: c,
-		state:  &reducer.State{Recovery: recovery.New(c.Recovery)},
-		told:   make(chan recovery.StatusAnswered, resolverEventsCap),
+		config:  c,
+		state:   &reducer.State{Recovery: recovery.New(c.Recovery)},
+		answers: make(chan recovery.StatusAnswered, answerQueue),
 	}
 }
 
-// Run asks for lost outcomes while this control VM leads, until ctx ends.
+// Run queries lost outcomes while this control VM leads, until ctx ends.
 func (r *Resolver) Run(ctx context.Context) {
 	ticker := time.NewTicker(r.config.ListEvery)
 	defer ticker.Stop()
@@ -74,14 +74,14 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			r.carryOut(ctx, reducer.Reduce(r.state, r.list()))
-		case e := <-r.told:
-			r.carryOut(ctx, reducer.Reduce(r.state, e))
+			r.execute(ctx, reducer.Reduce(r.state, r.listUnknown()))
+		case e := <-r.answers:
+			r.execute(ctx, reducer.Reduce(r.state, e))
 		}
 	}
 }
 
-func (r *Resolver) list() recovery.Event {
+func (r *Resolver) listUnknown() recovery.Event {
 	if !r.config.Server.leads() {
 		return recovery.Stopped{}
 	}
@@ -89,11 +89,11 @@
 	return recovery.Listed{At: time.Now(), Unknown: unknown}
 }
 
-func (r *Resolver) carryOut(ctx context.Context, effects []reducer.Effect) {
+func (r *Resolver) execute(ctx context.Context, effects []reducer.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case recovery.QueryStatus:
-			go r.ask(ctx, e)
+			go r.queryStatus(ctx, e)
 		case recovery.Resolve:
 			go r.resolve(ctx, e.Resolve)
 		case recovery.Count:
@@ -102,25 +102,25 @@
 	}
 }
 
-func (r *Resolver) ask(ctx context.Context, e recovery.QueryStatus) {
+func (r *Resolver) queryStatus(ctx context.Context, e recovery.QueryStatus) {
 	answer, err := r.config.Gates.QueryStatus(ctx, e.Server, e.Service, e.Query)
 	if err != nil {
 		answer = nil
 	}
-	told := recovery.StatusAnswered{
+	event := recovery.StatusAnswered{
 		At:        time.Now(),
 		RequestID: e.Query.Attempt.RequestID,
 		Attempt:   e.Query.Attempt.Number,
 		Answer:    answer,
 	}
 	select {
-	case r.told <- told:
+	case r.answers <- event:
 	case <-ctx.Done():
 	}
 }
 
-// resolve proposes an outcome. One that gets lost is asked for again, since
-// the record then stays in the list.
+// resolve proposes an outcome. If the proposal is lost, the record stays in the list and is queried
+// again.
 func (r *Resolver) resolve(ctx context.Context, m record.Resolve) {
 	c := record.Command{At: time.Now(), Resolve: []record.Resolve{m}}
 	if _, err := r.config.Server.Propose(ctx, c); err != nil {
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -8,24 +8,23 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// serverSession is one stream of an entry.
+// serverSession is one stream from an entry.
 type serverSession struct {
 	stream peer.Stream
-	// room holds one token for each request that is not answered yet; it
-	// bounds what one entry can have waiting.
-	room chan struct{}
-	// out is as large as room, so that a reply never blocks a group.
+	// slots holds one token for each unanswered request; it bounds the requests that one entry can
+	// have waiting.
+	slots chan struct{}
+	// out has the capacity of slots, so that a reply never blocks a group.
 	out chan message.Message
 }
 
-// Serve answers the requests of one stream until it ends. It is a
-// peer.Handler.
+// Serve answers the requests of one stream until it ends. It is a peer.Handler.
 func (s *Server) Serve(ctx context.Context, stream peer.Stream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	session := &serverSession{
 		stream: stream,
-		room:   make(chan struct{}, s.config.PerStream),
+		slots:  make(chan struct{}, s.config.PerStream),
 		out:    make(chan message.Message, s.config.PerStream),
 	}
 	written := make(chan struct{})
@@ -38,8 +37,8 @@
 	<-written
 }
 
-// read queues what comes in until the stream ends; the writer ends it with
-// the context.
+// read queues the incoming requests until the stream ends; the writer closes the stream when the
+// context ends.
 func (s *Server) read(session *serverSession) {
 	for {
 		m, err := session.stream.Receive()
@@ -47,11 +46,11 @@
 			return
 		}
 		select {
-		case session.room <- struct{}{}:
+		case session.slots <- struct{}{}:
 		case <-session.stream.Done():
 			return
 		}
-		if reason := s.refuses(m); reason != "" {
+		if reason := s.refusalReason(m); reason != "" {
 			session.reply(s.refusal(m, reason, oriolebend.RanNo))
 			continue
 		}
@@ -63,8 +62,8 @@
 	}
 }
 
-// refuses returns why a message is not even queued, or nothing.
-func (s *Server) refuses(m message.Message) oriolebend.Reason {
+// refusalReason returns why a message must not be queued, or an empty reason.
+func (s *Server) refusalReason(m message.Message) oriolebend.Reason {
 	switch {
 	case s.queueOf(m) == nil:
 		return oriolebend.ReasonMalformed
@@ -86,7 +85,7 @@
 	}
 }
 
-// write sends replies until the session ends.
+// write sends replies until the stream or the context ends.
 func (s *serverSession) write(ctx context.Context) {
 	defer func() { _ = s.stream.Close() }()
 	for {
@@ -99,12 +98,12 @@
 			if err := s.stream.Send(m); err != nil {
 				return
 			}
-			<-s.room
+			<-s.slots
 		}
 	}
 }
 
-// reply sends the one answer of a request; it never blocks, see out.
+// reply queues the only answer to a request. It never blocks; see out.
 func (s *serverSession) reply(m message.Message) {
 	select {
 	case s.out <- m:
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -11,26 +11,26 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Defaults of ServerConfig.
+// Default values of the fields of ServerConfig, and the capacity of the server's queues.
 const (
-	defaultMaxGroup     = 512
-	defaultInFlight     = 4
-	defaultPerStream    = 1024
-	defaultProposeFor   = 5 * time.Second
-	defaultPassEvery    = time.Second
-	defaultExpireLimit  = 1024
-	serverQueueCapacity = 4096
+	defaultMaxGroup       = 512
+	defaultInFlight       = 4
+	defaultPerStream      = 1024
+	defaultProposeTimeout = 5 * time.Second
+	defaultExpireInterval = time.Second
+	defaultExpireLimit    = 1024
+	serverQueueCapacity   = 4096
 )
 
-// ServerConfig sets up a Server.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	// Self is the name of this control VM, as the log knows it.
+	// Self is the name of this control VM in the log.
 	Self string
-	// Log is the agreed log whose machine applies to Records.
+	// Log is the replicated log, which applies its commands to Records.
 	Log control.Log
-	// Records is the machine of this control VM.
+	// Records is the state machine of this control VM.
 	Records *Records
-	// Limits are proposed when this control VM begins to lead.
+	// Limits are proposed when this control VM starts to lead.
 	Limits record.Limits
 	// MaxGroup bounds the requests of one log entry; zero means 512.
 	MaxGroup int
@@ -40,12 +40,12 @@
 	PerStream int
 	// ProposeTimeout bounds the wait for a quorum; zero means 5s.
 	ProposeTimeout time.Duration
-	// ExpireInterval is how often the leader passes time; zero means 1s.
+	// ExpireInterval is the interval at which the leader expires leases and records; zero means 1s.
 	ExpireInterval time.Duration
-	// ExpireLimit bounds what one pass removes; zero means 1,024.
+	// ExpireLimit bounds the records that one such command removes; zero means 1,024.
 	ExpireLimit int
-	// Observe is told each command that this control VM proposed and what it
-	// did, for counters; it may be nil. See Metrics.
+	// Observe is called with each command that this control VM proposed and its result, for
+	// counters; it may be nil. See Metrics.
 	Observe func(record.Command, record.Result)
 }
 
@@ -53,8 +53,8 @@
 	c.MaxGroup = orDefault(c.MaxGroup, defaultMaxGroup)
 	c.InFlight = orDefault(c.InFlight, defaultInFlight)
 	c.PerStream = orDefault(c.PerStream, defaultPerStream)
-	c.ProposeTimeout = orDefault(c.ProposeTimeout, defaultProposeFor)
-	c.ExpireInterval = orDefault(c.ExpireInterval, defaultPassEvery)
+	c.ProposeTimeout = orDefault(c.ProposeTimeout, defaultProposeTimeout)
+	c.ExpireInterval = orDefault(c.ExpireInterval, defaultExpireInterval)
 	c.ExpireLimit = orDefault(c.ExpireLimit, defaultExpireLimit)
 	return c
 }
@@ -83,19 +83,19 @@
 	}
 }
 
-// Run commits groups, answers queries and, while this control VM leads, passes
-// time, until ctx ends.
+// Run commits groups, answers queries and, while this control VM leads, expires leases and records,
+// until ctx ends.
 func (s *Server) Run(ctx context.Context) {
 	done := make(chan struct{}, 2)
 	go func() { s.commitGroups(ctx); done <- struct{}{} }()
 	go func() { s.answerQueries(ctx); done <- struct{}{} }()
-	s.passTime(ctx)
+	s.runExpiry(ctx)
 	<-done
 	<-done
 }
 
-// Propose commits one command and returns its result. Its error is a
-// *oriolebend.Problem; with Ran "unknown" the command may still be accepted.
+// Propose commits one command and returns its result. Its error is a *oriolebend.Problem; with Ran
+// "unknown" the command may still be accepted.
 func (s *Server) Propose(ctx context.Context, c record.Command) (record.Result, error) {
 	data, err := c.Encode()
 	if err != nil {
@@ -117,18 +117,18 @@
 	return result, nil
 }
 
-// leads reports whether this control VM takes itself for the leader. It may be
-// wrong for a moment; the log itself then refuses.
+// leads reports whether this control VM considers itself the leader. That may be out of date for a
+// moment; the log itself then refuses.
 func (s *Server) leads() bool {
 	name, _ := s.config.Log.Leader()
 	return name == s.config.Self
 }
 
-// passTime has the leader end leases and remove what is old.
-func (s *Server) passTime(ctx context.Context) {
+// runExpiry has the leader expire leases and remove old records at every interval.
+func (s *Server) runExpiry(ctx context.Context) {
 	ticker := time.NewTicker(s.config.ExpireInterval)
 	defer ticker.Stop()
-	led := false
+	limitsProposed := false
 	for {
 		select {
 		case <-ctx.Done():
@@ -136,33 +136,34 @@
 		case <-ticker.C:
 		}
 		if !s.leads() {
-			led = false
+			limitsProposed = false
 			continue
 		}
-		led = s.passOnce(ctx, led)
+		limitsProposed = s.expire(ctx, limitsProposed)
 	}
 }
 
-// passOnce proposes the passage of time, and the limits with the first that
-// this leader gets accepted. It goes on at once while much is to be removed.
-func (s *Server) passOnce(ctx context.Context, led bool) bool {
+// expire proposes an Expire command, together with the limits if this leader has not had them
+// accepted yet, and reports whether it has now. It repeats the proposal without delay while more is
+// to be removed.
+func (s *Server) expire(ctx context.Context, limitsProposed bool) bool {
 	for {
 		c := record.Command{At: time.Now(), Expire: &record.Expire{Limit: s.config.ExpireLimit}}
-		if !led {
+		if !limitsProposed {
 			c.Limits = &s.config.Limits
 		}
 		result, err := s.Propose(ctx, c)
 		if err != nil {
-			return led
+			return limitsProposed
 		}
-		led = true
+		limitsProposed = true
 		if !result.Expired.More {
 			return true
 		}
 	}
 }
 
-// answerQueries confirms the leadership once for all queries that wait.
+// answerQueries confirms the leadership once for all queued queries.
 func (s *Server) answerQueries(ctx context.Context) {
 	for {
 		group := gather(ctx, s.queries, s.config.MaxGroup)
@@ -187,8 +188,8 @@
 	}
 }
 
-// refuseAll refuses requests that no quorum carried out, so that their entries
-// look for another leader.
+// refuseAll refuses requests that no quorum has accepted, so that their entries look for another
+// leader.
 func (s *Server) refuseAll(group []request, p *oriolebend.Problem) {
 	for _, r := range group {
 		r.session.reply(s.refusal(r.message, p.Reason, p.Ran))
@@ -207,8 +208,8 @@
 	return &oriolebend.Problem{Reason: oriolebend.ReasonInternal, Ran: ran, Cause: cause}
 }
 
-// asProblem keeps the log's own problem. Any other error says nothing about
-// whether the command was accepted.
+// asProblem returns the log's own problem. Any other error does not show whether the command was
+// accepted.
 func asProblem(err error) *oriolebend.Problem {
 	var p *oriolebend.Problem
 	if errors.As(err, &p) {
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -13,27 +13,27 @@
 // clientQueue bounds the requests that wait to be written to a stream.
 const clientQueue = 1024
 
-// clientSession is the stream to one control VM. It carries the requests of
-// many callers at a time.
+// clientSession is the stream to one control VM, shared by many concurrent callers.
 type clientSession struct {
-	stream peer.Stream
-	out    chan outgoing
-	over   chan struct{}
-	end    sync.Once
+	stream    peer.Stream
+	out       chan outgoing
+	closed    chan struct{}
+	closeOnce sync.Once
 
 	mu      sync.Mutex
 	pending map[uint64]*call
-	// stale is true once the peer said that it can't serve; no new request is
-	// sent, and the session ends with the last answer or refusal.
+	// stale is true once the peer has refused a request; no new request is sent then, and the
+	// session ends with the last answer or refusal.
 	stale bool
-	// leader is where the peer says that the leader is.
+	// leader is the address of the leader as the peer reported it in its last refusal, empty if it
+	// knows none.
 	leader string
 }
 
 // call is one request on one session.
 type call struct {
 	answer chan message.Message
-	// sent is true once any of the request may have reached the peer.
+	// sent is true once any part of the request may have reached the peer.
 	sent bool
 }
 
@@ -46,7 +46,7 @@
 	s := &clientSession{
 		stream:  stream,
 		out:     make(chan outgoing, clientQueue),
-		over:    make(chan struct{}),
+		closed:  make(chan struct{}),
 		pending: map[uint64]*call{},
 	}
 	go s.read()
@@ -65,8 +65,8 @@
 	}
 }
 
-// deliver hands an answer to its caller; one that nobody waits for any more,
-// because it came late, is dropped.
+// deliver passes an answer to its caller. It drops an answer that comes late, when no caller waits
+// for it any more.
 func (s *clientSession) deliver(m message.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +89,7 @@
 func (s *clientSession) write() {
 	for {
 		select {
-		case <-s.over:
+		case <-s.closed:
 			return
 		case m := <-s.out:
 			if !s.markSent(m.ticket) {
@@ -103,8 +103,8 @@
 	}
 }
 
-// markSent notes that a request is about to leave. A request whose caller gave
-// up before is not sent: the caller was told that it had not been.
+// markSent records that a request is about to be sent. It reports false for a request whose caller
+// has abandoned it, which must not be sent: the caller was told that it had not been.
 func (s *clientSession) markSent(ticket uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,15 +116,16 @@
 }
 
 func (s *clientSession) close() {
-	s.end.Do(func() {
-		close(s.over)
+	s.closeOnce.Do(func() {
+		close(s.closed)
 		_ = s.stream.Close()
 	})
 }
 
-// ask sends a request and waits for its answer, at most for the given time. A
-// silent peer ends the session: it may be cut off without knowing it.
-func (s *clientSession) ask(ctx context.Context, ticket uint64, m message.Message, within time.Duration) (message.Message, *oriolebend.Problem) {
+// roundTrip sends a request and waits for its answer, at most for the given time. A peer that does
+// not answer in time ends the session: it may be partitioned from the other control VMs without
+// having noticed.
+func (s *clientSession) roundTrip(ctx context.Context, ticket uint64, m message.Message, within time.Duration) (message.Message, *oriolebend.Problem) {
 	waiting := &call{answer: make(chan message.Message, 1)}
 	s.mu.Lock()
 	s.pending[ticket] = waiting
@@ -137,21 +138,21 @@
 		case out <- outgoing{ticket: ticket, message: m}:
 			out = nil
 		case answer := <-waiting.answer:
-			return answered(answer)
-		case <-s.over:
-			return s.giveUp(ticket, waiting, oriolebend.ReasonControlAway)
+			return answerOrRefusal(answer)
+		case <-s.closed:
+			return s.abandon(ticket, waiting, oriolebend.ReasonControlAway)
 		case <-timer.C:
 			s.close()
-			return s.giveUp(ticket, waiting, oriolebend.ReasonDeadline)
+			return s.abandon(ticket, waiting, oriolebend.ReasonDeadline)
 		case <-ctx.Done():
-			return s.giveUp(ticket, waiting, oriolebend.ReasonDeadline)
+			return s.abandon(ticket, waiting, oriolebend.ReasonDeadline)
 		}
 	}
 }
 
-// answered tells an answer from a refusal; the peer says whether a refused
-// request may still be carried out.
-func answered(m message.Message) (message.Message, *oriolebend.Problem) {
+// answerOrRefusal returns an answer as it is, and a refusal as a problem. The refusal says whether
+// the refused request may still take effect.
+func answerOrRefusal(m message.Message) (message.Message, *oriolebend.Problem) {
 	r, refused := m.(message.Refusal)
 	if !refused {
 		return m, nil
@@ -163,16 +164,16 @@
 	return nil, &oriolebend.Problem{Reason: r.Reason, Ran: ran}
 }
 
-// giveUp forgets a request and says whether it may have been carried out. An
-// answer that came at the same instant counts: a session that ends with its
-// last refusal would otherwise turn that refusal's "no" into "unknown".
-func (s *clientSession) giveUp(ticket uint64, waiting *call, reason oriolebend.Reason) (message.Message, *oriolebend.Problem) {
+// abandon drops a request and reports whether it may have taken effect. An answer that has arrived
+// meanwhile is returned instead: a session that ends with its last refusal would otherwise turn
+// that refusal's Ran "no" into "unknown".
+func (s *clientSession) abandon(ticket uint64, waiting *call, reason oriolebend.Reason) (message.Message, *oriolebend.Problem) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pending, ticket)
 	select {
 	case m := <-waiting.answer:
-		return answered(m)
+		return answerOrRefusal(m)
 	default:
 	}
 	ran := oriolebend.RanNo
@@ -182,12 +183,12 @@
 	return nil, &oriolebend.Problem{Reason: reason, Ran: ran}
 }
 
-// usable reports whether new requests may use the session.
+// usable reports whether new requests may be sent over the session.
 func (s *clientSession) usable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-s.over:
+	case <-s.closed:
 		return false
 	default:
 		return !s.stale
@@ -200,23 +201,23 @@
 	return s.leader
 }
 
-// dialing is an attempt to open a session that several calls wait for.
+// dialing is an attempt to open a session; several calls may wait for it.
 type dialing struct {
 	done    chan struct{}
 	session *clientSession
 	err     error
 }
 
-// try sends a request over the present session, or a new one.
+// try sends a request once, over the current session or a new one.
 func (c *Client) try(ctx context.Context, ticket uint64, m message.Message) (message.Message, *oriolebend.Problem) {
 	session, err := c.acquire(ctx)
 	if err != nil {
 		return nil, &oriolebend.Problem{Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanNo, Cause: err}
 	}
-	return session.ask(ctx, ticket, m, c.config.TryTimeout)
+	return session.roundTrip(ctx, ticket, m, c.config.TryTimeout)
 }
 
-// acquire returns the present session or waits for a new one.
+// acquire returns the current session, or waits for a new one.
 func (c *Client) acquire(ctx context.Context) (*clientSession, error) {
 	c.mu.Lock()
 	if c.session != nil && c.session.usable() {
@@ -238,17 +239,17 @@
 	}
 }
 
-// nextAddress is the leader that the last session named, or else the next
-// member in turn. A named leader is tried once: it may be dead, or the one
-// that named it may know less than others.
+// nextAddress returns the leader that the last session reported, or else the next member in turn. A
+// reported leader is tried once: it may have crashed, or the peer that reported it may be out of
+// date.
 func (c *Client) nextAddress() string {
 	last := c.session
 	c.session = nil
 	if last != nil && last.namedLeader() != "" {
 		return last.namedLeader()
 	}
-	address := c.config.Members[c.member%len(c.config.Members)]
-	c.member++
+	address := c.config.Members[c.nextMember%len(c.config.Members)]
+	c.nextMember++
 	return address
 }
 
