--- a/internal/replica/applier.go
+++ b/internal/replica/applier.go
@@ -10,27 +10,27 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/agreement"
 )
 
-// applier feeds the machine, in the order of the log, answers the proposers
-// and has snapshots made.
+// applier applies committed entries to the state machine in the order of the log, answers the
+// proposers and makes snapshots.
 type applier struct {
-	config  Config
-	store   *disk.Store
-	applied chan applied
-	work    chan struct{}
-	made    chan agreement.SnapshotMeta
+	config        Config
+	store         *disk.Store
+	applied       chan applyResult
+	work          chan struct{}
+	snapshotSaved chan agreement.SnapshotMeta
 
 	mu   sync.Mutex
 	jobs []job
 	err  error
 
-	// meta tells of the last entry applied, and the members then.
+	// meta describes the last applied entry and the members at that entry.
 	meta agreement.SnapshotMeta
-	// entries and bytes were applied since the last snapshot, whose state had
-	// lastBytes.
-	entries   uint64
-	bytes     int64
-	lastBytes int64
-	making    bool
+	// entries and bytes count what was applied since the last snapshot; lastBytes is the size of
+	// the state in that snapshot.
+	entries        uint64
+	bytes          int64
+	lastBytes      int64
+	savingSnapshot bool
 }
 
 // job is one entry to apply or a snapshot to restore.
@@ -40,20 +40,20 @@
 	restore *agreement.Snapshot
 }
 
-// applied tells how far the machine is, or of a new durable snapshot.
-type applied struct {
+// applyResult reports the last applied index or a new durable snapshot.
+type applyResult struct {
 	index    uint64
 	snapshot *agreement.SnapshotMeta
 }
 
 func newApplier(config Config, store *disk.Store, loaded disk.Loaded) *applier {
 	a := &applier{
-		config:  config,
-		store:   store,
-		applied: make(chan applied),
-		work:    make(chan struct{}, 1),
-		made:    make(chan agreement.SnapshotMeta, 1),
-		meta:    loaded.Snapshot,
+		config:        config,
+		store:         store,
+		applied:       make(chan applyResult),
+		work:          make(chan struct{}, 1),
+		snapshotSaved: make(chan agreement.SnapshotMeta, 1),
+		meta:          loaded.Snapshot,
 	}
 	a.lastBytes = int64(len(loaded.State))
 	if a.meta.Index == 0 {
@@ -72,7 +72,7 @@
 	}
 }
 
-func (a *applier) take() []job {
+func (a *applier) takeQueued() []job {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	jobs := a.jobs
@@ -80,7 +80,7 @@
 	return jobs
 }
 
-// failure returns why the machine can't go on, or nil.
+// failure returns the error after which the state machine can't continue, or nil.
 func (a *applier) failure() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -97,29 +97,29 @@
 	var group sync.WaitGroup
 	defer group.Wait()
 	for {
-		var news applied
+		var result applyResult
 		select {
 		case <-ctx.Done():
 			return
-		case meta := <-a.made:
-			a.making = false
-			news.snapshot = &meta
+		case meta := <-a.snapshotSaved:
+			a.savingSnapshot = false
+			result.snapshot = &meta
 		case <-a.work:
-			for _, j := range a.take() {
-				a.do(j)
+			for _, j := range a.takeQueued() {
+				a.process(j)
 			}
-			news.index = a.meta.Index
+			result.index = a.meta.Index
 		}
 		a.snapshotIfDue(&group)
 		select {
-		case a.applied <- news:
+		case a.applied <- result:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (a *applier) do(j job) {
+func (a *applier) process(j job) {
 	if j.restore != nil {
 		a.restore(*j.restore)
 		return
@@ -148,36 +148,37 @@
 	a.entries, a.bytes, a.lastBytes = 0, 0, int64(len(s.Data))
 }
 
-// due tells whether a snapshot is worth its cost: enough was applied, and not
-// little beside the size of the state.
-func (a *applier) due() bool {
+// snapshotDue reports whether enough was applied since the last snapshot, also in proportion to the
+// size of the state, to justify the cost of a new one.
+func (a *applier) snapshotDue() bool {
 	grown := a.entries >= a.config.SnapshotEntries || a.bytes >= a.config.SnapshotBytes
-	return grown && !a.making && a.bytes >= a.lastBytes/2
+	return grown && !a.savingSnapshot && a.bytes >= a.lastBytes/2
 }
 
-// snapshotIfDue encodes the state here and writes it beside further work.
+// snapshotIfDue encodes the state in this goroutine and writes it in another, while further entries
+// are applied.
 func (a *applier) snapshotIfDue(group *sync.WaitGroup) {
-	if !a.due() {
+	if !a.snapshotDue() {
 		return
 	}
 	data, err := a.config.Machine.Snapshot()
 	if err != nil {
-		a.config.Logger.Error("no snapshot", "error", err)
+		a.config.Logger.Error("snapshot not encoded", "error", err)
 		a.entries, a.bytes = 0, 0
 		return
 	}
 	snapshot := agreement.Snapshot{Meta: a.meta, Data: data}
-	a.entries, a.bytes, a.lastBytes, a.making = 0, 0, int64(len(data)), true
+	a.entries, a.bytes, a.lastBytes, a.savingSnapshot = 0, 0, int64(len(data)), true
 	group.Go(func() { a.save(snapshot) })
 }
 
-// save writes a snapshot. If that fails the log simply stays longer; a disk
-// that can't be written to shows at the next write of the log.
+// save writes a snapshot. If that fails the log only stays longer; a disk that can't be written to
+// shows at the next write of the log.
 func (a *applier) save(s agreement.Snapshot) {
 	if err := a.store.SaveSnapshot(s); err != nil {
-		a.config.Logger.Error("no snapshot", "index", s.Meta.Index, "error", err)
-		a.made <- agreement.SnapshotMeta{}
+		a.config.Logger.Error("snapshot not written", "index", s.Meta.Index, "error", err)
+		a.snapshotSaved <- agreement.SnapshotMeta{}
 		return
 	}
-	a.made <- s.Meta
+	a.snapshotSaved <- s.Meta
 }
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -44,8 +44,8 @@
 	return g
 }
 
-// BenchmarkProposals measures proposals a second with real syncs, for a number
-// of callers that each wait for their answer.
+// BenchmarkProposals measures proposals per second with real syncs, for several numbers of callers
+// that each wait for their answer.
 func BenchmarkProposals(b *testing.B) {
 	for _, members := range []int{1, 3} {
 		for _, callers := range []int{1, 16, 64, 256} {
@@ -57,7 +57,7 @@
 						b.Fatal(err)
 					}
 				}
-				g.disk, g.small = counting, true
+				g.disk, g.discardCommands = counting, true
 				for _, m := range g.config.Members {
 					g.start(m.Name)
 				}
@@ -86,13 +86,13 @@
 	}
 }
 
-// BenchmarkRecovery measures a start until the first confirmed read, after a
-// number of entries without a snapshot.
+// BenchmarkRecovery measures the time from a start to the first confirmed read, with several
+// numbers of entries and no snapshot.
 func BenchmarkRecovery(b *testing.B) {
 	for _, entries := range []uint64{100, 1_000, 100_000} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			g := newGroup(b, Config{SnapshotEntries: 1 << 40, SnapshotBytes: 1 << 40}, "a")
-			g.small = true
+			g.discardCommands = true
 			g.leader()
 			g.haltAll()
 			fillFolder(b, g.folder+"/a", entries)
@@ -131,9 +131,8 @@
 	}
 }
 
-// BenchmarkWithoutLeader measures the time from the loss of a leader until
-// another confirms that it leads: by a silent cut of its links, and by a
-// graceful stop.
+// BenchmarkWithoutLeader measures the time from the loss of a leader until another one confirms
+// that it leads: after a silent cut of its links, and after a graceful stop.
 func BenchmarkWithoutLeader(b *testing.B) {
 	for _, graceful := range []bool{false, true} {
 		b.Run(fmt.Sprintf("graceful=%t", graceful), func(b *testing.B) {
@@ -148,7 +147,7 @@
 				if graceful {
 					lost.stop()
 				} else {
-					g.cutOff(name)
+					g.isolate(name)
 				}
 				awaitOther(b, g, lost)
 				b.StopTimer()
@@ -169,7 +168,7 @@
 	}
 }
 
-func awaitOther(b *testing.B, g *group, lost *running) {
+func awaitOther(b *testing.B, g *group, lost *runningMember) {
 	for {
 		for _, m := range g.others(lost) {
 			ctx, cancel := context.WithTimeout(b.Context(), 50*time.Millisecond)
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -12,7 +12,7 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/control"
 )
 
-// Defaults of Config.
+// Default values of the fields of Config.
 const (
 	DefaultGroup           = "control"
 	DefaultTickEvery       = 25 * time.Millisecond
@@ -25,51 +25,48 @@
 // Config configures a Replica. Name, Members, DataFolder and Machine are
 // required; Dialer is required if there is more than one member.
 type Config struct {
-	// Name is this member's name; it is also the name in its certificate.
+	// Name is the name of this member and of the subject of its certificate.
 	Name string
 	// Group names the agreement group; empty means "control".
 	Group string
-	// Members founds the group on its first start, and names the processes
-	// whose messages are listened to. Once a log exists, the members that vote
-	// are the ones agreed in it.
+	// Members are the founders of the group on its first start, and the processes whose messages
+	// are accepted. Once a log exists, the voting members are those agreed in the log.
 	Members []message.Member
-	// AddressOf finds the address of a process by its name, where Members do not
-	// list every process that may become a member. Who is not known as a member
-	// is then listened to as well; the caller of Serve must let in none but
-	// control VMs. Nil listens to known members only.
+	// AddressOf returns the address of a process by its name. It is for groups whose Members do not
+	// list every process that may become a member: messages of processes that are not known as
+	// members are then accepted too, and the caller of Serve must admit only control VMs. If it is
+	// nil, only the messages of known members are accepted.
 	AddressOf func(name string) string
 	// DataFolder holds the log and the snapshots.
 	DataFolder string
 	// Dialer opens streams to the other members.
 	Dialer peer.Dialer
-	// Machine is fed the agreed commands. No other code may change it.
+	// Machine is the state machine that the agreed commands are applied to. No other code may
+	// change it.
 	Machine control.Machine
-	// Logger takes changes of leadership and faults; nil means none.
+	// Logger receives changes of leadership and faults; nil means none.
 	Logger *slog.Logger
-	// TickEvery is the unit of election timing; zero means 25ms. A leader that
-	// dies is replaced after 12 to 24 ticks.
+	// TickEvery is the unit of the election timing; zero means 25ms. A leader that crashes is
+	// replaced after 12 to 24 ticks.
 	TickEvery time.Duration
-	// SnapshotEntries is how many applied entries lead to a snapshot; zero
-	// means 20,000.
+	// SnapshotEntries is the number of applied entries after which a snapshot is made; zero means
+	// 20,000.
 	SnapshotEntries uint64
-	// SnapshotBytes is how many bytes of log lead to a snapshot; zero means
-	// 64 MiB.
+	// SnapshotBytes is the number of bytes of applied commands after which a snapshot is made; zero
+	// means 64 MiB.
 	SnapshotBytes int64
-	// TailEntries is how many entries stay before a snapshot, for members that
-	// lag a little; zero means 4,096.
+	// TailEntries is the number of entries before a snapshot that are kept, for members that lag
+	// slightly; zero means 4,096.
 	TailEntries uint64
-	// MaxUnapplied bounds the proposals that are appended and not yet
-	// applied; zero means 8,192.
+	// MaxUnapplied bounds the proposals that are appended and not yet applied; zero means 8,192.
 	MaxUnapplied uint64
-	// MinFreeBytes is how much room the disk must have for proposals to be
-	// taken; zero means 64 MiB.
+	// MinFreeBytes is the free disk space below which proposals are refused; zero means 64 MiB.
 	MinFreeBytes uint64
 	// StopWithin bounds a graceful stop; zero means 2s.
 	StopWithin time.Duration
-	// Seed makes election timing differ between members; zero takes one from
-	// the name.
+	// Seed makes the election timing differ between members; zero derives a seed from the name.
 	Seed uint64
-	// FileSystem is the VM's own if nil.
+	// FileSystem replaces the VM's own file system if it is not nil.
 	FileSystem disk.FileSystem
 }
 
--- a/internal/replica/failure_test.go
+++ b/internal/replica/failure_test.go
@@ -22,8 +22,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// proposeMany proposes numbered commands at whoever leads, several at a time,
-// and returns those that were accepted.
+// proposeMany proposes numbered commands to the current leader, several at a time, and returns
+// those that were accepted.
 func (g *group) proposeMany(prefix string, count int) []string {
 	g.t.Helper()
 	const proposers = 8
@@ -49,9 +49,9 @@
 	return accepted
 }
 
-// holds checks that every accepted command was applied, once. It returns after
-// a further tick, so that Status tells of it.
-func (g *group) holds(accepted []string) {
+// checkApplied checks that every accepted command was applied exactly once. It returns after a
+// further tick, so that Status is up to date.
+func (g *group) checkApplied(accepted []string) {
 	g.t.Helper()
 	g.converge()
 	time.Sleep(2 * DefaultTickEvery)
@@ -66,16 +66,15 @@
 	}
 }
 
-func (g *group) cutOff(name string) {
+func (g *group) isolate(name string) {
 	for other := range g.running {
 		g.network.Cut(name, other)
 		g.network.Cut(other, name)
 	}
 }
 
-// Symptom: a planned restart of the leader cuts commands off. Sequence: the
-// leader is asked to stop while others elect. Cause: a stop without handing
-// leadership over.
+// Guards against commands that fail during a planned restart of the leader: the leader is asked to
+// stop, and does not transfer its leadership before the others elect a new one.
 func TestStopHandsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -92,14 +91,13 @@
 		_, err := leader.Propose(t.Context(), []byte("late"))
 		is.Equal(problem(t, err).Reason, oriolebend.ReasonStopping)
 		g.start(leader.config.Name)
-		g.holds(accepted)
+		g.checkApplied(accepted)
 	})
 }
 
-// Symptom: a cut-off leader tells callers that a command was accepted, or reads
-// from a state that others have changed. Sequence: all links of the leader are
-// cut silently; it is asked; the others elect; the links heal. Cause: a leader
-// that does not notice that no quorum answers.
+// Guards against a partitioned leader that reports a command as accepted, or reads from a state
+// that others have changed: all links of the leader drop messages silently; it receives requests,
+// the others elect a new leader, and the links heal. It must notice that no quorum answers.
 func TestCutOffLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -107,27 +105,27 @@
 		defer g.haltAll()
 		accepted := g.proposeMany("x", 5)
 		old := g.leader()
-		g.cutOff(old.config.Name)
+		g.isolate(old.config.Name)
 		_, err := old.Propose(t.Context(), []byte("lost"))
 		is.Equal(problem(t, err).Ran, oriolebend.RanUnknown)
 		is.Equal(problem(t, old.Confirm(t.Context())).Ran, oriolebend.RanNo)
 		name, _ := old.Leader()
-		is.Equal(name, "") // it does not answer as leader
+		is.Equal(name, "") // it does not report itself as leader
 		for _, other := range g.others(old) {
 			now, _ := other.Leader()
-			is.True(now == "" || now == old.config.Name) // and nobody else does yet
+			is.True(now == "" || now == old.config.Name) // and no other member has a new leader yet
 		}
 		accepted = append(accepted, g.proposeMany("y", 5)...)
 		is.Equal(len(accepted), 10)
 		g.network.Heal()
-		g.holds(accepted)
+		g.checkApplied(accepted)
 		is.True(!strings.Contains(string(old.machine.encoded()), "lost"))
 	})
 }
 
-// Symptom: commands are lost, doubled or in another order on some VM.
-// Sequence: every link loses one message in ten and delays the others, while
-// leadership moves and members restart. Cause: a resend that skips or repeats.
+// Guards against commands that are lost, applied twice or applied in a different order on some VM:
+// every link loses one message in ten and delays the others, while the leadership moves and members
+// restart. It would be caused by a resend that skips or repeats entries.
 func TestLossyLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, Config{SnapshotEntries: 40, TailEntries: 8}, "a", "b", "c")
@@ -143,38 +141,37 @@
 		g.start(name)
 		accepted = append(accepted, g.proposeMany("z", 60)...)
 		g.network.Degrade(0, 0)
-		g.holds(accepted)
+		g.checkApplied(accepted)
 	})
 }
 
-// Symptom: a VM that was away for hundreds of changes never catches up.
-// Sequence: a follower is stopped; the others accept hundreds of commands and
-// drop the log before their snapshots; it starts again. Cause: it asks for
-// entries that nobody holds.
-func TestBackAfterHundreds(t *testing.T) {
+// Guards against a VM that never catches up after hundreds of changes: a follower is stopped; the
+// others accept hundreds of commands and drop the log before their snapshots; the follower starts
+// again and requests entries that no member has any more.
+func TestCatchUpAfterHundredsOfCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGroup(t, Config{SnapshotEntries: 50, TailEntries: 10}, "a", "b", "c")
 		defer g.haltAll()
-		away := g.others(g.leader())[0].config.Name
-		is.NoErr(g.halt(away))
+		stopped := g.others(g.leader())[0].config.Name
+		is.NoErr(g.halt(stopped))
 		var accepted []string
 		for round := 0; g.leader().Status().Snapshot < 300; round++ {
 			accepted = append(accepted, g.proposeMany(fmt.Sprintf("x%d-", round), 50)...)
 			time.Sleep(2 * DefaultTickEvery)
 		}
-		g.start(away)
-		g.holds(accepted)
-		is.True(g.running[away].Status().Snapshot >= 300)
-		is.NoErr(g.halt(away))
-		g.start(away) // and again, from its own snapshot
-		g.holds(accepted)
+		g.start(stopped)
+		g.checkApplied(accepted)
+		is.True(g.running[stopped].Status().Snapshot >= 300)
+		is.NoErr(g.halt(stopped))
+		g.start(stopped) // and again, from its own snapshot
+		g.checkApplied(accepted)
 	})
 }
 
-// Symptom: commands are lost after two losses in a row. Sequence: a VM loses
-// its folder and is repaired; right after, a second one loses its folder while
-// the third is away. Cause: a repaired VM that counts before it has the log.
+// Guards against commands that are lost after two losses in a row: a VM loses its data folder and
+// is repaired; right after, a second VM loses its folder while the third is unavailable. A repaired
+// VM must not count towards a quorum before it has the log.
 func TestSecondLossAfterRepair(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -188,19 +185,18 @@
 		}
 		first := g.leader().config.Name
 		lose(first)
-		g.holds(accepted)
+		g.checkApplied(accepted)
 		second := g.leader().config.Name
 		lose(second)
-		g.holds(accepted)
+		g.checkApplied(accepted)
 		for _, m := range g.running {
 			is.True(!m.Status().Recovering)
 		}
 	})
 }
 
-// Symptom: the group has no quorum after one loss during a replacement.
-// Sequence: c is lost for good, d replaces it, then the leader stops. Cause:
-// a new VM that votes before it has the log.
+// Guards against a group without a quorum after one loss during a replacement: c is lost
+// permanently, d replaces it, then the leader stops. A new VM must not vote before it has the log.
 func TestReplaceMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -213,7 +209,7 @@
 		g.config.Members = append(g.config.Members, d)
 		g.start("d")
 		is.NoErr(g.leader().AddMember(t.Context(), d))
-		for !voter(g.leader().Status().Members, "d") {
+		for !isVoter(g.leader().Status().Members, "d") {
 			time.Sleep(DefaultTickEvery)
 		}
 		is.NoErr(g.leader().RemoveMember(t.Context(), lost))
@@ -222,16 +218,15 @@
 		is.NoErr(g.halt(g.leader().config.Name))
 		accepted = append(accepted, g.proposeMany("y", 5)...)
 		is.Equal(len(accepted), 65)
-		g.holds(accepted)
+		g.checkApplied(accepted)
 	})
 }
 
-// Symptom: after the loss of one folder and a later stop of one more member the
-// group has no leader for good. Sequence: d joins a group whose members were
-// founded without it, and leads; a founder loses its folder; another stops.
-// Cause: the empty founder knew the founders only, did not listen to d, and so
-// never got the log back.
-func TestWipedMemberHearsALeaderThatJoinedLater(t *testing.T) {
+// Guards against a group that stays without a leader after the loss of one folder and a later stop
+// of another member: d joins a group that was founded without it, and leads; a founder loses its
+// folder; another member stops. The founder with the empty folder knew only the founders, ignored
+// the messages of d, and so never got the log back.
+func TestWipedMemberAcceptsALeaderThatJoinedLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGroup(t, Config{AddressOf: func(name string) string { return name + ":1" }}, "a", "b", "c")
@@ -240,23 +235,23 @@
 		d := message.Member{Name: "d", Address: "d:1"}
 		g.start("d")
 		is.NoErr(g.leader().AddMember(t.Context(), d))
-		for !voter(g.leader().Status().Members, "d") {
+		for !isVoter(g.leader().Status().Members, "d") {
 			time.Sleep(DefaultTickEvery)
 		}
-		g.leadOnly("d", "a", "b", "c")
+		g.awaitLeadership("d", "a", "b", "c")
 		is.NoErr(g.halt("a"))
 		is.NoErr(os.RemoveAll(filepath.Join(g.folder, "a")))
 		g.start("a")
-		g.holds(accepted) // a has the log again
+		g.checkApplied(accepted) // a has the log again
 		is.NoErr(g.halt("b"))
 		accepted = append(accepted, g.proposeMany("y", 2)...)
 		is.Equal(len(accepted), 7)
 	})
 }
 
-// leadOnly has one member lead: the others are cut off from each other until it
-// does, so that nobody else can reach a quorum.
-func (g *group) leadOnly(name string, others ...string) {
+// awaitLeadership waits until the named member leads. The links between the others are cut until
+// then, so that none of them can reach a quorum.
+func (g *group) awaitLeadership(name string, others ...string) {
 	g.t.Helper()
 	for _, from := range others {
 		for _, to := range others {
@@ -275,7 +270,7 @@
 	g.t.Fatalf("%s does not lead", name)
 }
 
-func voter(members []message.Member, name string) bool {
+func isVoter(members []message.Member, name string) bool {
 	for _, m := range members {
 		if m.Name == name {
 			return m.Voter
@@ -284,10 +279,10 @@
 	return false
 }
 
-// faultyDisk is the VM's file system with faults.
+// faultyDisk is the VM's file system with injected faults.
 type faultyDisk struct {
 	disk.OS
-	full, broken atomic.Bool
+	full, syncFails atomic.Bool
 }
 
 func (d *faultyDisk) Append(path string) (disk.File, error) {
@@ -309,15 +304,15 @@
 }
 
 func (f faultyFile) Sync() error {
-	if f.disk.broken.Load() {
+	if f.disk.syncFails.Load() {
 		return syscall.EIO
 	}
 	return f.File.Sync()
 }
 
-// Symptom: commands are told as accepted that no disk holds, or the VM does not
-// come back once there is room. Sequence: the disk of the only member fills up
-// and is cleared. Cause: a failed write that is forgotten.
+// Guards against commands that are reported as accepted although no disk holds them, and against a
+// VM that stays unusable once its disk has space again: the disk of the only member fills up and is
+// cleared. It would be caused by a failed write that is forgotten.
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -342,13 +337,13 @@
 		is.Equal(problem(t, err).Reason, oriolebend.ReasonDiskFull)
 		is.Equal(problem(t, err).Ran, oriolebend.RanNo)
 		faulty.full.Store(false)
-		is.NoErr(<-result) // it was never promised and never forgotten
-		g.holds([]string{"waits"})
+		is.NoErr(<-result) // it was neither acknowledged before nor dropped
+		g.checkApplied([]string{"waits"})
 	})
 }
 
-// Symptom: a VM goes on with a disk that drops writes. Sequence: one sync
-// fails. Cause: a sync that is tried again, which the kernel may report as good.
+// Guards against a VM that continues with a disk that drops writes: one sync fails. A sync must not
+// be repeated, because the kernel may report the second one as successful.
 func TestFailedSyncStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -360,21 +355,21 @@
 		g.disk = faulty
 		c := g.start("c")
 		g.converge()
-		faulty.broken.Store(true)
+		faulty.syncFails.Store(true)
 		accepted := g.proposeMany("x", 3)
 		is.Equal(len(accepted), 3)
 		var typed *disk.Error
 		is.True(errors.As(<-c.err, &typed))
 		is.Equal(typed.Kind, disk.KindSync)
 		delete(g.running, "c")
-		g.holds(accepted)
+		g.checkApplied(accepted)
 	})
 }
 
-// Symptom: a process of another role unseats the leader. Sequence: a stream of
-// an entry VM carries a vote in the name of a member, another one in its own.
-// Cause: messages that are taken for their word.
-func TestStrangersAreNotHeard(t *testing.T) {
+// Guards against a process of another role that unseats the leader: the stream of an entry VM
+// carries a vote in the name of a member, another one in its own name. It would be caused by
+// messages whose sender is not checked.
+func TestMessagesOfNonMembersAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGroup(t, Config{}, "a")
@@ -403,13 +398,13 @@
 	}
 }
 
-func TestDeadlineTellsWhetherItMayRun(t *testing.T) {
+func TestDeadlineReportsWhetherTheCommandMayBeAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGroup(t, Config{}, "a", "b", "c")
 		defer g.haltAll()
 		leader := g.leader()
-		g.cutOff(leader.config.Name)
+		g.isolate(leader.config.Name)
 		ctx, cancel := context.WithTimeout(t.Context(), 2*DefaultTickEvery)
 		defer cancel()
 		_, err := leader.Propose(ctx, []byte("x"))
@@ -432,15 +427,14 @@
 		is.NoErr(disk.Restore(backup, filepath.Join(g.folder, "a"), disk.RestoreConfig{}))
 		g.start("a")
 		defer g.haltAll()
-		g.holds(accepted)
+		g.checkApplied(accepted)
 	})
 }
 
-// Symptom: a group whose majority lost its disks can't be brought back, or old
-// VMs undo what was restored. Sequence: two of three are gone for good; the last
-// one is restored as a group of its own and gets two new members, while one of
-// the lost comes back with its old folder. Cause: a restore that keeps the old
-// members, or a group that still listens to them.
+// Guards against a group that can't be brought back after its majority lost their disks, and
+// against old VMs that undo a restore: two of three members are lost permanently; the last one is
+// restored as a group of its own and gets two new members, while one of the lost members returns
+// with its old folder. The restored group must not keep the old members or accept their messages.
 func TestRestoreAfterTwoLosses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -462,11 +456,11 @@
 			g.config.Members = append(g.config.Members, m)
 			g.start(name)
 			is.NoErr(g.leader().AddMember(t.Context(), m))
-			for !voter(g.leader().Status().Members, name) {
+			for !isVoter(g.leader().Status().Members, name) {
 				time.Sleep(DefaultTickEvery)
 			}
 		}
-		g.holds(accepted)
+		g.checkApplied(accepted)
 		is.Equal(len(accepted), 55)
 		term := g.leader().Status().Term
 		old := g.start("b")
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -2,7 +2,7 @@
 
 import "github.com/oriolebend/oriolebend/pkg/oriolebend"
 
-// Group returns this VM's view of the group, for operators.
+// Group returns the group as this VM knows it, for operators.
 func (r *Replica) Group() oriolebend.Group {
 	s := r.Status()
 	g := oriolebend.Group{
--- a/internal/replica/group_test.go
+++ b/internal/replica/group_test.go
@@ -21,37 +21,37 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// list is a machine that keeps every command.
-type list struct {
+// commandList is a state machine that stores every command.
+type commandList struct {
 	mu       sync.Mutex
 	Commands []string
-	small    bool
+	discard  bool
 }
 
-func (l *list) Apply(_ uint64, command []byte) []byte {
+func (l *commandList) Apply(_ uint64, command []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.small {
+	if l.discard {
 		return nil
 	}
 	l.Commands = append(l.Commands, string(command))
 	return fmt.Appendf(nil, "%d", len(l.Commands))
 }
 
-func (l *list) Snapshot() ([]byte, error) {
+func (l *commandList) Snapshot() ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return json.Marshal(l.Commands)
 }
 
-func (l *list) Restore(snapshot []byte) error {
+func (l *commandList) Restore(snapshot []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Commands = nil
 	return json.Unmarshal(snapshot, &l.Commands)
 }
 
-func (l *list) encoded() []byte {
+func (l *commandList) encoded() []byte {
 	data, err := l.Snapshot()
 	if err != nil {
 		panic(err)
@@ -65,16 +65,16 @@
 	network *peertest.Network
 	folder  string
 	config  Config
-	running map[string]*running
+	running map[string]*runningMember
 	// disk replaces the file system of the members that start from now on.
 	disk disk.FileSystem
-	// small makes the machines forget the commands, for benchmarks.
-	small bool
+	// discardCommands has the state machines store no commands, for benchmarks.
+	discardCommands bool
 }
 
-type running struct {
+type runningMember struct {
 	*Replica
-	machine *list
+	machine *commandList
 	stop    context.CancelFunc
 	err     chan error
 }
@@ -82,7 +82,7 @@
 func newGroup(t testing.TB, config Config, names ...string) *group {
 	g := &group{
 		t: t, network: peertest.NewNetwork(1), folder: t.TempDir(),
-		config: config, running: map[string]*running{},
+		config: config, running: map[string]*runningMember{},
 	}
 	for _, name := range names {
 		g.config.Members = append(g.config.Members, message.Member{Name: name, Address: name + ":1"})
@@ -93,9 +93,9 @@
 	return g
 }
 
-func (g *group) start(name string) *running {
+func (g *group) start(name string) *runningMember {
 	g.t.Helper()
-	machine := &list{small: g.small}
+	machine := &commandList{discard: g.discardCommands}
 	config := g.config
 	config.Name = name
 	config.DataFolder = filepath.Join(g.folder, name)
@@ -107,7 +107,7 @@
 		g.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(g.t.Context())
-	m := &running{Replica: r, machine: machine, stop: stop, err: make(chan error, 1)}
+	m := &runningMember{Replica: r, machine: machine, stop: stop, err: make(chan error, 1)}
 	listening, endListening := context.WithCancel(g.t.Context())
 	g.network.Listen(listening, name+":1", name, func(ctx context.Context, s peer.Stream) { r.Serve(ctx, s) })
 	go func() {
@@ -135,7 +135,7 @@
 }
 
 // leader waits until a member leads and has confirmed it.
-func (g *group) leader() *running {
+func (g *group) leader() *runningMember {
 	g.t.Helper()
 	for range 1000 {
 		for _, m := range g.running {
@@ -152,8 +152,8 @@
 	return nil
 }
 
-func (g *group) others(leader *running) []*running {
-	var others []*running
+func (g *group) others(leader *runningMember) []*runningMember {
+	var others []*runningMember
 	for _, m := range g.running {
 		if m != leader {
 			others = append(others, m)
@@ -162,7 +162,7 @@
 	return others
 }
 
-// converge waits until all members have applied the same.
+// converge waits until all members have the same state.
 func (g *group) converge() {
 	g.t.Helper()
 	want := g.leader().machine.encoded()
--- a/internal/replica/receive.go
+++ b/internal/replica/receive.go
@@ -12,15 +12,15 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/agreement"
 )
 
-// received feeds a message of a member to the reducer. Who is neither agreed
-// nor configured as a member is not listened to: a process of another role
-// could otherwise raise the term and unseat the leader.
+// handleMessage passes a message of a member to the reducer. Messages of a process that is neither
+// agreed nor configured as a member are ignored: a process of another role could otherwise raise
+// the term and unseat the leader.
 //
-// Where the settings list only some of the members, all are listened to. A
-// member that lost its folder, or was away while others joined, can't know the
-// leader as a member before it has heard it; it would stay without a leader, and
-// the loss of one more member would leave no quorum.
-func (r *Replica) received(m message.Message) {
+// If Config.AddressOf is set, the settings list only some of the members, and messages of every
+// process are accepted. A member that lost its data folder, or was stopped while others joined,
+// can't know that the leader is a member before it has received the leader's messages. It would
+// stay without a leader, and the loss of one more member would leave no quorum.
+func (r *Replica) handleMessage(m message.Message) {
 	part, _ := message.AgreementPart(m)
 	_, agreed := r.state.Member(part.From)
 	named := func(m message.Member) bool { return m.Name == part.From }
@@ -31,14 +31,14 @@
 	r.step(agreement.Received{Tick: r.tick(), Message: m})
 }
 
-// groupName is the group as its messages name it.
+// groupName returns the name of the group in its messages.
 func groupName(group string, generation uint64) string {
 	return fmt.Sprintf("%s/%d", group, generation)
 }
 
-// joinGeneration moves a member with an empty folder to the generation of the
-// members that it meets. A new VM begins with the first one, and could not
-// join a group that was ever restored.
+// joinGeneration moves a member with an empty log to the generation of the member that sent it a
+// message. A new VM starts with the first generation, and could not join a group that was ever
+// restored.
 func (r *Replica) joinGeneration(group string) {
 	number, ok := strings.CutPrefix(group, r.config.Group+"/")
 	if !ok || group == r.state.Config.Group || r.state.Last() > 0 {
--- a/internal/replica/run.go
+++ b/internal/replica/run.go
@@ -12,18 +12,18 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// proposalBatch bounds the proposals that one event carries.
+// proposalBatch bounds the proposals in one event.
 const proposalBatch = 512
 
-// FatalError tells that going on would break what was promised.
+// FatalError means that continuing would violate a guarantee of the agreement.
 type FatalError struct{ Detail string }
 
 // Error implements error.
 func (e *FatalError) Error() string { return "agreement: " + e.Detail }
 
-// Run serves until the context ends; it then hands leadership over and closes
-// the data folder. It returns nil after a graceful stop, and an error if the
-// process must stop: *disk.Error, *FatalError or what the machine returned.
+// Run serves until the context ends; it then transfers the leadership and closes the data folder.
+// It returns nil after a graceful stop, and an error if the process must stop: a *disk.Error, a
+// *FatalError or an error of the state machine.
 func (r *Replica) Run(ctx context.Context) error {
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var group sync.WaitGroup
@@ -39,16 +39,16 @@
 	return errors.Join(err, r.store.Close())
 }
 
-// failWaiting answers those whose outcome will not be known here.
+// failWaiting fails the calls whose outcome this member will not learn.
 func (r *Replica) failWaiting() {
 	for _, done := range r.waiting {
-		done <- outcome{err: stopping(oriolebend.RanUnknown)}
+		done <- outcome{err: stoppingProblem(oriolebend.RanUnknown)}
 	}
 	r.waiting = nil
 }
 
-// tick returns the ticks since the start. It follows the clock and not the
-// ticker, so that a paused process notices how long it was away.
+// tick returns the number of ticks since the start. It is computed from the clock and not counted
+// by the ticker, so that a process notices how long it was paused.
 func (r *Replica) tick() uint64 { return uint64(time.Since(r.start) / r.config.TickEvery) }
 
 func (r *Replica) loop(ctx, inner context.Context, group *sync.WaitGroup) error {
@@ -57,34 +57,34 @@
 	stop := ctx.Done()
 	var stopBy time.Time
 	for {
-		if r.stopping && (r.idle() || time.Now().After(stopBy)) {
+		if r.stopping && (r.canStop() || time.Now().After(stopBy)) {
 			return nil
 		}
-		if r.handing && r.state.Role != agreement.Leader {
-			r.handing, r.handed = false, true
-			stopBy = time.Now().Add(handWithin * r.config.TickEvery)
+		if r.transferring && r.state.Role != agreement.Leader {
+			r.transferring, r.transferred = false, true
+			stopBy = time.Now().Add(transferWaitTicks * r.config.TickEvery)
 		}
 		select {
 		case <-ticker.C:
-			r.ticked()
+			r.handleTick()
 		case m := <-r.messages:
-			r.received(m)
+			r.handleMessage(m)
 		case p := <-r.proposals:
-			r.proposed(p)
-		case f := <-r.asks:
+			r.handleProposals(p)
+		case f := <-r.calls:
 			f()
 		case s := <-r.saver.saved:
-			r.saved(s)
+			r.handleSaved(s)
 		case a := <-r.applier.applied:
-			r.applied(a)
+			r.handleApplied(a)
 		case <-stop:
 			stop = nil
 			r.stopping = true
 			stopBy = time.Now().Add(r.config.StopWithin)
-			if r.together.Load() {
+			if r.groupStops.Load() {
 				continue
 			}
-			r.handing = r.state.Role == agreement.Leader && len(r.state.Members) > 1
+			r.transferring = r.state.Role == agreement.Leader && len(r.state.Members) > 1
 			r.step(agreement.TransferRequested{Tick: r.tick()})
 		}
 		if err := r.failure(); err != nil {
@@ -95,35 +95,36 @@
 	}
 }
 
-// handWithin bounds, in ticks, how long a former leader waits to hear of the
-// next one; after that its message has left or is lost.
-const handWithin = 12
+// transferWaitTicks bounds, in ticks, how long a former leader waits to learn of the next one.
+// After that time the message that starts the election has been delivered or is lost.
+const transferWaitTicks = 12
 
-// idle tells whether a stopping member has handed over all that it had. A
-// former leader stays until another one is heard of: the message that asks the
-// successor to stand for election could be lost with this process.
-func (r *Replica) idle() bool {
+// canStop reports whether a stopping member has no calls left and has transferred its leadership. A
+// former leader stays until it knows another one: the message that asks the successor to stand for
+// election could be lost if this process ended.
+func (r *Replica) canStop() bool {
 	if len(r.waiting) > 0 {
 		return false
 	}
 	if r.state.Role == agreement.Leader {
 		return !r.state.Transferring()
 	}
-	return !(r.handing || r.handed) || r.state.Leader != ""
+	return !(r.transferring || r.transferred) || r.state.Leader != ""
 }
 
 func (r *Replica) failure() error { return errors.Join(r.disk.fatal, r.applier.failure()) }
 
-// proposed takes the proposal and all others that wait.
-func (r *Replica) proposed(p proposal) {
+// handleProposals passes the proposal and all others that are queued to the reducer, at most
+// proposalBatch.
+func (r *Replica) handleProposals(p proposal) {
 	batch := make([]agreement.Proposal, 0, 1+len(r.proposals))
 	add := func(p proposal) {
-		if refusal := r.refuseHere(); refusal != nil {
+		if refusal := r.localRefusal(); refusal != nil {
 			r.refusals[refusal.Reason]++
 			p.done <- outcome{err: refusal}
 			return
 		}
-		batch = append(batch, agreement.Proposal{ID: r.expect(p.done), Command: p.command})
+		batch = append(batch, agreement.Proposal{ID: r.register(p.done), Command: p.command})
 	}
 	add(p)
 	for len(batch) < proposalBatch {
@@ -140,29 +141,30 @@
 	}
 }
 
-// refuseHere tells why this process takes no proposal, whatever its role.
-func (r *Replica) refuseHere() *oriolebend.Problem {
+// localRefusal returns the reason why this process accepts no proposal, whatever the reducer would
+// answer, or nil.
+func (r *Replica) localRefusal() *oriolebend.Problem {
 	switch {
 	case r.stopping:
-		return stopping(oriolebend.RanNo).(*oriolebend.Problem)
+		return stoppingProblem(oriolebend.RanNo).(*oriolebend.Problem)
 	case r.state.Role == agreement.Leader && r.disk.full():
 		return &oriolebend.Problem{
 			Reason: oriolebend.ReasonDiskFull, Ran: oriolebend.RanNo,
 			Detail:     "the disk of the leading control VM has no room",
-			RetryAfter: diskRetry,
+			RetryAfter: diskRetryInterval,
 		}
 	}
 	return nil
 }
 
-// step feeds the reducer one event and carries its effects out.
+// step passes one event to the reducer and executes its effects.
 func (r *Replica) step(e agreement.Event) {
 	for _, effect := range reducer.Reduce(&reducer.State{Agreement: r.state}, e) {
-		r.carry(effect)
+		r.execute(effect)
 	}
 }
 
-func (r *Replica) carry(effect reducer.Effect) {
+func (r *Replica) execute(effect reducer.Effect) {
 	switch e := effect.(type) {
 	case agreement.Send:
 		r.sender(e.To).post(outgoing{message: e.Message})
@@ -171,17 +173,17 @@
 	case agreement.Persist:
 		r.saver.add(e)
 	case agreement.Compact:
-		r.saver.compact(e.Through)
+		r.saver.scheduleCompaction(e.Through)
 	case agreement.Apply:
-		r.applier.add(r.jobs(e))
+		r.applier.add(r.newJobs(e))
 	case agreement.Restore:
 		r.applier.add([]job{{restore: &e.Snapshot}})
 	case agreement.Confirmed:
 		r.answer(e.ID, outcome{})
 	case agreement.Refused:
-		r.refused(e)
+		r.handleRefusal(e)
 	case agreement.LeadershipChanged:
-		r.led(e)
+		r.logLeadership(e)
 	case agreement.Fatal:
 		r.disk.fatal = &FatalError{Detail: e.Detail}
 	}
@@ -194,19 +196,19 @@
 	}
 }
 
-func (r *Replica) refused(e agreement.Refused) {
+func (r *Replica) handleRefusal(e agreement.Refused) {
 	r.refusals[e.Reason]++
 	r.answer(e.ID, outcome{err: &oriolebend.Problem{
 		Reason: e.Reason, Ran: e.Ran, Detail: e.Detail, RetryAfter: e.RetryAfter,
 	}})
 }
 
-func (r *Replica) led(e agreement.LeadershipChanged) {
+func (r *Replica) logLeadership(e agreement.LeadershipChanged) {
 	r.config.Logger.Info("agreement", "role", e.Role, "term", e.Term, "leader", e.Leader.Name)
 }
 
-// jobs hands the waiting proposers over to the applier, which answers them.
-func (r *Replica) jobs(e agreement.Apply) []job {
+// newJobs turns committed entries into jobs for the applier, which also answers their proposers.
+func (r *Replica) newJobs(e agreement.Apply) []job {
 	jobs := make([]job, 0, len(e.Entries))
 	for _, c := range e.Entries {
 		j := job{entry: c.Entry}
@@ -219,50 +221,51 @@
 	return jobs
 }
 
-// diskState is what the reducer's goroutine knows of the disk.
+// diskState is the state of the disk as the reducer's goroutine knows it.
 type diskState struct {
 	fatal error
-	// writeFull is set while a write waits for room, low while there is less
-	// than the minimum.
+	// writeFull is set while a write waits for free space, lowSpace while less than the minimum is
+	// free.
 	writeFull bool
-	low       bool
+	lowSpace  bool
 	checkDue  time.Time
 }
 
-func (d *diskState) full() bool { return d.writeFull || d.low }
+func (d *diskState) full() bool { return d.writeFull || d.lowSpace }
 
-// diskRetry is the time between two attempts at a full disk.
-const diskRetry = time.Second
+// diskRetryInterval is the time between two attempts to write to a full disk and between two checks
+// of its free space, and the delay after which a refused proposal may be retried.
+const diskRetryInterval = time.Second
 
-func (r *Replica) ticked() {
-	r.checkFree()
+func (r *Replica) handleTick() {
+	r.checkFreeSpace()
 	r.step(agreement.Ticked{Tick: r.tick()})
 	r.publish()
 }
 
-// checkFree looks after the room on the disk before a write fails.
-func (r *Replica) checkFree() {
+// checkFreeSpace detects low disk space before a write fails for lack of space.
+func (r *Replica) checkFreeSpace() {
 	if time.Now().Before(r.disk.checkDue) {
 		return
 	}
-	r.disk.checkDue = time.Now().Add(diskRetry)
+	r.disk.checkDue = time.Now().Add(diskRetryInterval)
 	free, err := r.store.Free()
 	low := err == nil && free < r.config.MinFreeBytes
-	if low != r.disk.low {
-		r.config.Logger.Warn("room on the disk", "freeBytes", free, "enough", !low)
+	if low != r.disk.lowSpace {
+		r.config.Logger.Warn("free disk space crossed the minimum", "freeBytes", free, "enough", !low)
 	}
-	r.disk.low = low
+	r.disk.lowSpace = low
 	if r.disk.full() {
 		r.step(agreement.TransferRequested{Tick: r.tick()})
 	}
 }
 
-func (r *Replica) saved(s saved) {
+func (r *Replica) handleSaved(s saveResult) {
 	var typed *disk.Error
 	r.disk.writeFull = errors.As(s.err, &typed) && !typed.Fatal()
 	switch {
 	case r.disk.writeFull:
-		r.config.Logger.Error("the disk is full; the write is tried again", "error", s.err)
+		r.config.Logger.Error("disk full, the write is retried", "error", s.err)
 		r.step(agreement.TransferRequested{Tick: r.tick()})
 	case s.err != nil:
 		r.disk.fatal = s.err
@@ -271,7 +274,7 @@
 	}
 }
 
-func (r *Replica) applied(a applied) {
+func (r *Replica) handleApplied(a applyResult) {
 	if a.index > 0 {
 		r.step(agreement.Applied{Tick: r.tick(), Index: a.index})
 	}
--- a/internal/replica/saver.go
+++ b/internal/replica/saver.go
@@ -10,11 +10,11 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/agreement"
 )
 
-// saver writes changes in the order in which they were added. All that is
-// added during one sync shares the next one.
+// saver makes changes durable in the order in which they were added. All changes added during one
+// sync share the next one.
 type saver struct {
 	store *disk.Store
-	saved chan saved
+	saved chan saveResult
 	work  chan struct{}
 
 	mu      sync.Mutex
@@ -22,15 +22,14 @@
 	through uint64
 }
 
-// saved is the outcome of one write; all changes up to sequence are durable
-// unless err is set.
-type saved struct {
+// saveResult is the outcome of one write; all changes up to sequence are durable unless err is set.
+type saveResult struct {
 	sequence uint64
 	err      error
 }
 
 func newSaver(store *disk.Store) *saver {
-	return &saver{store: store, saved: make(chan saved), work: make(chan struct{}, 1)}
+	return &saver{store: store, saved: make(chan saveResult), work: make(chan struct{}, 1)}
 }
 
 func (s *saver) add(p agreement.Persist) {
@@ -40,9 +39,9 @@
 	s.wake()
 }
 
-// compact lets the log drop entries up to through, after the changes that
-// were added before.
-func (s *saver) compact(through uint64) {
+// scheduleCompaction has the entries up to through dropped from the log, after the changes that
+// were added before have been written.
+func (s *saver) scheduleCompaction(through uint64) {
 	s.mu.Lock()
 	s.through = max(s.through, through)
 	s.mu.Unlock()
@@ -56,7 +55,7 @@
 	}
 }
 
-func (s *saver) take() ([]agreement.Persist, uint64) {
+func (s *saver) takeQueued() ([]agreement.Persist, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changes, through := s.changes, s.through
@@ -71,22 +70,22 @@
 			return
 		case <-s.work:
 		}
-		changes, through := s.take()
+		changes, through := s.takeQueued()
 		if len(changes) > 0 && !s.save(ctx, changes) {
 			return
 		}
-		if through > 0 && !s.dropOld(ctx, through) {
+		if through > 0 && !s.compactLog(ctx, through) {
 			return
 		}
 	}
 }
 
-// save writes the changes, again and again while the disk is full. It is false
-// if nothing more may be written.
+// save writes the changes, and repeats the write while the disk is full. It reports false if
+// nothing more may be written.
 func (s *saver) save(ctx context.Context, changes []agreement.Persist) bool {
 	for {
 		err := s.store.Save(changes)
-		if !s.tell(ctx, saved{sequence: changes[len(changes)-1].Sequence, err: err}) {
+		if !s.report(ctx, saveResult{sequence: changes[len(changes)-1].Sequence, err: err}) {
 			return false
 		}
 		var typed *disk.Error
@@ -99,20 +98,20 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(diskRetry):
+		case <-time.After(diskRetryInterval):
 		}
 	}
 }
 
-func (s *saver) dropOld(ctx context.Context, through uint64) bool {
+func (s *saver) compactLog(ctx context.Context, through uint64) bool {
 	if err := s.store.Compact(through); err != nil {
-		s.tell(ctx, saved{err: err})
+		s.report(ctx, saveResult{err: err})
 		return false
 	}
 	return true
 }
 
-func (s *saver) tell(ctx context.Context, o saved) bool {
+func (s *saver) report(ctx context.Context, o saveResult) bool {
 	select {
 	case s.saved <- o:
 		return true
--- a/internal/replica/sender.go
+++ b/internal/replica/sender.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// sendQueue bounds the messages that wait for one member; more are
-	// dropped, and the next heartbeat finds out.
+	// sendQueue bounds the messages queued for one member; further ones are dropped, and the answer
+	// to the next heartbeat shows what the member lacks.
 	sendQueue = 128
-	// openWithin bounds the opening of a stream.
-	openWithin = 2 * time.Second
-	// openAgainFirst and openAgainMost bound the pause after a failed opening.
-	openAgainFirst = 20 * time.Millisecond
-	openAgainMost  = time.Second
+	// openTimeout is the timeout for opening a stream.
+	openTimeout = 2 * time.Second
+	// minOpenDelay and maxOpenDelay bound the delay after a failed attempt to open a stream.
+	minOpenDelay = 20 * time.Millisecond
+	maxOpenDelay = time.Second
 )
 
-// sender carries messages to one member, over one stream that is opened again
-// whenever it breaks. Nothing here waits for the member but its own goroutine.
+// sender sends messages to one member over one stream, which is reopened whenever it breaks. Only
+// its own goroutine ever waits for the member.
 type sender struct {
 	replica *Replica
 	name    string
@@ -35,14 +35,14 @@
 	open peer.Stream
 }
 
-// outgoing is a message; a chunk is filled in from the disk when it leaves.
+// outgoing is a message; the data of a chunk is read from the disk when the chunk is sent.
 type outgoing struct {
 	message    message.Message
 	chunkBytes int
 }
 
-// sender returns the sender to a member. A member that the log does not know
-// is looked up in the settings.
+// sender returns the sender to a member. The address of a member that the log does not know is
+// taken from the settings.
 func (r *Replica) sender(to message.Member) *sender {
 	s := r.senders[to.Name]
 	if s == nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (s *sender) target() string {
+func (s *sender) currentAddress() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
@@ -90,8 +90,8 @@
 func (s *sender) run(ctx context.Context) {
 	var stream peer.Stream
 	defer func() { closeStream(stream) }()
-	// A Send may block on a member that does not read; it must not outlive the
-	// process's stop.
+	// A Send may block on a member that does not read; it must not outlast the stop of this
+	// process.
 	defer context.AfterFunc(ctx, func() { s.closeOpen() })()
 	for {
 		select {
@@ -116,15 +116,14 @@
 	}
 }
 
-// dial opens a stream; the pause after each failure grows. It is nil if the
-// context ends. What waits is dropped after a failure: a member that is away
-// would be sent old entries on its return, and they would fill the memory here
-// until then.
+// dial opens a stream; the delay after each failure grows. It returns nil if the context ends.
+// Queued messages are dropped after a failure: an unreachable member would be sent old entries on
+// its return, and they would fill the memory here until then.
 func (s *sender) dial(ctx context.Context) peer.Stream {
-	pause := openAgainFirst
+	delay := minOpenDelay
 	for ctx.Err() == nil {
-		if address := s.target(); address != "" {
-			opening, cancel := context.WithTimeout(ctx, openWithin)
+		if address := s.currentAddress(); address != "" {
+			opening, cancel := context.WithTimeout(ctx, openTimeout)
 			stream, err := s.replica.config.Dialer.Open(opening, address)
 			cancel()
 			if err == nil {
@@ -132,17 +131,17 @@
 				return stream
 			}
 		}
-		s.drop()
+		s.dropQueued()
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
-		pause = min(2*pause, openAgainMost)
+		delay = min(2*delay, maxOpenDelay)
 	}
 	return nil
 }
 
-func (s *sender) drop() {
+func (s *sender) dropQueued() {
 	for {
 		select {
 		case <-s.queue:
@@ -174,7 +173,7 @@
 	if chunk, ok := m.(message.Chunk); ok {
 		data, last, err := s.replica.store.ReadSnapshot(chunk.Index, chunk.Offset, o.chunkBytes)
 		if err != nil {
-			// A newer snapshot has replaced it; the leader begins anew.
+			// A newer snapshot has replaced it; the leader starts again with that one.
 			return true
 		}
 		chunk.Data, chunk.Last = data, last
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -9,7 +9,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Status is what a member knows of its group, for operators and metrics.
+// Status is the state of the group as one member knows it, for operators and metrics.
 type Status struct {
 	Name    string
 	Role    agreement.Role
@@ -20,18 +20,18 @@
 	Last, Synced, Committed, Applied uint64
 	// Snapshot is the index of the newest snapshot.
 	Snapshot uint64
-	// Recovering is true while the member grants no vote, because it started
-	// with an empty folder in a group that has a log.
+	// Recovering is true while the member grants no vote, because it started with an empty data
+	// folder in a group that has a log.
 	Recovering bool
-	// DiskFull is true while no room is left for writes.
+	// DiskFull is true while the disk has no space for writes.
 	DiskFull bool
-	// Peers tells, on the leader, how far each member is.
+	// Peers reports, on the leader, the progress of each member.
 	Peers []PeerStatus
 	// Refusals counts refused proposals, changes and confirmations.
 	Refusals map[oriolebend.Reason]uint64
 }
 
-// PeerStatus is how far one member is, as its leader sees it.
+// PeerStatus is the progress of one member as its leader knows it.
 type PeerStatus struct {
 	Name  string
 	Voter bool
@@ -41,15 +41,15 @@
 	Active bool
 }
 
-// leaderView is what Leader answers from.
+// leaderView is the leader and its address, as Leader returns them.
 type leaderView struct {
 	name, address string
-	// until ends the lease, on the leader itself only.
+	// until is the end of the lease, on the leader itself only; zero means none.
 	until time.Time
 }
 
-// Leader implements control.Log. A member that leads names itself only while
-// its lease runs.
+// Leader implements control.Log. A leading member returns its own name only until its lease
+// expires.
 func (r *Replica) Leader() (name, address string) {
 	view := r.leader.Load()
 	if !view.until.IsZero() && !time.Now().Before(view.until) {
@@ -58,10 +58,10 @@
 	return view.name, view.address
 }
 
-// Status returns the member's view as of the last tick.
+// Status returns the state of the group as of the last tick.
 func (r *Replica) Status() Status { return *r.status.Load() }
 
-// publish makes the state readable for other goroutines.
+// publish makes the current state available to other goroutines.
 func (r *Replica) publish() {
 	s := r.state
 	r.publishLeader()
