--- a/internal/disk/backup.go
+++ b/internal/disk/backup.go
@@ -7,11 +7,10 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/agreement"
 )
 
-// Backup copies the data folder, as it is now, into a new folder, and reads
-// the copy back. It may run beside Save: the copy ends at the last entry that
-// was durable when it began.
+// Backup copies the current data folder into a new folder, and reads the copy back. It may run
+// concurrently with Save: the copy ends at the last entry that was durable when it began.
 func (s *Store) Backup(destination string) error {
-	if err := requireNew(s.fs, destination); err != nil {
+	if err := makeEmptyFolder(s.fs, destination); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -33,38 +32,38 @@
 	return err
 }
 
-// copied is one file of a backup and how much of it.
-type copied struct {
+// fileCopy is one file of a backup and the size to copy.
+type fileCopy struct {
 	path string
 	size int64
 }
 
-// wholeFile marks a file that is copied to its end.
-const wholeFile = -1
+// completeFile is the size of a file that is copied to its end.
+const completeFile = -1
 
-func (s *Store) copyPlan() []copied {
-	var plan []copied
+func (s *Store) copyPlan() []fileCopy {
+	var plan []fileCopy
 	if n := len(s.snapshots); n > 0 {
-		plan = append(plan, copied{path: s.snapshots[n-1].path, size: wholeFile})
+		plan = append(plan, fileCopy{path: s.snapshots[n-1].path, size: completeFile})
 	}
 	for _, segment := range s.segments {
-		plan = append(plan, copied{path: segment.path, size: segment.synced})
+		plan = append(plan, fileCopy{path: segment.path, size: segment.synced})
 	}
 	return plan
 }
 
-func (s *Store) copyFile(c copied, destination string) error {
+func (s *Store) copyFile(c fileCopy, destination string) error {
 	data, err := s.fs.Read(c.path)
 	if err != nil {
-		return failed(c.path, 0, err)
+		return ioError(c.path, 0, err)
 	}
-	if c.size != wholeFile && c.size < int64(len(data)) {
+	if c.size != completeFile && c.size < int64(len(data)) {
 		data = data[:c.size]
 	}
-	return writeWhole(s.fs, filepath.Join(destination, filepath.Base(c.path)), data)
+	return writeAtomically(s.fs, filepath.Join(destination, filepath.Base(c.path)), data)
 }
 
-// Backup copies the data folder of a process that is stopped.
+// Backup copies the data folder of a stopped process.
 func Backup(folder, destination string) error {
 	id, exists, err := readIdentity(OS{}, folder)
 	if err != nil {
@@ -81,29 +80,28 @@
 	return s.Backup(destination)
 }
 
-// RestoreConfig says what a restored folder is for.
+// RestoreConfig configures a Restore.
 type RestoreConfig struct {
-	// Name is the member that will run on the folder; empty means the one that
-	// the backup is of.
+	// Name is the member that will run on the folder; empty means the member of the backup.
 	Name string
-	// Members replaces the members of the group; empty keeps those that the
-	// backup tells of. It must be the same on every VM that is restored.
+	// Members replaces the members of the group; empty keeps those of the backup. It must be the
+	// same on every VM that is restored.
 	Members []message.Member
-	// Generation must be higher than any that was in use; zero means one more
-	// than the backup's.
+	// Generation must be higher than any generation in use before; zero means one more than that of
+	// the backup.
 	Generation uint64
 }
 
-// Restore makes a new data folder from a backup. Members that were not
-// restored do not listen to those that were, since the generation differs:
-// an old member could otherwise bring back what the restore undid.
+// Restore creates a new data folder from a backup. Members that were not restored ignore the
+// messages of those that were, and the reverse, because their generations differ: an old member
+// could otherwise bring back changes that the restore has undone.
 func Restore(backup, folder string, config RestoreConfig) error {
 	fs := OS{}
 	content, err := Read(fs, backup)
 	if err != nil {
 		return err
 	}
-	if err := requireNew(fs, folder); err != nil {
+	if err := makeEmptyFolder(fs, folder); err != nil {
 		return err
 	}
 	identity := content.Identity
@@ -145,7 +143,7 @@
 			return err
 		}
 	}
-	// The identity comes last: without it the folder does not open.
+	// The identity is written last: without it the folder can't be opened.
 	return writeIdentity(fs, folder, id)
 }
 
@@ -156,7 +154,7 @@
 	return l.Snapshot.Index
 }
 
-// Content is what a folder holds, read without changing it.
+// Content is the content of a folder, read without changing it.
 type Content struct {
 	Identity Identity
 	Loaded
@@ -181,14 +179,14 @@
 	return Content{Identity: id, Loaded: loaded}, err
 }
 
-// requireNew makes a folder, and refuses one that holds anything.
-func requireNew(fs FileSystem, folder string) error {
+// makeEmptyFolder creates a folder, and returns an error if it exists and is not empty.
+func makeEmptyFolder(fs FileSystem, folder string) error {
 	if err := fs.MakeFolder(folder); err != nil {
-		return failed(folder, 0, err)
+		return ioError(folder, 0, err)
 	}
 	names, err := fs.Names(folder)
 	if err != nil {
-		return failed(folder, 0, err)
+		return ioError(folder, 0, err)
 	}
 	if len(names) > 0 {
 		return &Error{Kind: KindOccupied, File: folder, Detail: "the folder is not empty"}
@@ -196,7 +194,7 @@
 	return nil
 }
 
-// readOnly is a file system whose changes go nowhere.
+// readOnly is a file system that ignores changes.
 type readOnly struct{ FileSystem }
 
 // Append implements FileSystem.
--- a/internal/disk/faulty_test.go
+++ b/internal/disk/faulty_test.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// memory is a file system that forgets what was not synced, and fails on
+// memoryFileSystem is a file system in memory that loses unsynced data in a crash, and fails on
 // demand.
-type memory struct {
+type memoryFileSystem struct {
 	files map[string]*memoryFile
-	// names are the files that a crash leaves, as of the last SyncFolder.
-	names map[string]*memoryFile
-	// fail is asked before each operation, by its name and file.
+	// durableNames are the files that a crash leaves, as of the last SyncFolder.
+	durableNames map[string]*memoryFile
+	// fail is called before each operation with its name and file, and returns the error to inject.
 	fail func(operation, name string) error
 }
 
@@ -25,23 +25,23 @@
 	durable []byte
 }
 
-func newMemory() *memory {
-	return &memory{
-		files: map[string]*memoryFile{}, names: map[string]*memoryFile{},
+func newMemoryFileSystem() *memoryFileSystem {
+	return &memoryFileSystem{
+		files: map[string]*memoryFile{}, durableNames: map[string]*memoryFile{},
 		fail: func(string, string) error { return nil },
 	}
 }
 
-// crash drops unsynced names, and keeps a random part of unsynced content, of
-// which a byte may be wrong.
-func (m *memory) crash(random *rand.Rand) {
+// crash drops unsynced names, and keeps a random part of the unsynced content, one byte of which
+// may be wrong.
+func (m *memoryFileSystem) crash(random *rand.Rand) {
 	if random.IntN(2) == 0 {
-		m.files = maps.Clone(m.names)
+		m.files = maps.Clone(m.durableNames)
 	}
 	for _, path := range slices.Sorted(maps.Keys(m.files)) {
 		m.files[path].crash(random)
 	}
-	m.names = maps.Clone(m.files)
+	m.durableNames = maps.Clone(m.files)
 	m.fail = func(string, string) error { return nil }
 }
 
@@ -55,13 +55,13 @@
 		}
 		kept = append(kept, extra...)
 	} else if cut := random.IntN(len(f.data) + 1); cut < len(kept) {
-		// Some of what replaces the old content, in front of the rest of it.
+		// A part of the new content replaces the start of the old content.
 		copy(kept, f.data[:cut])
 	}
 	f.data, f.durable = kept, slices.Clone(kept)
 }
 
-func (m *memory) Create(path string) (File, error) {
+func (m *memoryFileSystem) Create(path string) (File, error) {
 	if err := m.fail("create", filepath.Base(path)); err != nil {
 		return nil, err
 	}
@@ -70,20 +70,20 @@
 	return &memoryHandle{m, f}, nil
 }
 
-func (m *memory) Append(path string) (File, error) { return m.Open(path) }
+func (m *memoryFileSystem) Append(path string) (File, error) { return m.Open(path) }
 
-func (m *memory) Open(path string) (File, error) {
+func (m *memoryFileSystem) Open(path string) (File, error) {
 	if err := m.fail("open", filepath.Base(path)); err != nil {
 		return nil, err
 	}
 	return &memoryHandle{m, m.files[path]}, nil
 }
 
-func (m *memory) Read(path string) ([]byte, error) {
+func (m *memoryFileSystem) Read(path string) ([]byte, error) {
 	return slices.Clone(m.files[path].data), m.fail("read", filepath.Base(path))
 }
 
-func (m *memory) Rename(from, to string) error {
+func (m *memoryFileSystem) Rename(from, to string) error {
 	if err := m.fail("rename", filepath.Base(to)); err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func (m *memory) Remove(path string) error {
+func (m *memoryFileSystem) Remove(path string) error {
 	if err := m.fail("remove", filepath.Base(path)); err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func (m *memory) Names(folder string) ([]string, error) {
+func (m *memoryFileSystem) Names(folder string) ([]string, error) {
 	var names []string
 	for path := range m.files {
 		if strings.HasPrefix(path, folder+"/") {
@@ -112,26 +112,26 @@
 	return names, nil
 }
 
-func (m *memory) MakeFolder(string) error { return nil }
+func (m *memoryFileSystem) MakeFolder(string) error { return nil }
 
-func (m *memory) SyncFolder(string) error {
+func (m *memoryFileSystem) SyncFolder(string) error {
 	if err := m.fail("syncFolder", ""); err != nil {
 		return err
 	}
-	m.names = maps.Clone(m.files)
+	m.durableNames = maps.Clone(m.files)
 	return nil
 }
 
-func (m *memory) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
+func (m *memoryFileSystem) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
-func (m *memory) Free(string) (uint64, error) { return 1 << 40, m.fail("free", "") }
+func (m *memoryFileSystem) Free(string) (uint64, error) { return 1 << 40, m.fail("free", "") }
 
 type memoryHandle struct {
-	m *memory
+	m *memoryFileSystem
 	f *memoryFile
 }
 
-// Write writes half of the data if it is to fail.
+// Write writes half of the data if an error is injected.
 func (h *memoryHandle) Write(data []byte) (int, error) {
 	if err := h.m.fail("write", h.f.name); err != nil {
 		h.f.data = append(h.f.data, data[:len(data)/2]...)
--- a/internal/disk/filesystem.go
+++ b/internal/disk/filesystem.go
@@ -17,8 +17,7 @@
 	Truncate(size int64) error
 }
 
-// FileSystem is what a data folder needs of the file system; tests put faults
-// into it.
+// FileSystem is the part of a file system that a data folder uses; tests inject faults into it.
 type FileSystem interface {
 	// Create opens a new file for writing and reading, and replaces an old one.
 	Create(path string) (File, error)
@@ -33,14 +32,14 @@
 	MakeFolder(folder string) error
 	// SyncFolder makes created, renamed and removed names durable.
 	SyncFolder(folder string) error
-	// Lock keeps other processes away from a folder until the closer is closed;
-	// it fails with an *Error of KindLocked if one is there already.
+	// Lock prevents other processes from using a folder until the closer is closed; it fails with
+	// an *Error of KindLocked if another process uses the folder already.
 	Lock(folder string) (io.Closer, error)
 	// Free returns the bytes that may still be written.
 	Free(folder string) (uint64, error)
 }
 
-// fileMode keeps other users of the VM out.
+// fileMode and folderMode deny access to other users of the VM.
 const (
 	fileMode   = 0o600
 	folderMode = 0o700
@@ -112,8 +111,8 @@
 	return stat.Bavail * uint64(stat.Bsize), nil
 }
 
-// failed types an error of the file system.
-func failed(path string, offset int64, err error) error {
+// ioError returns an error of the file system as an *Error of KindFull or KindIO.
+func ioError(path string, offset int64, err error) error {
 	kind := KindIO
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
 		kind = KindFull
@@ -121,18 +120,17 @@
 	return &Error{Kind: kind, File: filepath.Base(path), Offset: offset, Cause: err}
 }
 
-func syncFailed(path string, err error) error {
+func syncError(path string, err error) error {
 	return &Error{Kind: KindSync, File: filepath.Base(path), Cause: err}
 }
 
-// writeWhole puts a file in place as a whole: it is written under another
-// name, synced and renamed, so that a crash leaves the old or the new file and
-// never a part.
-func writeWhole(fs FileSystem, path string, parts ...[]byte) error {
+// writeAtomically writes a complete file under a temporary name, syncs it and renames it, so that a
+// crash leaves the old or the new file and never a part of one.
+func writeAtomically(fs FileSystem, path string, parts ...[]byte) error {
 	temporary := path + temporarySuffix
 	f, err := fs.Create(temporary)
 	if err != nil {
-		return failed(path, 0, err)
+		return ioError(path, 0, err)
 	}
 	if err := writeParts(f, path, parts); err != nil {
 		_ = f.Close()
@@ -140,13 +138,13 @@
 		return err
 	}
 	if err := f.Close(); err != nil {
-		return failed(path, 0, err)
+		return ioError(path, 0, err)
 	}
 	if err := fs.Rename(temporary, path); err != nil {
-		return failed(path, 0, err)
+		return ioError(path, 0, err)
 	}
 	if err := fs.SyncFolder(filepath.Dir(path)); err != nil {
-		return syncFailed(path, err)
+		return syncError(path, err)
 	}
 	return nil
 }
@@ -156,12 +154,12 @@
 	for _, part := range parts {
 		n, err := f.Write(part)
 		if err != nil {
-			return failed(path, offset+int64(n), err)
+			return ioError(path, offset+int64(n), err)
 		}
 		offset += int64(n)
 	}
 	if err := f.Sync(); err != nil {
-		return syncFailed(path, err)
+		return syncError(path, err)
 	}
 	return nil
 }
--- a/internal/disk/frame.go
+++ b/internal/disk/frame.go
@@ -12,12 +12,12 @@
 // A segment file is a header and frames. A frame is
 //
 //	length    4 bytes, of the payload; zero for a mark
-//	checksum  4 bytes, CRC32C of all the rest of the frame
-//	synced    8 bytes, how much of the file was synced before the frame
+//	checksum  4 bytes, CRC32C of everything else in the frame
+//	synced    8 bytes, how many bytes of the file were synced before the frame was written
 //	payload   a log entry in CBOR
 //
-// All numbers are big endian. A mark is written after each sync, without a
-// sync of its own: it tells a later start that what is before it was promised.
+// All numbers are big endian. A mark is written after each sync, without a sync of its own. It shows
+// a later start that everything before it was synced and may have been acknowledged.
 const (
 	frameHeaderBytes = 16
 	maxPayloadBytes  = 64 << 20
@@ -29,7 +29,7 @@
 type frame struct {
 	synced  int64
 	payload []byte
-	// size is the length of the whole frame in the file.
+	// size is the length of the complete frame in the file.
 	size int64
 }
 
@@ -48,8 +48,8 @@
 	return crc32.Update(sum, castagnoli, data[8:])
 }
 
-// parseFrame decodes the frame at the start of data; it is false if there is
-// no whole and sound one.
+// parseFrame decodes the frame at the start of data; it reports false if that frame is incomplete
+// or damaged.
 func parseFrame(data []byte) (frame, bool) {
 	if len(data) < frameHeaderBytes {
 		return frame{}, false
--- a/internal/disk/fuzz_test.go
+++ b/internal/disk/fuzz_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// Symptom: a member dies of a damaged file instead of reporting it. Sequence:
-// any bytes stand where a segment, vote or snapshot should. Cause: a length
-// that is trusted.
+// Guards against a member that crashes on a damaged file instead of reporting it: any bytes are in
+// place of a segment, vote or snapshot, and a length in them is trusted.
 func FuzzFiles(f *testing.F) {
 	header := binary.BigEndian.AppendUint64([]byte(segmentMagic), 1)
 	segment := bytes.Clone(header)
--- a/internal/disk/hard.go
+++ b/internal/disk/hard.go
@@ -8,22 +8,22 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/agreement"
 )
 
-// hardFile holds the term and vote, as one frame.
+// hardFile is the file that holds the term and the vote, as one frame.
 const hardFile = "vote"
 
 func writeHard(fs FileSystem, folder string, hard agreement.HardState) error {
 	payload, err := cbor.Marshal(hard)
 	if err != nil {
-		return failed(hardFile, 0, err)
+		return ioError(hardFile, 0, err)
 	}
-	return writeWhole(fs, filepath.Join(folder, hardFile), appendFrame(nil, 0, payload))
+	return writeAtomically(fs, filepath.Join(folder, hardFile), appendFrame(nil, 0, payload))
 }
 
 func parseHard(data []byte) (agreement.HardState, error) {
 	var hard agreement.HardState
 	f, ok := parseFrame(data)
 	if !ok || f.size != int64(len(data)) {
-		return hard, damaged(hardFile, 0, "the checksum does not match")
+		return hard, damageError(hardFile, 0, "the checksum does not match")
 	}
 	if err := cbor.Unmarshal(f.payload, &hard); err != nil {
 		return hard, &Error{Kind: KindDamaged, File: hardFile, Cause: err}
--- a/internal/disk/identity.go
+++ b/internal/disk/identity.go
@@ -7,37 +7,37 @@
 	"slices"
 )
 
-// Format of the data folder. Version grows with each change that an earlier
-// program can't read.
+// Format of the data folder. The version is increased with each change that an earlier program
+// can't read.
 const (
 	formatName    = "oriolebend-control"
 	formatVersion = 1
 	formatFile    = "format.json"
 )
 
-// Identity says whose data folder it is.
+// Identity identifies the format, member, group and generation of a data folder.
 type Identity struct {
 	Format  string `json:"format"`
 	Version int    `json:"version"`
 	Group   string `json:"group"`
 	Name    string `json:"name"`
-	// Generation grows with each restore; members of different generations do
-	// not listen to each other.
+	// Generation is increased by each restore; members of different generations ignore each other's
+	// messages.
 	Generation uint64 `json:"generation"`
 }
 
-// readIdentity returns the folder's identity; it is false for a new folder.
+// readIdentity returns the folder's identity; it reports false for a new folder.
 func readIdentity(fs FileSystem, folder string) (Identity, bool, error) {
 	names, err := fs.Names(folder)
 	if err != nil {
-		return Identity{}, false, failed(folder, 0, err)
+		return Identity{}, false, ioError(folder, 0, err)
 	}
 	if !slices.Contains(names, formatFile) {
-		return Identity{}, false, checkNew(names)
+		return Identity{}, false, checkNoLogFiles(names)
 	}
 	data, err := fs.Read(filepath.Join(folder, formatFile))
 	if err != nil {
-		return Identity{}, false, failed(formatFile, 0, err)
+		return Identity{}, false, ioError(formatFile, 0, err)
 	}
 	var id Identity
 	if err := json.Unmarshal(data, &id); err != nil {
@@ -46,14 +46,14 @@
 	return id, true, checkFormat(id)
 }
 
-// checkNew refuses a folder without an identity that holds files of a log:
-// taking it for new would make the member forget its votes.
-func checkNew(names []string) error {
+// checkNoLogFiles returns an error if a folder without an identity holds files of a log: treating
+// it as new would make the member forget its votes.
+func checkNoLogFiles(names []string) error {
 	for _, name := range names {
 		if isSegment(name) || isSnapshot(name) || name == hardFile {
 			return &Error{
 				Kind: KindDamaged, File: formatFile,
-				Detail: "the file is missing, and " + name + " is there",
+				Detail: "the file is missing, but " + name + " exists",
 			}
 		}
 	}
@@ -61,7 +61,7 @@
 }
 
 func checkFormat(id Identity) error {
-	detail := fmt.Sprintf("the folder has %s %d, this program %s %d",
+	detail := fmt.Sprintf("the folder has format %s version %d, this program supports %s version %d",
 		id.Format, id.Version, formatName, formatVersion)
 	switch {
 	case id.Format != formatName || id.Version > formatVersion:
@@ -72,23 +72,23 @@
 	return nil
 }
 
-// SetGeneration moves an empty folder to a later generation of its group.
+// SetGeneration changes the generation of an empty folder to a later one of its group.
 func (s *Store) SetGeneration(generation uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken != nil {
-		return s.broken
+	if s.failure != nil {
+		return s.failure
 	}
 	id := s.identity
 	id.Generation = generation
-	if err := s.note(writeIdentity(s.fs, s.config.Folder, id)); err != nil {
+	if err := s.recordFailure(writeIdentity(s.fs, s.config.Folder, id)); err != nil {
 		return err
 	}
 	s.identity = id
 	return nil
 }
 
-// Identity returns whose folder it is.
+// Identity returns the identity of the folder.
 func (s *Store) Identity() Identity {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +99,7 @@
 	id.Format, id.Version = formatName, formatVersion
 	data, err := json.Marshal(id)
 	if err != nil {
-		return failed(formatFile, 0, err)
+		return ioError(formatFile, 0, err)
 	}
-	return writeWhole(fs, filepath.Join(folder, formatFile), append(data, '\n'))
+	return writeAtomically(fs, filepath.Join(folder, formatFile), append(data, '\n'))
 }
--- a/internal/disk/load.go
+++ b/internal/disk/load.go
@@ -10,7 +10,7 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/agreement"
 )
 
-// load reads the folder, or makes its identity if it is new.
+// load reads the folder, or writes its identity if it is new.
 func (s *Store) load() (Loaded, error) {
 	id, exists, err := readIdentity(s.fs, s.config.Folder)
 	if err != nil {
@@ -25,23 +25,22 @@
 	if id.Group != s.config.Group || id.Name != s.config.Name {
 		return Loaded{}, &Error{
 			Kind: KindForeign, File: formatFile,
-			Detail: fmt.Sprintf("the folder is of %s in group %s", id.Name, id.Group),
+			Detail: fmt.Sprintf("the folder belongs to member %s of group %s", id.Name, id.Group),
 		}
 	}
 	s.identity = id
 	return s.loadFiles()
 }
 
-// loadFiles reads all that is in the folder, after making its names durable:
-// an earlier process may have died between a rename and its sync, and what is
-// read here counts as promised.
+// loadFiles reads all files of the folder, after making their names durable: an earlier process may
+// have ended between a rename and its sync, and everything read here counts as acknowledged.
 func (s *Store) loadFiles() (Loaded, error) {
 	if err := s.fs.SyncFolder(s.config.Folder); err != nil {
-		return Loaded{}, syncFailed(s.config.Folder, err)
+		return Loaded{}, syncError(s.config.Folder, err)
 	}
 	names, err := s.fs.Names(s.config.Folder)
 	if err != nil {
-		return Loaded{}, failed(s.config.Folder, 0, err)
+		return Loaded{}, ioError(s.config.Folder, 0, err)
 	}
 	var loaded Loaded
 	for _, name := range names {
@@ -52,16 +51,16 @@
 	if err := s.loadSegments(names, &loaded); err != nil {
 		return Loaded{}, err
 	}
-	return loaded, s.fit(&loaded)
+	return loaded, s.reconcileLog(&loaded)
 }
 
-// loadFile reads the vote and the snapshots; the newest snapshot wins. A file
-// that a crash left half written still has its temporary name and goes.
+// loadFile reads the vote or a snapshot; the newest snapshot replaces earlier ones. A file that a
+// crash left incomplete still has its temporary name and is removed.
 func (s *Store) loadFile(name string, loaded *Loaded) error {
 	path := filepath.Join(s.config.Folder, name)
 	if strings.HasSuffix(name, temporarySuffix) {
 		if err := s.fs.Remove(path); err != nil {
-			return failed(path, 0, err)
+			return ioError(path, 0, err)
 		}
 		return nil
 	}
@@ -70,7 +69,7 @@
 	}
 	data, err := s.fs.Read(path)
 	if err != nil {
-		return failed(path, 0, err)
+		return ioError(path, 0, err)
 	}
 	if name == hardFile {
 		loaded.Hard, err = parseHard(data)
@@ -102,7 +101,7 @@
 	path := filepath.Join(s.config.Folder, name)
 	data, err := s.fs.Read(path)
 	if err != nil {
-		return failed(path, 0, err)
+		return ioError(path, 0, err)
 	}
 	segment, entries, torn, err := readSegment(name, data, last)
 	if err != nil {
@@ -110,7 +109,7 @@
 	}
 	segment.path = path
 	if n := len(s.segments); n > 0 && s.segments[n-1].next() != segment.first {
-		return damaged(name, 0, "the segment before it is missing")
+		return damageError(name, 0, "the previous segment is missing")
 	}
 	s.segments = append(s.segments, segment)
 	loaded.Entries = append(loaded.Entries, entries...)
@@ -118,36 +117,36 @@
 		segment.synced = segment.size
 		return nil
 	}
-	return s.openLast(segment, int64(len(data)), torn, loaded)
+	return s.openLastSegment(segment, int64(len(data)), torn, loaded)
 }
 
-// openLast opens the last segment for writing, cuts a torn write off and syncs
-// what is left: an earlier process may have written it without a sync.
-func (s *Store) openLast(last *segment, size, torn int64, loaded *Loaded) error {
+// openLastSegment opens the last segment for writing, cuts off an incomplete write and syncs the
+// rest: an earlier process may have written it without a sync.
+func (s *Store) openLastSegment(last *segment, size, torn int64, loaded *Loaded) error {
 	if err := s.reopen(last); err != nil {
 		return err
 	}
 	if torn >= 0 {
 		loaded.CutBytes = size - torn
 		if err := last.file.Truncate(torn); err != nil {
-			return failed(last.path, torn, err)
+			return ioError(last.path, torn, err)
 		}
 	}
 	return last.sync()
 }
 
-// fit checks that snapshot and log belong together. A log that the snapshot
-// replaced, but which a crash left in place, goes.
-func (s *Store) fit(loaded *Loaded) error {
+// reconcileLog checks that the log continues the snapshot. A log that the snapshot replaced, but
+// that a crash left in place, is removed.
+func (s *Store) reconcileLog(loaded *Loaded) error {
 	if len(loaded.Entries) == 0 {
 		return s.dropEmptyLog(loaded.Snapshot.Index)
 	}
 	first := loaded.Entries[0].Index
 	if first > loaded.Snapshot.Index+1 {
-		return damaged(filepath.Base(s.segments[0].path), 0, fmt.Sprintf(
+		return damageError(filepath.Base(s.segments[0].path), 0, fmt.Sprintf(
 			"the log begins at %d, the snapshot ends at %d", first, loaded.Snapshot.Index))
 	}
-	if first == loaded.Snapshot.Index+1 || covers(loaded.Entries, loaded.Snapshot) {
+	if first == loaded.Snapshot.Index+1 || containsSnapshotEntry(loaded.Entries, loaded.Snapshot) {
 		return nil
 	}
 	loaded.Entries = nil
@@ -159,14 +158,13 @@
 	return nil
 }
 
-// covers tells whether the log holds the snapshot's last entry.
-func covers(entries []message.LogEntry, snapshot agreement.SnapshotMeta) bool {
+// containsSnapshotEntry reports whether the log holds the last entry that the snapshot covers.
+func containsSnapshotEntry(entries []message.LogEntry, snapshot agreement.SnapshotMeta) bool {
 	at := snapshot.Index - entries[0].Index
 	return at < uint64(len(entries)) && entries[at].Term == snapshot.Term
 }
 
-// dropEmptyLog removes a segment without entries that does not begin after the
-// snapshot.
+// dropEmptyLog removes segments without entries that do not begin right after the snapshot.
 func (s *Store) dropEmptyLog(snapshot uint64) error {
 	for len(s.segments) > 0 && s.segments[0].first != snapshot+1 {
 		if err := s.dropSegment(len(s.segments) - 1); err != nil {
--- a/internal/disk/note_test.go
+++ b/internal/disk/note_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// A note is read as it was written, the newest wins, and one that is damaged is told as
-// such: it must not pass for another.
+// Checks that the newest note is read back as it was written, and that a damaged note returns an
+// error instead of a wrong value.
 func TestNote(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
--- a/internal/disk/segment.go
+++ b/internal/disk/segment.go
@@ -21,10 +21,10 @@
 type segment struct {
 	path  string
 	first uint64
-	// offsets tells where each entry's frame begins.
+	// offsets are the places of the entries' frames in the file.
 	offsets []int64
 	size    int64
-	// synced is how much of the file is durable.
+	// synced is the size of the durable part of the file.
 	synced int64
 	file   File
 }
@@ -39,16 +39,16 @@
 
 func (s *segment) next() uint64 { return s.first + uint64(len(s.offsets)) }
 
-// createSegment makes an empty segment durable.
+// createSegment creates an empty segment and makes it durable.
 func createSegment(fs FileSystem, folder string, first uint64) (*segment, error) {
 	path := filepath.Join(folder, segmentName(first))
 	header := binary.BigEndian.AppendUint64([]byte(segmentMagic), first)
-	if err := writeWhole(fs, path, header); err != nil {
+	if err := writeAtomically(fs, path, header); err != nil {
 		return nil, err
 	}
 	file, err := fs.Append(path)
 	if err != nil {
-		return nil, failed(path, 0, err)
+		return nil, ioError(path, 0, err)
 	}
 	return &segment{
 		path: path, first: first, file: file,
@@ -56,15 +56,14 @@
 	}, nil
 }
 
-// write appends entries without syncing them. If the disk is full nothing of
-// them remains.
+// write appends entries without syncing them. If the disk is full, nothing of them remains.
 func (s *segment) write(entries []message.LogEntry) error {
 	var buffer []byte
 	offsets := make([]int64, 0, len(entries))
 	for _, e := range entries {
 		payload, err := encodeEntry(e)
 		if err != nil {
-			return failed(s.path, s.size, err)
+			return ioError(s.path, s.size, err)
 		}
 		offsets = append(offsets, s.size+int64(len(buffer)))
 		buffer = appendFrame(buffer, s.synced, payload)
@@ -82,7 +81,7 @@
 		s.size += int64(len(buffer))
 		return nil
 	}
-	wrapped := failed(s.path, s.size, err)
+	wrapped := ioError(s.path, s.size, err)
 	if cut := s.file.Truncate(s.size); cut != nil {
 		return &Error{
 			Kind: KindIO, File: filepath.Base(s.path), Offset: s.size,
@@ -92,45 +91,45 @@
 	return wrapped
 }
 
-// sync makes all that was written durable.
+// sync makes everything written so far durable.
 func (s *segment) sync() error {
 	if err := s.file.Sync(); err != nil {
-		return syncFailed(s.path, err)
+		return syncError(s.path, err)
 	}
 	s.synced = s.size
 	return nil
 }
 
-// mark notes in the file that all before it is synced.
+// mark records in the file that everything before it is synced.
 //
-// Without it the last entries of the file, once damaged, could not be told
-// from a write that a crash cut short, and would be dropped in silence.
+// Without the mark, damage to the last entries of the file could not be distinguished from a write
+// that a crash cut short, and they would be dropped without an error.
 func (s *segment) mark() error { return s.writeRaw(appendFrame(nil, s.synced, nil)) }
 
-// truncate drops the entries from index on and syncs that.
+// truncate drops the entries from index on and syncs the file.
 //
-// Without the sync a crash could leave new frames in front of old ones, which
-// looks like a damaged middle.
+// Without the sync a crash could leave new frames in front of old ones, which looks like damage in
+// the middle of the file.
 func (s *segment) truncate(from uint64) error {
 	keep := from - s.first
 	offset := s.offsets[keep]
 	if err := s.file.Truncate(offset); err != nil {
-		return failed(s.path, offset, err)
+		return ioError(s.path, offset, err)
 	}
 	s.offsets = s.offsets[:keep]
 	s.size = offset
 	return s.sync()
 }
 
-// readSegment reads a segment back. Only the last one may end in a torn frame;
-// torn is where it does, or -1.
+// readSegment decodes a segment. Only the last one may end in a torn frame; torn is the offset of
+// that frame, or -1.
 func readSegment(name string, data []byte, last bool) (s *segment, entries []message.LogEntry, torn int64, err error) {
 	if int64(len(data)) < segmentHeaderBytes || string(data[:len(segmentMagic)]) != segmentMagic {
-		return nil, nil, 0, damaged(name, 0, "no segment header")
+		return nil, nil, 0, damageError(name, 0, "the segment header is missing or damaged")
 	}
 	s = &segment{first: binary.BigEndian.Uint64(data[len(segmentMagic):])}
 	if segmentName(s.first) != name {
-		return nil, nil, 0, damaged(name, 0, "the header names another segment")
+		return nil, nil, 0, damageError(name, 0, "the index in the header does not match the file name")
 	}
 	offset := segmentHeaderBytes
 	for offset < int64(len(data)) {
@@ -145,7 +144,7 @@
 		if len(f.payload) > 0 {
 			e, err := decodeEntry(f.payload)
 			if err != nil || e.Index != s.next() {
-				return nil, nil, 0, damaged(name, offset, "the frame does not hold the next entry")
+				return nil, nil, 0, damageError(name, offset, "the frame does not contain the next entry")
 			}
 			s.offsets = append(s.offsets, offset)
 			entries = append(entries, e)
@@ -156,22 +155,22 @@
 	return s, entries, -1, nil
 }
 
-// checkTorn tells a write that a crash cut short from damage: if any later
-// frame says that this place was synced before it, an entry that may have been
-// accepted is lost, and must not be dropped in silence.
+// checkTorn distinguishes a write that a crash cut short from damage. If any later frame shows that
+// this place was synced before that frame was written, an entry that may have been accepted is
+// lost, and must not be dropped without an error.
 func checkTorn(name string, data []byte, offset int64, last bool) error {
 	if !last {
-		return damaged(name, offset, "a sealed segment has a broken frame")
+		return damageError(name, offset, "a frame in a sealed segment is damaged")
 	}
 	for at := offset + 1; at+frameHeaderBytes <= int64(len(data)); at++ {
 		f, ok := parseFrame(data[at:])
 		if ok && f.synced > offset && f.synced <= at {
-			return damaged(name, offset, "a frame is broken that was synced")
+			return damageError(name, offset, "a synced frame is damaged")
 		}
 	}
 	return nil
 }
 
-func damaged(name string, offset int64, detail string) error {
+func damageError(name string, offset int64, detail string) error {
 	return &Error{Kind: KindDamaged, File: name, Offset: offset, Detail: detail}
 }
--- a/internal/disk/snapshot.go
+++ b/internal/disk/snapshot.go
@@ -12,15 +12,15 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/agreement"
 )
 
-// A snapshot file is the magic, a frame with the meta data, the state itself
-// and a CRC32C of the state.
+// A snapshot file consists of the magic bytes, a frame with the metadata, the state and a CRC32C of
+// the state.
 const (
 	snapshotPrefix = "snapshot-"
 	snapshotSuffix = ".state"
 	snapshotMagic  = "oriosnp1"
 	checksumBytes  = 4
-	// keepSnapshots is how many snapshots stay: one may be on its way to
-	// another member while the next is made.
+	// keepSnapshots is the number of snapshots that are kept: one may still be sent to another
+	// member while the next is made.
 	keepSnapshots = 2
 )
 
@@ -28,7 +28,7 @@
 type snapshotFile struct {
 	index uint64
 	path  string
-	// offset and size tell where the state is in the file.
+	// offset and size are the place of the state in the file.
 	offset, size int64
 }
 
@@ -44,11 +44,11 @@
 	path := filepath.Join(folder, snapshotName(s.Meta.Index))
 	meta, err := cbor.Marshal(s.Meta)
 	if err != nil {
-		return snapshotFile{}, failed(path, 0, err)
+		return snapshotFile{}, ioError(path, 0, err)
 	}
 	head := appendFrame([]byte(snapshotMagic), 0, meta)
 	sum := binary.BigEndian.AppendUint32(nil, crc32.Checksum(s.Data, castagnoli))
-	if err := writeWhole(fs, path, head, s.Data, sum); err != nil {
+	if err := writeAtomically(fs, path, head, s.Data, sum); err != nil {
 		return snapshotFile{}, err
 	}
 	return snapshotFile{
@@ -61,11 +61,11 @@
 	var s agreement.Snapshot
 	magic := len(snapshotMagic)
 	if len(data) < magic || string(data[:magic]) != snapshotMagic {
-		return s, snapshotFile{}, damaged(name, 0, "no snapshot header")
+		return s, snapshotFile{}, damageError(name, 0, "the snapshot header is missing or damaged")
 	}
 	f, ok := parseFrame(data[magic:])
 	if !ok {
-		return s, snapshotFile{}, damaged(name, int64(magic), "the meta data is broken")
+		return s, snapshotFile{}, damageError(name, int64(magic), "the frame of the metadata is damaged")
 	}
 	if err := cbor.Unmarshal(f.payload, &s.Meta); err != nil {
 		return s, snapshotFile{}, &Error{Kind: KindDamaged, File: name, Offset: int64(magic), Cause: err}
@@ -73,14 +73,14 @@
 	offset := int64(magic) + f.size
 	size := int64(len(data)) - offset - checksumBytes
 	if size < 0 {
-		return s, snapshotFile{}, damaged(name, offset, "the state is cut short")
+		return s, snapshotFile{}, damageError(name, offset, "the state is incomplete")
 	}
 	s.Data = data[offset : offset+size]
 	if binary.BigEndian.Uint32(data[offset+size:]) != crc32.Checksum(s.Data, castagnoli) {
-		return s, snapshotFile{}, damaged(name, offset, "the checksum of the state does not match")
+		return s, snapshotFile{}, damageError(name, offset, "the checksum of the state does not match")
 	}
 	if snapshotName(s.Meta.Index) != name {
-		return s, snapshotFile{}, damaged(name, 0, "the header names another snapshot")
+		return s, snapshotFile{}, damageError(name, 0, "the index in the metadata does not match the file name")
 	}
 	return s, snapshotFile{index: s.Meta.Index, offset: offset, size: size}, nil
 }
--- a/internal/disk/store.go
+++ b/internal/disk/store.go
@@ -1,7 +1,7 @@
-// Package disk keeps a member's log, vote and snapshots in one data folder.
-// What Save returned for is durable; a write that a crash cut short is dropped
-// at the next start; damage to anything that was durable is reported with its
-// file and place, and never guessed at.
+// Package disk stores a member's log, vote and snapshots in one data folder. Changes are durable
+// once Save has returned without an error. A write that a crash cut short is dropped at the next
+// start. Damage to durable data is reported with its file and place, and never repaired by
+// guessing.
 package disk
 
 import (
@@ -15,23 +15,23 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/agreement"
 )
 
-// DefaultSegmentBytes is the size at which a new segment file begins.
+// DefaultSegmentBytes is the size at which a new segment file is started.
 const DefaultSegmentBytes = 16 << 20
 
 // Config configures a Store. Folder, Group and Name are required.
 type Config struct {
 	Folder string
-	// Group and Name must be those that the folder was made for.
+	// Group and Name must be those that the folder was created for.
 	Group string
 	Name  string
 	// SegmentBytes is the size of a segment file; zero means 16 MiB.
 	SegmentBytes int64
-	// FileSystem is the VM's own if nil.
+	// FileSystem replaces the VM's own file system if it is not nil.
 	FileSystem FileSystem
 }
 
-// Store is an open data folder. Its methods may be called from several
-// goroutines, but Save from one at a time.
+// Store is an open data folder. Its methods may be called by several goroutines, but Save only by
+// one at a time.
 type Store struct {
 	config   Config
 	fs       FileSystem
@@ -42,21 +42,20 @@
 	segments  []*segment
 	snapshots []snapshotFile
 	hard      agreement.HardState
-	// broken is the failure after which nothing is written any more.
-	broken error
+	// failure is the error after which nothing is written any more.
+	failure error
 }
 
-// Loaded is what a data folder holds.
+// Loaded is the content of a data folder.
 type Loaded struct {
 	agreement.Restored
 	// State is the state of the snapshot, nil if there is none.
 	State []byte
-	// CutBytes is how much of a torn write was dropped.
+	// CutBytes is the size of the incomplete write that was dropped.
 	CutBytes int64
 }
 
-// Open locks and reads a data folder, or makes a new one. Errors are *Error
-// values.
+// Open locks and reads a data folder, or creates a new one. Errors are *Error values.
 func Open(config Config) (*Store, Loaded, error) {
 	if config.FileSystem == nil {
 		config.FileSystem = OS{}
@@ -66,7 +65,7 @@
 	}
 	s := &Store{config: config, fs: config.FileSystem}
 	if err := s.fs.MakeFolder(config.Folder); err != nil {
-		return nil, Loaded{}, failed(config.Folder, 0, err)
+		return nil, Loaded{}, ioError(config.Folder, 0, err)
 	}
 	lock, err := s.fs.Lock(config.Folder)
 	if err != nil {
@@ -80,34 +79,34 @@
 	return s, loaded, nil
 }
 
-// Free returns the bytes that the disk has left.
+// Free returns the free bytes of the disk.
 func (s *Store) Free() (uint64, error) {
 	free, err := s.fs.Free(s.config.Folder)
 	if err != nil {
-		return 0, failed(s.config.Folder, 0, err)
+		return 0, ioError(s.config.Folder, 0, err)
 	}
 	return free, nil
 }
 
-// Save makes changes durable with one sync of the log. If it fails with
-// KindFull none of the changes was promised and the same call is to be made
-// again before any other; after any other failure the process must stop.
+// Save makes changes durable with one sync of the log. If it fails with KindFull, none of the
+// changes was acknowledged, and the same call must be repeated before any other; after any other
+// failure the process must stop.
 func (s *Store) Save(changes []agreement.Persist) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken != nil {
-		return s.broken
+	if s.failure != nil {
+		return s.failure
 	}
-	return s.note(s.save(changes))
+	return s.recordFailure(s.save(changes))
 }
 
-// note remembers a failure after which nothing may be written.
+// recordFailure records a failure after which nothing may be written, and returns err.
 //
-// After a failed sync the kernel may drop the unwritten pages and report the
-// next sync as good: going on would promise entries that are gone.
-func (s *Store) note(err error) error {
-	if err != nil && !isFull(err) && s.broken == nil {
-		s.broken = err
+// After a failed sync the kernel may drop the unwritten pages and report the next sync as
+// successful: continuing would acknowledge entries that are lost.
+func (s *Store) recordFailure(err error) error {
+	if err != nil && !isFull(err) && s.failure == nil {
+		s.failure = err
 	}
 	return err
 }
@@ -126,8 +125,8 @@
 		}
 		entries = merge(entries, c.Entries)
 	}
-	// The term comes first: an entry of a term that the member does not know
-	// yet would be odd, a term without its entries is not.
+	// The term is written first: log entries of a term that the member does not know yet would be
+	// inconsistent, a term without its entries is not.
 	if hard != s.hard {
 		if err := writeHard(s.fs, s.config.Folder, hard); err != nil {
 			return err
@@ -137,7 +136,7 @@
 	return s.append(entries)
 }
 
-// merge adds entries, which replace those from their first index on.
+// merge adds entries, which replace those from the index of the first one on.
 func merge(entries, added []message.LogEntry) []message.LogEntry {
 	if len(added) == 0 {
 		return entries
@@ -186,14 +185,14 @@
 		if active.next() != next {
 			return nil, &Error{
 				Kind: KindIO, File: filepath.Base(active.path), Offset: active.size,
-				Detail: "the entries do not follow the log",
+				Detail: "the entries do not continue the log",
 			}
 		}
 		if active.size < s.config.SegmentBytes {
 			return active, nil
 		}
-		// The last mark is not synced yet. A power cut could leave a part of it
-		// in a segment that is no longer the last, which counts as damage.
+		// The last mark is not synced yet. A power failure could leave a part of it in a segment
+		// that is no longer the last, which counts as damage.
 		if err := active.sync(); err != nil {
 			return nil, err
 		}
@@ -241,7 +240,7 @@
 	}
 	file, err := s.fs.Append(last.path)
 	if err != nil {
-		return failed(last.path, 0, err)
+		return ioError(last.path, 0, err)
 	}
 	last.file = file
 	return nil
@@ -253,17 +252,17 @@
 		_ = dropped.file.Close()
 	}
 	if err := s.fs.Remove(dropped.path); err != nil {
-		return failed(dropped.path, 0, err)
+		return ioError(dropped.path, 0, err)
 	}
 	s.segments = slices.Delete(s.segments, at, at+1)
 	if err := s.fs.SyncFolder(s.config.Folder); err != nil {
-		return syncFailed(dropped.path, err)
+		return syncError(dropped.path, err)
 	}
 	return nil
 }
 
-// install replaces the log by a snapshot. The snapshot is durable before the
-// first segment goes; a start in between finds a log that the snapshot covers.
+// install replaces the log by a snapshot. The snapshot is durable before the first segment is
+// removed; a start in between finds a log that the snapshot covers.
 func (s *Store) install(snapshot agreement.Snapshot) error {
 	if err := s.addSnapshot(snapshot); err != nil {
 		return err
@@ -276,19 +275,19 @@
 	return nil
 }
 
-// SaveSnapshot makes an own snapshot durable; the log stays as it is.
+// SaveSnapshot makes a snapshot of this member's own state durable; the log stays unchanged.
 func (s *Store) SaveSnapshot(snapshot agreement.Snapshot) error {
 	file, err := writeSnapshot(s.fs, s.config.Folder, snapshot)
 	s.mu.Lock()
-	broken := s.broken
-	_ = s.note(err)
+	failure := s.failure
+	_ = s.recordFailure(err)
 	s.mu.Unlock()
-	if err != nil || broken != nil {
-		return errors.Join(err, broken)
+	if err != nil || failure != nil {
+		return errors.Join(err, failure)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.note(s.noteSnapshot(file))
+	return s.recordFailure(s.registerSnapshot(file))
 }
 
 func (s *Store) addSnapshot(snapshot agreement.Snapshot) error {
@@ -296,10 +295,10 @@
 	if err != nil {
 		return err
 	}
-	return s.noteSnapshot(file)
+	return s.registerSnapshot(file)
 }
 
-func (s *Store) noteSnapshot(file snapshotFile) error {
+func (s *Store) registerSnapshot(file snapshotFile) error {
 	s.snapshots = slices.DeleteFunc(s.snapshots,
 		func(other snapshotFile) bool { return other.index == file.index })
 	s.snapshots = append(s.snapshots, file)
@@ -311,43 +310,42 @@
 	})
 	for len(s.snapshots) > keepSnapshots {
 		if err := s.fs.Remove(s.snapshots[0].path); err != nil {
-			return failed(s.snapshots[0].path, 0, err)
+			return ioError(s.snapshots[0].path, 0, err)
 		}
 		s.snapshots = s.snapshots[1:]
 	}
 	return nil
 }
 
-// ReadSnapshot returns a part of a snapshot's state, and whether it is the
-// last one.
+// ReadSnapshot returns a part of a snapshot's state, and whether it is the last one.
 func (s *Store) ReadSnapshot(index uint64, offset int64, bytes int) (data []byte, last bool, err error) {
 	s.mu.Lock()
 	at := slices.IndexFunc(s.snapshots, func(f snapshotFile) bool { return f.index == index })
 	if at < 0 {
 		s.mu.Unlock()
-		return nil, false, &Error{Kind: KindIO, File: snapshotName(index), Detail: "no such snapshot"}
+		return nil, false, &Error{Kind: KindIO, File: snapshotName(index), Detail: "the snapshot does not exist"}
 	}
 	file := s.snapshots[at]
 	s.mu.Unlock()
 	if offset < 0 || offset > file.size {
 		return nil, false, &Error{
-			Kind: KindIO, File: snapshotName(index), Offset: offset, Detail: "past the end",
+			Kind: KindIO, File: snapshotName(index), Offset: offset, Detail: "the offset is past the end of the state",
 		}
 	}
 	f, err := s.fs.Open(file.path)
 	if err != nil {
-		return nil, false, failed(file.path, offset, err)
+		return nil, false, ioError(file.path, offset, err)
 	}
 	defer f.Close()
 	data = make([]byte, min(int64(bytes), file.size-offset))
 	if _, err := f.ReadAt(data, file.offset+offset); err != nil {
-		return nil, false, failed(file.path, offset, err)
+		return nil, false, ioError(file.path, offset, err)
 	}
 	return data, offset+int64(len(data)) == file.size, nil
 }
 
-// Compact drops the segments that hold only entries up to through, as far as a
-// snapshot covers them.
+// Compact drops the segments that hold only entries up to through, as far as a snapshot covers
+// them.
 func (s *Store) Compact(through uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -363,12 +361,12 @@
 	return nil
 }
 
-// Close unlocks the folder. It may be called twice.
+// Close closes the store and unlocks the folder. It may be called twice.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken == nil {
-		s.broken = &Error{Kind: KindClosed}
+	if s.failure == nil {
+		s.failure = &Error{Kind: KindClosed}
 	}
 	for _, segment := range s.segments {
 		if segment.file != nil {
@@ -382,7 +380,7 @@
 	err := s.lock.Close()
 	s.lock = nil
 	if err != nil {
-		return failed(lockFile, 0, err)
+		return ioError(lockFile, 0, err)
 	}
 	return nil
 }
--- a/internal/disk/store_test.go
+++ b/internal/disk/store_test.go
@@ -16,7 +16,7 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/agreement"
 )
 
-// segmentForTest makes a new segment after about ten entries.
+// segmentForTest is a segment size after which a new segment starts after about ten entries.
 const segmentForTest = 600
 
 func configFor(folder string) Config {
@@ -40,7 +40,7 @@
 	}
 }
 
-// fill makes a folder with 30 entries in three segments, a vote and a snapshot.
+// fill creates a folder with 30 entries in three segments, a vote and a snapshot.
 func fill(t *testing.T, folder string) {
 	t.Helper()
 	s, _, err := Open(configFor(folder))
@@ -88,19 +88,19 @@
 	is.True(!last)
 	saveEntries(t, s, entries(3, 22, 24))
 	is.NoErr(s.Compact(15))
-	is.Equal(len(s.segments), 3) // the snapshot covers no whole segment
+	is.Equal(len(s.segments), 3) // the snapshot covers no complete segment
 	is.NoErr(s.SaveSnapshot(agreement.Snapshot{Meta: agreement.SnapshotMeta{Index: 18, Term: 2}}))
 	is.NoErr(s.Compact(15))
 	is.NoErr(s.Close())
 	_, loaded, err = Open(configFor(folder))
 	is.NoErr(err)
-	is.Equal(loaded.Entries[0].Index, uint64(11)) // whole segments went
+	is.Equal(loaded.Entries[0].Index, uint64(11)) // only complete segments were dropped
 	is.Equal(loaded.Entries[len(loaded.Entries)-3:], entries(3, 22, 24))
 }
 
-// Symptom: accepted entries are missing after a start, and nobody is told.
-// Sequence: a file is damaged, cut short or gone while the process is down.
-// Cause: what can't be read is taken for the end of the log.
+// Guards against accepted entries that are missing after a start without an error: a file is
+// damaged, cut short or missing while the process is stopped, and the unreadable part is taken for
+// the end of the log.
 func TestDamage(t *testing.T) {
 	segments := func(folder string) []string {
 		paths, _ := filepath.Glob(filepath.Join(folder, segmentPrefix+"*"))
@@ -120,8 +120,8 @@
 		_ = os.WriteFile(filepath.Join(folder, formatFile), []byte(text), fileMode)
 	}
 	payload, _ := encodeEntry(entries(2, 31, 31)[0])
-	whole := appendFrame(nil, 0, payload)
-	broken := bytes.Replace(whole, []byte("command"), []byte("comMand"), 1)
+	complete := appendFrame(nil, 0, payload)
+	broken := bytes.Replace(complete, []byte("command"), []byte("comMand"), 1)
 	cases := []struct {
 		name   string
 		do     func(folder string)
@@ -131,13 +131,13 @@
 		offset bool
 	}{
 		{name: "untouched", do: func(string) {}},
-		{name: "torn frame", do: func(f string) { extend(last(f), whole[:20]) }, cut: 20},
-		{name: "torn header", do: func(f string) { extend(last(f), whole[:3]) }, cut: 3},
+		{name: "torn frame", do: func(f string) { extend(last(f), complete[:20]) }, cut: 20},
+		{name: "torn header", do: func(f string) { extend(last(f), complete[:3]) }, cut: 3},
 		{name: "zeros at the end", do: func(f string) { extend(last(f), make([]byte, 64)) }, cut: 64},
 		{
 			name: "unsynced frames in the wrong order",
-			do:   func(f string) { extend(last(f), append(bytes.Clone(broken), whole...)) },
-			cut:  int64(2 * len(whole)),
+			do:   func(f string) { extend(last(f), append(bytes.Clone(broken), complete...)) },
+			cut:  int64(2 * len(complete)),
 		},
 		{name: "middle of the last segment", do: func(f string) { flip(last(f), "command 27") }, kind: KindDamaged, file: "log", offset: true},
 		{name: "last synced entry", do: func(f string) { flip(last(f), "command 30") }, kind: KindDamaged, file: "log", offset: true},
@@ -155,7 +155,7 @@
 		{name: "other member", do: func(f string) {
 			format(f, `{"format":"oriolebend-control","version":1,"group":"g","name":"b"}`)
 		}, kind: KindForeign, file: formatFile},
-		{name: "half written file", do: func(f string) { extend(filepath.Join(f, hardFile+temporarySuffix), whole) }},
+		{name: "half written file", do: func(f string) { extend(filepath.Join(f, hardFile+temporarySuffix), complete) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -179,9 +179,9 @@
 	}
 }
 
-// Symptom: a VM tells of entries as durable that are not, or can't start any
-// more after its disk was full. Sequence: one operation of the file system
-// fails, once. Cause: an error that is passed over, or half a write that stays.
+// Guards against a VM that reports entries as durable that are not, or that can't start any more
+// after its disk was full: one operation of the file system fails once, and the error is ignored or
+// a part of the write remains.
 func TestFaults(t *testing.T) {
 	hard := agreement.HardState{Term: 9}
 	cases := []struct {
@@ -207,7 +207,7 @@
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%s %s %v", c.operation, c.file, c.err), func(t *testing.T) {
 			is := is.New(t)
-			fs := newMemory()
+			fs := newMemoryFileSystem()
 			config := configFor("/folder")
 			config.FileSystem = fs
 			s, _, err := Open(config)
