--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -163,7 +163,7 @@
 
 // Guards against an entry that hangs on a partitioned leader: the leader accepts bytes and answers
 // nothing while another one is elected, and the client has no timeout for a single control VM.
-func TestSilentLeader(t *testing.T) {
+func TestUnresponsiveLeader(t *testing.T) {
 	withCluster(t, func(is *is.I, b *cluster) {
 		b.net.setUnresponsive("c2", true)
 		client := NewClient(ClientConfig{Dialer: b.net, Members: []string{"c2", "c3"}, Owner: "e3"})
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -35,9 +35,9 @@
 	return group
 }
 
-// commitGroups proposes all queued requests as one log entry, with up to InFlight entries proposed
-// at a time. While these are synced, the next group collects in the queue, so that a slower disk
-// makes larger groups instead of a longer queue.
+// commitGroups proposes the queued requests, up to MaxGroup of them as one log entry and up to
+// InFlight entries at a time. While these are synced, the next group collects in the queue, so that
+// a slower disk makes larger groups instead of a longer queue.
 func (s *Server) commitGroups(ctx context.Context) {
 	slots := make(chan struct{}, s.config.InFlight)
 	for {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -42,7 +42,7 @@
 	ProposeTimeout time.Duration
 	// ExpireInterval is the interval at which the leader expires leases and records; zero means 1s.
 	ExpireInterval time.Duration
-	// ExpireLimit bounds the records that one such command removes; zero means 1,024.
+	// ExpireLimit bounds the records that one Expire command removes; zero means 1,024.
 	ExpireLimit int
 	// Observe is called with each command that this control VM proposed and its result, for
 	// counters; it may be nil. See Metrics.
@@ -188,7 +188,7 @@
 	}
 }
 
-// refuseAll refuses requests that no quorum has accepted, so that their entries look for another
+// refuseAll refuses requests that no quorum has confirmed, so that their entries look for another
 // leader.
 func (s *Server) refuseAll(group []request, p *oriolebend.Problem) {
 	for _, r := range group {
--- a/internal/replica/failure_test.go
+++ b/internal/replica/failure_test.go
@@ -75,7 +75,7 @@
 
 // Guards against commands that fail during a planned restart of the leader: the leader is asked to
 // stop, and does not transfer its leadership before the others elect a new one.
-func TestStopHandsOver(t *testing.T) {
+func TestStopTransfersLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGroup(t, Config{}, "a", "b", "c")
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -23,7 +23,7 @@
 	// Recovering is true while the member grants no vote, because it started with an empty data
 	// folder in a group that has a log.
 	Recovering bool
-	// DiskFull is true while the disk has no space for writes.
+	// DiskFull is true while a write waits for free disk space, or less than the minimum is free.
 	DiskFull bool
 	// Peers reports, on the leader, the progress of each member.
 	Peers []PeerStatus
