--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -117,7 +117,7 @@
 	r.applier = newApplier(config, store, loaded)
 	r.state = agreement.New(r.reducerConfig(), loaded.Restored, 0)
 	if loaded.CutBytes > 0 {
-		config.Logger.Warn("dropped an incomplete write left by a crash", "bytes", loaded.CutBytes)
+		config.Logger.Warn("dropped a write that a crash cut short", "bytes", loaded.CutBytes)
 	}
 	r.publish()
 	return r, nil
