--- a/internal/role/announcer.go
+++ b/internal/role/announcer.go
@@ -16,14 +16,14 @@
 const (
 	// reconnectLeast and reconnectMost bound the random wait before a sidecar
 	// tries the next control VM.
-	reconnectLeast = 50 * time.Millisecond
-	reconnectMost  = 300 * time.Millisecond
+	minReconnectDelay = 50 * time.Millisecond
+	maxReconnectDelay = 300 * time.Millisecond
 	// reconnectLongest bounds the growth of that wait.
-	reconnectLongest = 5 * time.Second
+	reconnectDelayLimit = 5 * time.Second
 	// announceEvery renews the membership lease several times within it.
-	announceEvery = 1500 * time.Millisecond
+	announceInterval = 1500 * time.Millisecond
 	// answerWithin bounds the leader's answer to an announcement or permit.
-	answerWithin = 2 * time.Second
+	answerTimeout = 2 * time.Second
 )
 
 // Announcer keeps the leading control VM told of one backend server, and
@@ -38,7 +38,7 @@
 	Clean func()
 
 	changed chan struct{}
-	permits *mailbox.Mailbox[permitQuestion]
+	permits *mailbox.Mailbox[permitRequest]
 
 	mu       sync.Mutex
 	announce *message.Announce
@@ -46,7 +46,7 @@
 
 // permitQuestion is a permit that is asked for; answered gets the answer, or
 // nil if none came.
-type permitQuestion struct {
+type permitRequest struct {
 	permit   message.Permit
 	answered func(*message.Permitted)
 }
@@ -54,7 +54,7 @@
 // Prepare makes the announcer ready; it must be called before all else.
 func (a *Announcer) Prepare() {
 	a.changed = make(chan struct{}, 1)
-	a.permits = mailbox.New[permitQuestion]()
+	a.permits = mailbox.New[permitRequest]()
 }
 
 // Server has the server's state told at once and renewed from then on.
@@ -92,7 +92,7 @@
 
 // Ask asks the leader for a permit; answered gets its answer, or nil.
 func (a *Announcer) Ask(p message.Permit, answered func(*message.Permitted)) {
-	a.permits.Put(permitQuestion{permit: p, answered: answered})
+	a.permits.Put(permitRequest{permit: p, answered: answered})
 }
 
 // Run announces until ctx ends, going from one control VM to the next until it
@@ -101,7 +101,7 @@
 	unheard := 0
 	for next := rand.IntN(len(a.Control)); ctx.Err() == nil; next++ {
 		address := a.Control[next%len(a.Control)]
-		heard, err := a.serve(ctx, address)
+		heard, err := a.announceTo(ctx, address)
 		if err != nil && ctx.Err() == nil {
 			a.Logger.Debug("a control VM does not take announcements", "address", address, "error", err)
 		}
@@ -112,7 +112,7 @@
 		for _, q := range a.permits.Take() {
 			q.answered(nil)
 		}
-		wait(ctx, a.pause(unheard))
+		wait(ctx, a.retryDelay(unheard))
 	}
 }
 
@@ -121,9 +121,9 @@
 // leader; then the wait doubles. Without that a sidecar that is refused, for
 // its certificate say, costs the control VMs a handshake several times a
 // second for as long as it lives.
-func (a *Announcer) pause(unheard int) time.Duration {
-	least, most := reconnectLeast, reconnectMost
-	for round := unheard / len(a.Control); round > 1 && most < reconnectLongest; round-- {
+func (a *Announcer) retryDelay(unheard int) time.Duration {
+	least, most := minReconnectDelay, maxReconnectDelay
+	for round := unheard / len(a.Control); round > 1 && most < reconnectDelayLimit; round-- {
 		least, most = 2*least, 2*most
 	}
 	return least + rand.N(most-least)
@@ -131,8 +131,8 @@
 
 // serve announces to one control VM for as long as it leads; heard is true if
 // it took an announcement as the leader.
-func (a *Announcer) serve(ctx context.Context, address string) (heard bool, err error) {
-	opening, cancel := context.WithTimeout(ctx, openWithin)
+func (a *Announcer) announceTo(ctx context.Context, address string) (heard bool, err error) {
+	opening, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	s, err := a.Dialer.Open(opening, address)
 	if err != nil {
@@ -140,14 +140,14 @@
 	}
 	defer s.Close()
 	defer context.AfterFunc(ctx, func() { s.Close() })()
-	ticker := time.NewTicker(announceEvery)
+	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	for {
-		if leads, err := a.renew(s); err != nil || !leads {
+		if leads, err := a.sendAnnouncement(s); err != nil || !leads {
 			return heard, err
 		}
 		heard = true
-		if err := a.askAll(s); err != nil {
+		if err := a.requestPermits(s); err != nil {
 			return heard, err
 		}
 		select {
@@ -161,7 +161,7 @@
 }
 
 // renew sends the announcement; it is false if the control VM does not lead.
-func (a *Announcer) renew(s peer.Stream) (bool, error) {
+func (a *Announcer) sendAnnouncement(s peer.Stream) (bool, error) {
 	a.mu.Lock()
 	announce := a.announce
 	a.mu.Unlock()
@@ -182,7 +182,7 @@
 	return answer.LeaseFor > 0, nil
 }
 
-func (a *Announcer) askAll(s peer.Stream) error {
+func (a *Announcer) requestPermits(s peer.Stream) error {
 	questions := a.permits.Take()
 	for i, q := range questions {
 		answer, err := exchange[message.Permitted](s, q.permit)
@@ -210,7 +210,7 @@
 	if err := s.Send(m); err != nil {
 		return none, err
 	}
-	timer := time.AfterFunc(answerWithin, func() { s.Close() })
+	timer := time.AfterFunc(answerTimeout, func() { s.Close() })
 	defer timer.Stop()
 	received, err := s.Receive()
 	if err != nil {
--- a/internal/role/answer_log.go
+++ b/internal/role/answer_log.go
@@ -14,13 +14,13 @@
 type answerLog struct {
 	organisation string
 	// keep is true if the request goes on when nobody reads.
-	keep bool
+	keepRunning bool
 	// request is what the caller asked for.
 	request entry.Request
 
 	mu sync.Mutex
 	// runsAs is the id under which this entry runs the request.
-	runsAs string
+	currentID string
 	// readers counts those who read the answer; the request is cancelled when
 	// the last one leaves before its end.
 	readers int
@@ -31,9 +31,9 @@
 func newAnswerLog(r entry.Request) *answerLog {
 	return &answerLog{
 		organisation: r.Scope.Organisation,
-		keep:         r.KeepRunning || r.Once,
+		keepRunning:  r.KeepRunning || r.Once,
 		request:      r,
-		runsAs:       r.ID,
+		currentID:    r.ID,
 		changed:      make(chan struct{}),
 	}
 }
@@ -42,14 +42,14 @@
 func (a *answerLog) id() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.runsAs
+	return a.currentID
 }
 
 // rename changes the id under which this entry runs the request.
-func (a *answerLog) rename(id string) {
+func (a *answerLog) setID(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.runsAs = id
+	a.currentID = id
 }
 
 // append adds a chunk and wakes the readers. Nothing is added behind a last
@@ -66,14 +66,14 @@
 }
 
 // join counts a reader in.
-func (a *answerLog) join() {
+func (a *answerLog) addReader() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.readers++
 }
 
 // leave counts a reader out and reports whether nobody is left to read.
-func (a *answerLog) leave() bool {
+func (a *answerLog) removeReader() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.readers--
@@ -82,7 +82,7 @@
 
 // from returns the chunks behind the first read ones, and a channel that is
 // closed when there are more.
-func (a *answerLog) from(read int) ([]caller.Chunk, <-chan struct{}) {
+func (a *answerLog) chunksFrom(read int) ([]caller.Chunk, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.chunks[read:], a.changed
--- a/internal/role/answer_log_test.go
+++ b/internal/role/answer_log_test.go
@@ -17,14 +17,14 @@
 	is := is.New(t)
 	a := newAnswerLog(entry.Request{})
 	a.append(caller.Chunk{Text: "one", Tokens: 1})
-	first, _ := a.from(0)
+	first, _ := a.chunksFrom(0)
 	is.Equal(len(first), 1)
 	a.append(caller.Chunk{Text: "two", Tokens: 1, Offset: 1})
 	a.append(caller.Chunk{End: &caller.End{Tokens: 2}})
-	rest, _ := a.from(1)
+	rest, _ := a.chunksFrom(1)
 	is.Equal(rest[0].Text, "two")
 	is.True(rest[1].Last())
-	late, _ := a.from(0)
+	late, _ := a.chunksFrom(0)
 	is.Equal(len(late), 3)
 }
 
@@ -33,6 +33,6 @@
 	a := newAnswerLog(entry.Request{})
 	a.append(caller.Chunk{End: &caller.End{}})
 	a.append(caller.Chunk{Text: "late"})
-	chunks, _ := a.from(0)
+	chunks, _ := a.chunksFrom(0)
 	is.Equal(len(chunks), 1)
 }
--- a/internal/role/confirmer.go
+++ b/internal/role/confirmer.go
@@ -14,17 +14,17 @@
 const (
 	// confirmEvery is how often a control VM makes sure that its state is the
 	// newest that a quorum accepted.
-	confirmEvery = time.Second
+	confirmInterval = time.Second
 	// confirmAgain is how soon it tries again after it could not. After a power loss
 	// a leader is elected within half a second; callers wait for what comes on top.
-	confirmAgain = 50 * time.Millisecond
+	confirmRetryDelay = 50 * time.Millisecond
 	// confirmLeast is the shortest time between two confirmations, so that many
 	// followers that come at once share one.
-	confirmLeast = 20 * time.Millisecond
+	minConfirmInterval = 20 * time.Millisecond
 	// confirmWithin bounds one try.
-	confirmWithin = 2 * time.Second
+	confirmTimeout = 2 * time.Second
 	// appliedEvery is how often the wait for the log to be applied looks.
-	appliedEvery = 2 * time.Millisecond
+	appliedPollInterval = 2 * time.Millisecond
 )
 
 // Confirmer knows when a control VM's state was last confirmed by a quorum. A
@@ -36,7 +36,7 @@
 	Dialer  peer.Dialer
 	Reached *ReachedTable
 
-	soon chan struct{}
+	trigger chan struct{}
 
 	mu        sync.Mutex
 	last      time.Time
@@ -48,14 +48,14 @@
 
 // Prepare makes the confirmer ready; it must be called before all else.
 func (c *Confirmer) Prepare() {
-	c.soon = make(chan struct{}, 1)
+	c.trigger = make(chan struct{}, 1)
 	c.confirmed = make(chan struct{})
 }
 
 // Soon asks for a confirmation before the next one is due.
 func (c *Confirmer) Soon() {
 	select {
-	case c.soon <- struct{}{}:
+	case c.trigger <- struct{}{}:
 	default:
 	}
 }
@@ -63,18 +63,18 @@
 // Run confirms until ctx ends.
 func (c *Confirmer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		asked, pause := time.Now(), confirmAgain
+		asked, pause := time.Now(), confirmRetryDelay
 		if c.confirm(ctx) {
-			c.took(asked)
-			pause = confirmEvery
+			c.recordConfirmation(asked)
+			pause = confirmInterval
 		}
-		wait(ctx, confirmLeast)
-		c.sleep(ctx, pause)
+		wait(ctx, minConfirmInterval)
+		c.waitNext(ctx, pause)
 	}
 }
 
 // took notes a confirmation and wakes who waits for one.
-func (c *Confirmer) took(asked time.Time) {
+func (c *Confirmer) recordConfirmation(asked time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.last = asked
@@ -82,13 +82,13 @@
 	c.confirmed = make(chan struct{})
 }
 
-func (c *Confirmer) sleep(ctx context.Context, pause time.Duration) {
+func (c *Confirmer) waitNext(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-c.soon:
+	case <-c.trigger:
 	}
 }
 
@@ -108,7 +108,7 @@
 }
 
 func (c *Confirmer) confirm(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, confirmWithin)
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	name, address := c.Replica.Leader()
 	if name == c.Self {
@@ -117,25 +117,25 @@
 	if name == "" {
 		return false
 	}
-	index, ok := c.ask(ctx, name, address)
-	return ok && c.applied(ctx, index)
+	index, ok := c.queryLeader(ctx, name, address)
+	return ok && c.waitApplied(ctx, index)
 }
 
 // ask asks the leader up to where the log was agreed on.
-func (c *Confirmer) ask(ctx context.Context, leader, address string) (uint64, bool) {
-	s, err := c.open(ctx, leader, address)
+func (c *Confirmer) queryLeader(ctx context.Context, leader, address string) (uint64, bool) {
+	s, err := c.openSession(ctx, leader, address)
 	if err != nil {
 		return 0, false
 	}
 	defer context.AfterFunc(ctx, func() { s.Close() })()
 	if err := s.Send(message.Confirm{Control: c.Self, Followers: c.Reached.Own()}); err != nil {
-		c.drop()
+		c.closeSession()
 		return 0, false
 	}
 	m, err := s.Receive()
 	confirmed, ok := m.(message.Confirmed)
 	if err != nil || !ok || confirmed.Index == 0 {
-		c.drop()
+		c.closeSession()
 		return 0, false
 	}
 	for _, f := range confirmed.Followers {
@@ -146,11 +146,11 @@
 
 // open returns the session with the leader, kept from the last time if it is
 // the same one.
-func (c *Confirmer) open(ctx context.Context, leader, address string) (peer.Stream, error) {
+func (c *Confirmer) openSession(ctx context.Context, leader, address string) (peer.Stream, error) {
 	if c.stream != nil && c.leader == leader {
 		return c.stream, nil
 	}
-	c.drop()
+	c.closeSession()
 	s, err := c.Dialer.Open(ctx, address)
 	if err != nil {
 		return nil, err
@@ -159,7 +159,7 @@
 	return s, nil
 }
 
-func (c *Confirmer) drop() {
+func (c *Confirmer) closeSession() {
 	if c.stream != nil {
 		c.stream.Close()
 	}
@@ -167,12 +167,12 @@
 }
 
 // applied waits until this VM has applied the log up to an index.
-func (c *Confirmer) applied(ctx context.Context, index uint64) bool {
+func (c *Confirmer) waitApplied(ctx context.Context, index uint64) bool {
 	for c.Replica.Status().Applied < index {
 		if ctx.Err() != nil {
 			return false
 		}
-		wait(ctx, appliedEvery)
+		wait(ctx, appliedPollInterval)
 	}
 	return true
 }
@@ -190,14 +190,14 @@
 			return
 		}
 		c.Reached.Merge(asked.Followers)
-		if err := s.Send(c.answer(ctx, asked.Control)); err != nil {
+		if err := s.Send(c.confirmForPeer(ctx, asked.Control)); err != nil {
 			return
 		}
 	}
 }
 
-func (c *Confirmer) answer(ctx context.Context, asking string) message.Confirmed {
-	ctx, cancel := context.WithTimeout(ctx, confirmWithin)
+func (c *Confirmer) confirmForPeer(ctx context.Context, asking string) message.Confirmed {
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	started := time.Now()
 	if err := c.Replica.Confirm(ctx); err != nil {
@@ -212,15 +212,15 @@
 
 // ReachedTable is a reached.Table that goroutines share.
 type ReachedTable struct {
-	mu    sync.Mutex
-	self  string
-	table *reached.Table
-	heard map[string]message.Followers
+	mu       sync.Mutex
+	self     string
+	table    *reached.Table
+	received map[string]message.Followers
 }
 
 // NewReachedTable returns the table of the control VM of that name.
 func NewReachedTable(self string) *ReachedTable {
-	return &ReachedTable{self: self, table: reached.New(self), heard: map[string]message.Followers{}}
+	return &ReachedTable{self: self, table: reached.New(self), received: map[string]message.Followers{}}
 }
 
 // Heard takes the word of a follower of this control VM.
@@ -237,7 +237,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard[m.Control] = m
+	r.received[m.Control] = m
 	r.table.Merge(time.Now(), m)
 }
 
@@ -255,7 +255,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	others := []message.Followers{own}
-	for control, f := range r.heard {
+	for control, f := range r.received {
 		if control != but {
 			others = append(others, f)
 		}
--- a/internal/role/control_process.go
+++ b/internal/role/control_process.go
@@ -32,30 +32,30 @@
 
 // ControlProcess is a running control VM's process with its ports.
 type ControlProcess struct {
-	process   Process
-	endpoint  *peer.Endpoint
-	operators *httpServer
-	metrics   *httpServer
-	replica   *replica.Replica
-	records   *controlpeer.Server
-	resolver  *controlpeer.Resolver
-	confirmer *Confirmer
-	watches   *WatchServer
-	members   *MemberLeader
-	routing   *routing.Store
-	routes    *routewatch.Server
-	joiner    *Joiner
-	pools     *PoolKeeper
-	places    *places.Giver
-	observer  *routewatch.Follower
-	crashes   *quarantine.Store
-	keeper    *crashreports.Keeper
-	quotas    *quota.Keeper
-	limits    *serverlimit.Keeper
-	cancel    context.CancelFunc
+	process      Process
+	endpoint     *peer.Endpoint
+	operators    *httpServer
+	metrics      *httpServer
+	replica      *replica.Replica
+	records      *controlpeer.Server
+	resolver     *controlpeer.Resolver
+	confirmer    *Confirmer
+	watches      *WatchServer
+	members      *MemberLeader
+	routing      *routing.Store
+	routes       *routewatch.Server
+	joiner       *Joiner
+	pools        *PoolKeeper
+	places       *places.Giver
+	observer     *routewatch.Follower
+	crashes      *quarantine.Store
+	crashReports *crashreports.Keeper
+	quotas       *quota.Keeper
+	limits       *serverlimit.Keeper
+	cancel       context.CancelFunc
 	// done is closed once the log has ended, with ended as its error.
-	done  chan struct{}
-	ended error
+	done   chan struct{}
+	runErr error
 }
 
 // StartControl starts a control VM's process; Stop ends it.
@@ -79,7 +79,7 @@
 	go process.confirmer.Run(ctx)
 	go process.members.Run(ctx)
 	go process.routes.Run(ctx)
-	go process.keeper.Run(ctx)
+	go process.crashReports.Run(ctx)
 	go process.quotas.Run(ctx)
 	go process.limits.Run(ctx)
 	if process.joiner != nil {
@@ -92,7 +92,7 @@
 	go process.observer.Run(ctx)
 	go func() {
 		defer close(process.done)
-		process.ended = process.replica.Run(ctx)
+		process.runErr = process.replica.Run(ctx)
 	}()
 	return process, nil
 }
@@ -118,7 +118,7 @@
 		},
 		message.KindQuotaAsk: func(ctx context.Context, s peer.Stream) { <-ready; c.quotas.Serve(ctx, s) },
 		message.KindLimitAsk: func(ctx context.Context, s peer.Stream) { <-ready; c.limits.Serve(ctx, s) },
-		message.KindJoin:     func(ctx context.Context, s peer.Stream) { <-ready; c.join(ctx, s) },
+		message.KindJoin:     func(ctx context.Context, s peer.Stream) { <-ready; c.serveJoin(ctx, s) },
 		message.KindConfirm:  func(ctx context.Context, s peer.Stream) { <-ready; c.confirmer.Serve(ctx, s) },
 	}
 	for _, kind := range message.AgreementKinds() {
@@ -136,7 +136,7 @@
 	c.routing = routing.NewStore()
 	log, err := replica.New(replica.Config{
 		Name:       name,
-		Members:    p.founders(),
+		Members:    p.initialMembers(),
 		AddressOf:  p.addressOf(),
 		DataFolder: p.Settings.Control.DataFolder,
 		Dialer:     c.endpoint,
@@ -166,7 +166,7 @@
 	})
 	c.resolver = controlpeer.NewResolver(controlpeer.ResolverConfig{
 		Server: c.records,
-		Gates: statusGates{
+		Gates: gateStatusClient{
 			dialer:  c.endpoint,
 			members: func() []oriolebend.Server { return store.View().Members() },
 		},
@@ -182,12 +182,12 @@
 	c.crashes = quarantine.New(quarantine.Config{
 		Tell: func(reports []message.CrashReport) {
 			c.routes.TellReports(reports)
-			c.keeper.Changed()
+			c.crashReports.Changed()
 		},
 		Logger: p.Logger,
 	})
-	c.keeper = &crashreports.Keeper{Folder: p.Settings.Control.DataFolder, Store: c.crashes, Logger: p.Logger}
-	c.keeper.Load()
+	c.crashReports = &crashreports.Keeper{Folder: p.Settings.Control.DataFolder, Store: c.crashes, Logger: p.Logger}
+	c.crashReports.Load()
 	c.quotas, c.limits = c.newQuotas(), c.newLimits()
 	c.routes = &routewatch.Server{
 		Store:     c.routing,
@@ -197,7 +197,7 @@
 			return next
 		},
 		Self:     p.Settings.Peer.Listen,
-		Controls: c.controls,
+		Controls: c.memberAddresses,
 		Leader: func() string {
 			_, address := c.replica.Leader()
 			return address
@@ -207,11 +207,11 @@
 		Logger:  p.Logger,
 	}
 	c.routes.Prepare()
-	c.observe(name)
+	c.buildObserver(name)
 	if len(p.Settings.Control.Seeds) > 0 {
 		c.joiner = c.newJoiner(name)
 	}
-	c.publish(reached)
+	c.registerMetrics(reached)
 	c.metrics, err = p.serveMetrics(c.Ready)
 	if err != nil {
 		return err
@@ -277,23 +277,23 @@
 
 // Stop hands leadership over and ends the process.
 func (c *ControlProcess) Stop(ctx context.Context) error {
-	return c.process.stopped(c.end(ctx), closeEndpoint(c.endpoint))
+	return c.process.stopError(c.shutdown(ctx), closeEndpoint(c.endpoint))
 }
 
 // StopTogether ends the process when the other control VMs stop at the same
 // time: it hands no leadership over, and waits for no session of theirs.
 func (c *ControlProcess) StopTogether(ctx context.Context) error {
 	c.replica.StopTogether()
-	return c.process.stopped(c.end(ctx), c.endpoint.Close())
+	return c.process.stopError(c.shutdown(ctx), c.endpoint.Close())
 }
 
-// end has the log stop, and closes the ports for operators and metrics.
-func (c *ControlProcess) end(ctx context.Context) error {
+// shutdown has the log stop, and closes the ports for operators and metrics.
+func (c *ControlProcess) shutdown(ctx context.Context) error {
 	c.cancel()
 	closed := errors.Join(c.operators.close(), c.metrics.close())
 	select {
 	case <-c.done:
-		return errors.Join(closed, c.ended)
+		return errors.Join(closed, c.runErr)
 	case <-ctx.Done():
 		return errors.Join(closed, ctx.Err())
 	}
@@ -305,10 +305,10 @@
 	closed := errors.Join(c.endpoint.Close(), c.operators.close(), c.metrics.close())
 	c.cancel()
 	<-c.done
-	return errors.Join(closed, c.ended)
+	return errors.Join(closed, c.runErr)
 }
 
-func members(list []settings.Member) []message.Member {
+func membersFromSettings(list []settings.Member) []message.Member {
 	var members []message.Member
 	for _, m := range list {
 		members = append(members, message.Member{Name: m.Name, Address: m.Address, FailureDomain: m.FailureDomain, Voter: true})
--- a/internal/role/control_routing.go
+++ b/internal/role/control_routing.go
@@ -59,7 +59,7 @@
 }
 
 // replaced reports whether another control VM is known to lead.
-func (c *ControlProcess) replaced() bool {
+func (c *ControlProcess) otherLeads() bool {
 	name, _ := c.replica.Leader()
 	return name != "" && name != c.process.self()
 }
@@ -84,7 +84,7 @@
 }
 
 // Unreadable counts an announcement that names no server to use.
-func (c *ControlProcess) Unreadable(reason oriolebend.Reason) { c.process.unreadable(reason) }
+func (c *ControlProcess) Unreadable(reason oriolebend.Reason) { c.process.countUnreadable(reason) }
 
 // Reload takes up settings that changed while the process runs: the control VMs
 // that are known from the start.
@@ -98,14 +98,14 @@
 func (c *ControlProcess) Done() <-chan struct{} { return c.done }
 
 // Ended tells why the agreed log has ended; nil after a graceful stop.
-func (c *ControlProcess) Ended() error { return c.ended }
+func (c *ControlProcess) Ended() error { return c.runErr }
 
 // observe has this VM follow what all control VMs know of backend servers, to
 // give places and to divide model engines between prefill and decode while it
 // leads.
-func (c *ControlProcess) observe(name string) {
+func (c *ControlProcess) buildObserver(name string) {
 	p := c.process
-	c.places = &places.Giver{Leads: c.Leads, Replaced: c.replaced, Logger: p.Logger}
+	c.places = &places.Giver{Leads: c.Leads, Replaced: c.otherLeads, Logger: p.Logger}
 	c.places.Prepare()
 	sinks := routewatch.Sinks{c.places}
 	if p.Orders != nil {
@@ -116,7 +116,7 @@
 	}
 	c.observer = &routewatch.Follower{
 		Dialer: c.endpoint,
-		Seeds:  slices.Concat(p.controlAddresses(), c.controls()),
+		Seeds:  slices.Concat(p.controlAddresses(), c.memberAddresses()),
 		Watch: message.RouteWatch{
 			Node: name, FailureDomain: p.Settings.Node.FailureDomain,
 			Observes: true, Address: p.Settings.Peer.Listen, Incarnation: newIncarnation(),
@@ -141,14 +141,14 @@
 
 // join serves a control VM that asks to join; a group whose members are all
 // listed in the settings takes nobody in.
-func (c *ControlProcess) join(ctx context.Context, s peer.Stream) {
+func (c *ControlProcess) serveJoin(ctx context.Context, s peer.Stream) {
 	if c.joiner != nil {
 		c.joiner.Serve(ctx, s)
 	}
 }
 
 // controls lists the peer addresses of the members.
-func (c *ControlProcess) controls() []string {
+func (c *ControlProcess) memberAddresses() []string {
 	var addresses []string
 	for _, m := range c.replica.Status().Members {
 		if m.Address != "" {
--- a/internal/role/control_status.go
+++ b/internal/role/control_status.go
@@ -8,29 +8,29 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// confirmedWithin is how new a ready control VM's last confirmation is: one
+// readyConfirmationAge is how new a ready control VM's last confirmation is: one
 // that a network partition cut off loses readiness after it.
-const confirmedWithin = 5 * time.Second
+const readyConfirmationAge = 5 * time.Second
 
 // Ready reports whether the control VM's state was known to be the newest a
 // short time ago.
 func (c *ControlProcess) Ready() bool {
 	age, ever := c.confirmer.Age(time.Now())
-	return ever && age < confirmedWithin && !c.replica.Status().Recovering
+	return ever && age < readyConfirmationAge && !c.replica.Status().Recovering
 }
 
 // publish has the state of the agreed log read at each scrape.
-func (c *ControlProcess) publish(followers *ReachedTable) {
+func (c *ControlProcess) registerMetrics(followers *ReachedTable) {
 	gauge := func(name, help string, value func(replica.Status) float64) {
 		c.process.metrics.Gauge("control_"+name, help, func() float64 { return value(c.replica.Status()) })
 	}
-	gauge("leads", "1 while this control VM leads.", func(s replica.Status) float64 { return asNumber(s.Role == agreement.Leader) })
-	gauge("has_leader", "1 while this control VM knows a leader.", func(s replica.Status) float64 { return asNumber(s.Leader != "") })
+	gauge("leads", "1 while this control VM leads.", func(s replica.Status) float64 { return boolToFloat(s.Role == agreement.Leader) })
+	gauge("has_leader", "1 while this control VM knows a leader.", func(s replica.Status) float64 { return boolToFloat(s.Leader != "") })
 	gauge("term", "Term of the agreed log.", func(s replica.Status) float64 { return float64(s.Term) })
 	gauge("committed", "Index up to which the log is agreed on.", func(s replica.Status) float64 { return float64(s.Committed) })
 	gauge("applied", "Index up to which the log is applied.", func(s replica.Status) float64 { return float64(s.Applied) })
-	gauge("recovering", "1 while this control VM grants no vote, as it lost its folder.", func(s replica.Status) float64 { return asNumber(s.Recovering) })
-	gauge("disk_full", "1 while no room is left for writes.", func(s replica.Status) float64 { return asNumber(s.DiskFull) })
+	gauge("recovering", "1 while this control VM grants no vote, as it lost its folder.", func(s replica.Status) float64 { return boolToFloat(s.Recovering) })
+	gauge("disk_full", "1 while no room is left for writes.", func(s replica.Status) float64 { return boolToFloat(s.DiskFull) })
 	c.process.metrics.Gauge("control_confirmed_age_seconds", "Time since a quorum confirmed this control VM's state; -1 means never.", func() float64 {
 		age, ever := c.confirmer.Age(time.Now())
 		if !ever {
@@ -46,7 +46,7 @@
 	})
 }
 
-func asNumber(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/role/dev.go
+++ b/internal/role/dev.go
@@ -27,7 +27,7 @@
 	// loopback lets the system choose a port on loopback.
 	loopback = "127.0.0.1:0"
 	// readyEvery is how often Dev looks whether its entries can route.
-	readyEvery = 10 * time.Millisecond
+	readyPollInterval = 10 * time.Millisecond
 	// devStopDelay replaces the wait for a balancer, which dev has none of.
 	devStopDelay = time.Millisecond
 )
@@ -42,10 +42,10 @@
 	standins  []*standin.Server
 	// failing is held while a failure begins or ends, and mends waits for
 	// those that go on.
-	failing  sync.Mutex
-	mends    sync.WaitGroup
-	stopping chan struct{}
-	metrics  *httpServer
+	failureMutex sync.Mutex
+	failures     sync.WaitGroup
+	stopping     chan struct{}
+	metrics      *httpServer
 
 	Engines  map[string]*standin.Engine
 	Services map[string]*standin.Service
@@ -58,20 +58,20 @@
 
 // startTries bounds the starts of dev after another process took a port that was
 // chosen as free and not yet listened on.
-const startTries = 3
+const maxStartTries = 3
 
 // StartDev starts everything that the settings' dev table describes; Stop
 // ends it and removes what it wrote.
 func StartDev(s settings.Settings, logger *slog.Logger) (*Dev, error) {
 	for try := 1; ; try++ {
-		d, err := tryDev(s, logger)
-		if try == startTries || !errors.Is(err, syscall.EADDRINUSE) {
+		d, err := startDevOnce(s, logger)
+		if try == maxStartTries || !errors.Is(err, syscall.EADDRINUSE) {
 			return d, err
 		}
 	}
 }
 
-func tryDev(s settings.Settings, logger *slog.Logger) (*Dev, error) {
+func startDevOnce(s settings.Settings, logger *slog.Logger) (*Dev, error) {
 	authority, err := peer.DevAuthority()
 	if err != nil {
 		return nil, err
@@ -343,7 +343,7 @@
 
 // Ready waits until every entry can route to every server.
 func (d *Dev) Ready(ctx context.Context) error {
-	ticker := time.NewTicker(readyEvery)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for !d.ready() {
 		select {
@@ -356,8 +356,8 @@
 }
 
 func (d *Dev) ready() bool {
-	d.failing.Lock()
-	defer d.failing.Unlock()
+	d.failureMutex.Lock()
+	defer d.failureMutex.Unlock()
 	for _, e := range d.Entries {
 		if e.entry.serving() < len(d.Sidecars) {
 			return false
@@ -371,7 +371,7 @@
 func (d *Dev) Stop(ctx context.Context) error {
 	errs := []error{d.metrics.close()}
 	close(d.stopping)
-	d.mends.Wait()
+	d.failures.Wait()
 	errs = append(errs, stopAll(ctx, d.Entries, (*EntryProcess).Stop))
 	errs = append(errs, stopAll(ctx, slices.Collect(maps.Values(d.Sidecars)), (*SidecarProcess).Stop))
 	errs = append(errs, stopAll(ctx, d.Controls, (*ControlProcess).StopTogether))
--- a/internal/role/dev_failure.go
+++ b/internal/role/dev_failure.go
@@ -33,13 +33,13 @@
 
 const (
 	// failFor is how long a failure lasts that names no time.
-	failFor = 2 * time.Second
+	defaultFailureDuration = 2 * time.Second
 	// slowFactor is how much longer the steps of a slow engine take.
 	slowFactor = 5
 	// failureBody bounds the description of a failure.
-	failureBody = 4 << 10
+	maxFailureBody = 4 << 10
 	// failureStop bounds a graceful stop that is part of a failure.
-	failureStop = time.Minute
+	failureStopTimeout = time.Minute
 )
 
 // Failure is one failure of a schedule.
@@ -56,10 +56,10 @@
 func (e *FailureError) Error() string { return e.Detail }
 
 // strike brings a failure about and returns what ends it.
-type strike func(d *Dev, target string) (mend func() error, err error)
+type injector func(d *Dev, target string) (mend func() error, err error)
 
 // strikes holds how each failure is brought about; a new failure is a new row.
-var strikes = map[FailureName]strike{
+var injectors = map[FailureName]injector{
 	FailKillEngine: onEngine(func(e *standin.Engine) func() { e.Kill(); return e.Restart }),
 	FailFreezeEngine: onEngine(func(e *standin.Engine) func() {
 		e.Freeze(true)
@@ -85,21 +85,21 @@
 // Fail brings a failure about and has it end after its time. It returns a
 // *FailureError for one that Dev does not know.
 func (d *Dev) Fail(f Failure) error {
-	bring, known := strikes[f.Do]
+	bring, known := injectors[f.Do]
 	if !known {
-		return &FailureError{Detail: fmt.Sprintf("no failure %q; there are %v", f.Do, slices.Sorted(maps.Keys(strikes)))}
+		return &FailureError{Detail: fmt.Sprintf("no failure %q; there are %v", f.Do, slices.Sorted(maps.Keys(injectors)))}
 	}
 	d.logger.Info("a failure is brought about", "do", f.Do, "target", f.Target, "for", f.For)
-	d.failing.Lock()
+	d.failureMutex.Lock()
 	mend, err := bring(d, f.Target)
-	d.failing.Unlock()
+	d.failureMutex.Unlock()
 	if err != nil {
 		return err
 	}
-	d.mends.Go(func() {
-		d.waitToMend(f.For.Or(failFor))
-		d.failing.Lock()
-		defer d.failing.Unlock()
+	d.failures.Go(func() {
+		d.waitForFailureEnd(f.For.Or(defaultFailureDuration))
+		d.failureMutex.Lock()
+		defer d.failureMutex.Unlock()
 		if err := mend(); err != nil {
 			d.logger.Error("a failure did not end", "do", f.Do, "target", f.Target, "error", err)
 		}
@@ -109,7 +109,7 @@
 
 // waitToMend waits for the end of a failure. A Dev that stops ends it at once:
 // requests in progress must be able to end.
-func (d *Dev) waitToMend(lasts time.Duration) {
+func (d *Dev) waitForFailureEnd(lasts time.Duration) {
 	timer := time.NewTimer(lasts)
 	defer timer.Stop()
 	select {
@@ -121,7 +121,7 @@
 // serveFailures takes failures over HTTP, one as JSON in each request.
 func (d *Dev) serveFailures(w http.ResponseWriter, r *http.Request) {
 	var f Failure
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, failureBody))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxFailureBody))
 	if err := decoder.Decode(&f); err != nil {
 		http.Error(w, "not a failure: "+err.Error(), http.StatusBadRequest)
 		return
@@ -133,7 +133,7 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-func onEngine(bring func(*standin.Engine) (mend func())) strike {
+func onEngine(bring func(*standin.Engine) (mend func())) injector {
 	return func(d *Dev, target string) (func() error, error) {
 		e := d.Engines[target]
 		if e == nil {
@@ -153,7 +153,7 @@
 	return func() error { return nil }, nil
 }
 
-func onSidecar(end func(*SidecarProcess) error) strike {
+func onSidecar(end func(*SidecarProcess) error) injector {
 	return func(d *Dev, target string) (func() error, error) {
 		s := d.Sidecars[target]
 		if s == nil {
@@ -170,7 +170,7 @@
 	}
 }
 
-func onEntry(end func(*EntryProcess) error) strike {
+func onEntry(end func(*EntryProcess) error) injector {
 	return func(d *Dev, target string) (func() error, error) {
 		n := slices.IndexFunc(d.Entries, func(e *EntryProcess) bool { return e.process.Settings.Node.Name == target })
 		if n < 0 {
@@ -189,7 +189,7 @@
 	}
 }
 
-func onControl(end func(*ControlProcess) error) strike {
+func onControl(end func(*ControlProcess) error) injector {
 	return func(d *Dev, target string) (func() error, error) {
 		n := slices.IndexFunc(d.Controls, func(c *ControlProcess) bool { return c.process.Settings.Node.Name == target })
 		if n < 0 {
@@ -215,7 +215,7 @@
 // gracefully makes a graceful stop one that takes no context.
 func gracefully[P any](stop func(P, context.Context) error) func(P) error {
 	return func(p P) error {
-		ctx, cancel := context.WithTimeout(context.Background(), failureStop)
+		ctx, cancel := context.WithTimeout(context.Background(), failureStopTimeout)
 		defer cancel()
 		return stop(p, ctx)
 	}
--- a/internal/role/dev_failure_test.go
+++ b/internal/role/dev_failure_test.go
@@ -35,9 +35,9 @@
 func TestEveryFailureEnds(t *testing.T) {
 	is := is.New(t)
 	d := startDev(t)
-	for _, name := range slices.Sorted(maps.Keys(strikes)) {
+	for _, name := range slices.Sorted(maps.Keys(injectors)) {
 		is.NoErr(d.Fail(Failure{Do: name, Target: failureTargets[name], For: oriolebend.Duration(50 * time.Millisecond)}))
-		d.mends.Wait()
+		d.failures.Wait()
 		is.NoErr(d.Ready(t.Context()))
 		status, _ := post(t, d.Entries[1].Address(), "/v1/completions", string(name), brief)
 		is.Equal(status, http.StatusOK) // answered after the failure
--- a/internal/role/engine_watch.go
+++ b/internal/role/engine_watch.go
@@ -13,31 +13,31 @@
 const (
 	// watchEvery is how often the sidecar asks its engine for load and cache
 	// events; both are hints only.
-	watchEvery = 250 * time.Millisecond
+	enginePollInterval = 250 * time.Millisecond
 	// watchWithin bounds one question to the engine.
-	watchWithin = 2 * time.Second
+	engineQueryTimeout = 2 * time.Second
 	// lostAfter is how many questions in a row may fail before the engine
 	// counts as lost; one lost answer is not yet a dead engine.
-	lostAfter = 3
+	maxFailedPolls = 3
 )
 
 // engineWatch asks the engine what it is, its load and its cache events.
 type engineWatch struct {
-	engine   engine.Engine
-	post     func(reducer.Event)
-	known    func(engine.Info)
-	failures int
-	info     engine.Info
-	after    uint64
+	engine    engine.Engine
+	post      func(reducer.Event)
+	onInfo    func(engine.Info)
+	failures  int
+	info      engine.Info
+	lastEvent uint64
 }
 
 // watchEngine follows the engine until ctx ends.
 func (s *Sidecar) watchEngine(ctx context.Context) {
-	w := &engineWatch{engine: s.config.Engine, post: s.loop.Post, known: s.engineKnown}
-	ticker := time.NewTicker(watchEvery)
+	w := &engineWatch{engine: s.config.Engine, post: s.loop.Post, onInfo: s.applyEngineInfo}
+	ticker := time.NewTicker(enginePollInterval)
 	defer ticker.Stop()
 	for {
-		w.ask(ctx)
+		w.poll(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -49,7 +49,7 @@
 // engineKnown fills what the engine told into the announcement, and has it told
 // at once if the server was announced before: entries route by it, and a
 // rollout goes on to the next server only when this one shows its new version.
-func (s *Sidecar) engineKnown(info engine.Info) {
+func (s *Sidecar) applyEngineInfo(info engine.Info) {
 	s.mu.Lock()
 	s.server.Role = info.Role
 	s.server.Models = info.Models
@@ -62,44 +62,44 @@
 	}
 }
 
-func (w *engineWatch) ask(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, watchWithin)
+func (w *engineWatch) poll(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, engineQueryTimeout)
 	defer cancel()
 	info, err := w.engine.Info(ctx)
 	if err != nil {
-		w.fail()
+		w.countFailure()
 		return
 	}
-	w.know(info)
+	w.applyInfo(info)
 	if report, err := w.engine.Load(ctx); err == nil {
 		w.post(gate.LoadReported{At: time.Now(), Report: report})
 	}
-	events, err := w.engine.CacheEvents(ctx, w.after)
+	events, err := w.engine.CacheEvents(ctx, w.lastEvent)
 	if err != nil || len(events) == 0 {
 		return
 	}
-	w.after = events[len(events)-1].Sequence
+	w.lastEvent = events[len(events)-1].Sequence
 	w.post(gate.CacheChanged{At: time.Now(), Events: events})
 }
 
 // know tells of an engine that is new, changed, restarted or back.
-func (w *engineWatch) know(info engine.Info) {
-	back := w.failures >= lostAfter
+func (w *engineWatch) applyInfo(info engine.Info) {
+	back := w.failures >= maxFailedPolls
 	w.failures = 0
 	if reflect.DeepEqual(info, w.info) && !back {
 		return
 	}
 	if info.Incarnation != w.info.Incarnation {
-		w.after = 0
+		w.lastEvent = 0
 	}
 	w.info = info
-	w.known(info)
+	w.onInfo(info)
 	w.post(gate.EngineKnown{At: time.Now(), Info: info})
 }
 
-func (w *engineWatch) fail() {
+func (w *engineWatch) countFailure() {
 	w.failures++
-	if w.failures == lostAfter {
+	if w.failures == maxFailedPolls {
 		w.post(gate.EngineLost{At: time.Now()})
 	}
 }
--- a/internal/role/engine_work.go
+++ b/internal/role/engine_work.go
@@ -15,11 +15,11 @@
 )
 
 // cancelWithin bounds one cancel call; the gate asks again if it fails.
-const cancelWithin = 2 * time.Second
+const cancelTimeout = 2 * time.Second
 
 // listWithin bounds one reading of the engine's work. One that fails is asked
 // for again and ends no work: only the watch decides that an engine is lost.
-const listWithin = 2 * time.Second
+const listTimeout = 2 * time.Second
 
 // workKey names one piece of work in progress.
 type workKey struct {
@@ -52,7 +52,7 @@
 	case gate.RunCall:
 		w.start(workKey{f.Call.Attempt, message.PhaseCall}, func(ctx context.Context) { w.call(ctx, f.Call) })
 	case gate.QueryStatus:
-		go w.status(f.Query)
+		go w.queryStatus(f.Query)
 	case gate.CancelWork:
 		go w.cancel(f.Attempt)
 	case gate.ListWork:
@@ -80,7 +80,7 @@
 func (w *engineWork) prefill(ctx context.Context, r engine.PrefillRequest) {
 	result, err := w.engine.Prefill(ctx, r)
 	if err != nil {
-		w.failed(r.Attempt, message.PhasePrefill, err)
+		w.postFailure(r.Attempt, message.PhasePrefill, err)
 		return
 	}
 	w.post(gate.EnginePrefilled{At: time.Now(), Attempt: r.Attempt, Result: result})
@@ -92,7 +92,7 @@
 		return ctx.Err()
 	})
 	if err != nil {
-		w.failed(r.Attempt, message.PhaseDecode, err)
+		w.postFailure(r.Attempt, message.PhaseDecode, err)
 	}
 }
 
@@ -102,16 +102,16 @@
 func (w *engineWork) call(ctx context.Context, c message.Call) {
 	answer, err := w.service.Call(ctx, c)
 	if err != nil {
-		w.failed(c.Attempt, message.PhaseCall, err)
+		w.postFailure(c.Attempt, message.PhaseCall, err)
 		return
 	}
 	w.post(gate.ServiceAnswered{At: time.Now(), Answer: answer})
 }
 
-func (w *engineWork) status(q message.StatusQuery) {
+func (w *engineWork) queryStatus(q message.StatusQuery) {
 	answer, err := w.service.Status(w.ctx, q)
 	if err != nil {
-		w.failed(q.Attempt, message.PhaseCall, err)
+		w.postFailure(q.Attempt, message.PhaseCall, err)
 		return
 	}
 	w.post(gate.ServiceAnswered{At: time.Now(), Answer: answer})
@@ -129,7 +129,7 @@
 		w.post(gate.Cancelled{At: time.Now(), Attempt: a})
 		return
 	}
-	ctx, cancel := context.WithTimeout(w.ctx, cancelWithin)
+	ctx, cancel := context.WithTimeout(w.ctx, cancelTimeout)
 	defer cancel()
 	err := w.engine.Cancel(ctx, a)
 	w.post(gate.Cancelled{At: time.Now(), Attempt: a, Failed: err != nil})
@@ -139,7 +139,7 @@
 // watch to say: one lost answer would otherwise end every request of a gate,
 // and nothing would tell it that the engine still answers. The gate asks again.
 func (w *engineWork) listWork() {
-	ctx, cancel := context.WithTimeout(w.ctx, listWithin)
+	ctx, cancel := context.WithTimeout(w.ctx, listTimeout)
 	defer cancel()
 	work, err := w.engine.Work(ctx)
 	w.post(gate.WorkListed{At: time.Now(), Work: work, Failed: err != nil})
@@ -154,7 +154,7 @@
 }
 
 // failed posts the end of work without its result.
-func (w *engineWork) failed(a message.Attempt, phase message.Phase, err error) {
+func (w *engineWork) postFailure(a message.Attempt, phase message.Phase, err error) {
 	event := gate.WorkFailed{At: time.Now(), Attempt: a, Phase: phase, Reason: oriolebend.ReasonEngineFailed, Ran: oriolebend.RanUnknown, Detail: err.Error()}
 	var engineError *engine.Error
 	if errors.As(err, &engineError) {
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -38,7 +38,7 @@
 // recordWithin bounds one call to the control VMs. It is longer than an
 // election takes, so that a leader change delays a request and does not fail
 // it.
-const recordWithin = 5 * time.Second
+const recordTimeout = 5 * time.Second
 
 // EntryConfig sets up an Entry.
 type EntryConfig struct {
@@ -68,7 +68,7 @@
 	stopping bool
 	// served is when a server that answers requests, and not only reads their
 	// prompts, first took new work; zero if none has.
-	served time.Time
+	firstServing time.Time
 }
 
 // NewEntry returns an entry; Run starts it.
@@ -122,19 +122,19 @@
 func (e *Entry) Ready() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.stopping && !e.served.IsZero()
+	return !e.stopping && !e.firstServing.IsZero()
 }
 
 // settleAfter is how long the first announcements of a fleet take: two periods of
 // a sidecar's announcements.
-const settleAfter = 2 * announceEvery
+const announcementsSettleDelay = 2 * announceInterval
 
 // Settled implements caller.Router. Servers announce themselves one after the
 // other; a model that none has announced yet must not be told as unknown.
 func (e *Entry) Settled() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.served.IsZero() && time.Since(e.served) >= settleAfter
+	return !e.firstServing.IsZero() && time.Since(e.firstServing) >= announcementsSettleDelay
 }
 
 // serving counts the servers that take new work.
@@ -162,8 +162,8 @@
 			continue
 		}
 		e.servers[s.Name] = s
-		if e.served.IsZero() && s.State == oriolebend.ServerServing && s.Role != oriolebend.Prefill {
-			e.served = time.Now()
+		if e.firstServing.IsZero() && s.State == oriolebend.ServerServing && s.Role != oriolebend.Prefill {
+			e.firstServing = time.Now()
 		}
 	}
 	e.mu.Unlock()
@@ -179,7 +179,7 @@
 
 // Record implements caller.Router.
 func (e *Entry) Record(ctx context.Context, organisation, requestID string) (message.ClaimAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, recordWithin)
+	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	return e.config.Records.Query(ctx, message.Query{RequestID: requestID, Organisation: organisation})
 }
@@ -210,8 +210,8 @@
 
 // forget drops an answer that nobody reads, unless its request goes on. A
 // reader that found it just before is told so; it would wait for ever else.
-func (e *Entry) forget(requestID string, log *answerLog) {
-	if log.keep {
+func (e *Entry) dropAnswer(requestID string, log *answerLog) {
+	if log.keepRunning {
 		return
 	}
 	log.append(problemChunk(requestID, oriolebend.ReasonCallerCancelled, oriolebend.RanUnknown, "the caller that ran this request left"))
@@ -222,7 +222,7 @@
 
 // answer adds a chunk to the answer of a request. The last one takes the
 // answer out of reach of others, who then find it in the record.
-func (e *Entry) answer(requestID string, chunk caller.Chunk) {
+func (e *Entry) appendChunk(requestID string, chunk caller.Chunk) {
 	e.mu.Lock()
 	log := e.answers[requestID]
 	if chunk.Last() {
@@ -252,14 +252,14 @@
 	case entry.SendSettle:
 		go e.settle(f.Settle)
 	case entry.OpenSession:
-		e.open(f)
+		e.openSession(f)
 	case entry.Send:
-		e.send(f)
+		e.sendMessage(f)
 	case entry.CloseSession:
 		e.closeSession(f.Session)
 	case entry.Count:
 		e.config.Observer.Count(f.Name, f.Reason, f.Organisation)
-		e.log(f)
+		e.logCount(f)
 	case entry.Observe:
 		e.config.Observer.Observe(f.Name, f.Urgency, f.Value)
 	case entry.Drained:
@@ -271,7 +271,7 @@
 
 // log writes what happened to an attempt; what ends a request is logged
 // towards its caller.
-func (e *Entry) log(f entry.Count) {
+func (e *Entry) logCount(f entry.Count) {
 	level := slog.LevelDebug
 	if f.Name == "retry" || f.Name == "outcomeLost" {
 		level = slog.LevelInfo
@@ -283,38 +283,38 @@
 func (e *Entry) performAnswer(effect entry.Effect) {
 	switch f := effect.(type) {
 	case entry.AnswerPart:
-		e.answer(f.RequestID, caller.Chunk{Text: f.Text, Tokens: f.Tokens, Offset: f.Offset})
+		e.appendChunk(f.RequestID, caller.Chunk{Text: f.Text, Tokens: f.Tokens, Offset: f.Offset})
 	case entry.AnswerEnd:
-		e.answer(f.RequestID, caller.Chunk{End: &caller.End{Finish: f.Finish, Tokens: f.Tokens}})
+		e.appendChunk(f.RequestID, caller.Chunk{End: &caller.End{Finish: f.Finish, Tokens: f.Tokens}})
 	case entry.AnswerCall:
-		e.answer(f.RequestID, caller.Chunk{Call: &f.Answer})
+		e.appendChunk(f.RequestID, caller.Chunk{Call: &f.Answer})
 	case entry.AnswerReplay:
-		e.answer(f.RequestID, caller.Chunk{RequestID: f.Record, Replay: &f.Answer})
+		e.appendChunk(f.RequestID, caller.Chunk{RequestID: f.Record, Replay: &f.Answer})
 	case entry.AnswerProblem:
 		// The callers' side logs the line that operators read.
 		e.config.Logger.Debug("request ends without an answer", logging.Problem(f.Problem), "detail", f.Problem.Detail)
-		e.answer(f.RequestID, caller.Chunk{Problem: f.Problem})
+		e.appendChunk(f.RequestID, caller.Chunk{Problem: f.Problem})
 	case entry.AnswerAttach:
-		go e.attach(f)
+		go e.attachCaller(f)
 	}
 }
 
 func (e *Entry) claim(c message.Claim) {
-	ctx, cancel := context.WithTimeout(e.ctx, recordWithin)
+	ctx, cancel := context.WithTimeout(e.ctx, recordTimeout)
 	defer cancel()
 	answer, err := e.config.Records.Claim(ctx, c)
 	e.loop.Post(entry.Claimed{At: time.Now(), RequestID: c.RequestID, Answer: answer, Problem: asProblem(err, c.RequestID)})
 }
 
 func (e *Entry) settle(s message.Settle) {
-	ctx, cancel := context.WithTimeout(e.ctx, recordWithin)
+	ctx, cancel := context.WithTimeout(e.ctx, recordTimeout)
 	defer cancel()
 	settled, err := e.config.Records.Settle(ctx, s)
 	event := entry.Settled{At: time.Now(), RequestID: s.RequestID, Attempt: s.Attempt, State: settled.State, Accepted: settled.Accepted, Problem: asProblem(err, s.RequestID)}
 	e.loop.Post(event)
 }
 
-func (e *Entry) open(f entry.OpenSession) {
+func (e *Entry) openSession(f entry.OpenSession) {
 	s := &entrySession{key: f.Session, out: mailbox.New[message.Message](), post: e.loop.Post}
 	e.mu.Lock()
 	e.sessions[f.Session] = s
@@ -333,7 +333,7 @@
 	}()
 }
 
-func (e *Entry) send(f entry.Send) {
+func (e *Entry) sendMessage(f entry.Send) {
 	e.mu.Lock()
 	s := e.sessions[f.Session]
 	e.mu.Unlock()
--- a/internal/role/entry_follow.go
+++ b/internal/role/entry_follow.go
@@ -17,14 +17,14 @@
 
 // pollEvery is how often the record of a request is looked up while its owner
 // can't be followed.
-const pollEvery = 500 * time.Millisecond
+const recordPollInterval = 500 * time.Millisecond
 
 // Attach implements caller.Router.
 func (e *Entry) Attach(ctx context.Context, organisation, requestID string) <-chan caller.Chunk {
 	out := make(chan caller.Chunk)
 	go func() {
 		defer close(out)
-		e.attachTo(ctx, following{organisation: organisation, requestID: requestID}, func(c caller.Chunk) {
+		e.follow(ctx, followedRequest{organisation: organisation, requestID: requestID}, func(c caller.Chunk) {
 			select {
 			case out <- c:
 			case <-ctx.Done():
@@ -36,22 +36,22 @@
 
 // attach has a caller whose key is in use elsewhere follow the request that
 // uses it.
-func (e *Entry) attach(f entry.AnswerAttach) {
+func (e *Entry) attachCaller(f entry.AnswerAttach) {
 	e.mu.Lock()
 	log := e.answers[f.RequestID]
 	e.mu.Unlock()
 	if log == nil {
 		return
 	}
-	w := following{
+	w := followedRequest{
 		organisation: log.organisation,
 		requestID:    f.Record,
 		ownerAddress: f.OwnerAddress,
 		// The caller of this entry still waits and its request is whole: if
 		// the owner died before any output, this entry claims it anew.
-		claimAgain: func() { e.submitAgain(f.RequestID, log) },
+		resubmit: func() { e.resubmit(f.RequestID, log) },
 	}
-	e.attachTo(e.ctx, w, func(c caller.Chunk) {
+	e.follow(e.ctx, w, func(c caller.Chunk) {
 		c.RequestID = f.Record
 		log.append(c)
 	})
@@ -59,10 +59,10 @@
 
 // submitAgain has this entry run a request whose owner died. It gets a new id:
 // the record holds an id for the outcome that it was given first.
-func (e *Entry) submitAgain(requestID string, log *answerLog) {
+func (e *Entry) resubmit(requestID string, log *answerLog) {
 	r := log.request
 	r.ID = uuid.Must(uuid.NewV7()).String()
-	log.rename(r.ID)
+	log.setID(r.ID)
 	e.mu.Lock()
 	delete(e.answers, requestID)
 	e.answers[r.ID] = log
@@ -72,19 +72,19 @@
 }
 
 // following is a request that is followed, and where.
-type following struct {
+type followedRequest struct {
 	organisation string
 	requestID    string
 	// ownerAddress is where the request's owner is reached, empty if unknown.
 	ownerAddress string
 	// claimAgain has the request run by this entry; it is nil for those who
 	// only look on.
-	claimAgain func()
+	resubmit func()
 }
 
 // attachTo follows a request here, at its owner, or in its record, until its
 // last chunk went to put or it was claimed anew.
-func (e *Entry) attachTo(ctx context.Context, w following, put func(caller.Chunk)) {
+func (e *Entry) follow(ctx context.Context, w followedRequest, put func(caller.Chunk)) {
 	delivered := 0
 	once := func(c caller.Chunk) {
 		if c.Text != "" && c.Offset < delivered {
@@ -94,7 +94,7 @@
 		put(c)
 	}
 	for ctx.Err() == nil {
-		if e.followHere(ctx, w.organisation, w.requestID, once) {
+		if e.followLocal(ctx, w.organisation, w.requestID, once) {
 			return
 		}
 		if w.ownerAddress != "" && e.followOwner(ctx, w, once) {
@@ -102,11 +102,11 @@
 		}
 		found, err := e.Record(ctx, w.organisation, w.requestID)
 		if err != nil {
-			put(caller.Chunk{Problem: notFollowed(err, w.requestID)})
+			put(caller.Chunk{Problem: unreadRecordProblem(err, w.requestID)})
 			return
 		}
-		if w.claimAgain != nil && delivered == 0 && orphaned(found) {
-			w.claimAgain()
+		if w.resubmit != nil && delivered == 0 && ownerLost(found) {
+			w.resubmit()
 			return
 		}
 		if chunk, final := finalChunk(found, w.requestID, delivered); final {
@@ -114,7 +114,7 @@
 			return
 		}
 		w.ownerAddress = found.OwnerAddress
-		wait(ctx, pollEvery)
+		wait(ctx, recordPollInterval)
 	}
 }
 
@@ -122,7 +122,7 @@
 // now. The error is about the reading, which was not done; the request itself was
 // claimed by somebody and may have run. Passed on as it is, "not run" would be told of
 // a request that ran, and a payment would be made a second time.
-func notFollowed(err error, requestID string) *oriolebend.Problem {
+func unreadRecordProblem(err error, requestID string) *oriolebend.Problem {
 	p := *asProblem(err, requestID)
 	if p.Reason != oriolebend.ReasonUnknownRequest {
 		p.Ran = oriolebend.RanUnknown
@@ -133,13 +133,13 @@
 // orphaned reports whether a request's owner is gone and another entry may run
 // it: the caller that follows it would otherwise get the end of a process that
 // died in place of its answer.
-func orphaned(a message.ClaimAnswer) bool {
+func ownerLost(a message.ClaimAnswer) bool {
 	return a.State == message.RecordFailed && a.Answer != nil && a.Answer.Reason == oriolebend.ReasonLeaseEnded ||
 		a.State == message.RecordFailed && a.Reason == oriolebend.ReasonLeaseEnded
 }
 
 // followHere reads the answer of a request that this entry owns.
-func (e *Entry) followHere(ctx context.Context, organisation, requestID string, put func(caller.Chunk)) bool {
+func (e *Entry) followLocal(ctx context.Context, organisation, requestID string, put func(caller.Chunk)) bool {
 	e.mu.Lock()
 	log := e.answers[requestID]
 	e.mu.Unlock()
@@ -153,11 +153,11 @@
 // first. The last reader that leaves before the end cancels the request: no
 // caller is left that could take its answer.
 func (e *Entry) read(ctx context.Context, log *answerLog, put func(caller.Chunk)) bool {
-	log.join()
+	log.addReader()
 	whole := readLog(ctx, log, put)
-	if log.leave() && !whole {
+	if log.removeReader() && !whole {
 		e.loop.Post(entry.CallerLeft{At: time.Now(), RequestID: log.id()})
-		e.forget(log.id(), log)
+		e.dropAnswer(log.id(), log)
 	}
 	return whole
 }
@@ -166,7 +166,7 @@
 func readLog(ctx context.Context, log *answerLog, put func(caller.Chunk)) bool {
 	read := 0
 	for {
-		chunks, changed := log.from(read)
+		chunks, changed := log.chunksFrom(read)
 		for _, c := range chunks {
 			put(c)
 			if c.Last() {
@@ -185,7 +185,7 @@
 // followOwner reads the answer from the entry that owns the request. It
 // returns false if that entry can't be reached, does not know the request, or
 // is lost before the end.
-func (e *Entry) followOwner(ctx context.Context, w following, put func(caller.Chunk)) bool {
+func (e *Entry) followOwner(ctx context.Context, w followedRequest, put func(caller.Chunk)) bool {
 	s, err := e.openFollow(ctx, w.ownerAddress, message.Follow{RequestID: w.requestID, Organisation: w.organisation})
 	if err != nil {
 		return false
@@ -201,7 +201,7 @@
 		if !ok || followed.Reason == oriolebend.ReasonUnknownRequest {
 			return false
 		}
-		put(chunkOf(followed, w.requestID))
+		put(chunkFromFollowed(followed, w.requestID))
 		if followed.Last {
 			return true
 		}
@@ -209,7 +209,7 @@
 }
 
 func (e *Entry) openFollow(ctx context.Context, address string, f message.Follow) (peer.Stream, error) {
-	ctx, cancel := context.WithTimeout(ctx, openWithin)
+	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	s, err := e.config.Dialer.Open(ctx, address)
 	if err != nil {
@@ -239,8 +239,8 @@
 		<-s.Done()
 		cancel()
 	}()
-	known := e.followHere(ctx, follow.Organisation, follow.RequestID, func(c caller.Chunk) {
-		if s.Send(followedOf(c)) != nil {
+	known := e.followLocal(ctx, follow.Organisation, follow.RequestID, func(c caller.Chunk) {
+		if s.Send(followedFromChunk(c)) != nil {
 			cancel()
 		}
 	})
@@ -249,7 +249,7 @@
 	}
 }
 
-func followedOf(c caller.Chunk) message.Followed {
+func followedFromChunk(c caller.Chunk) message.Followed {
 	f := message.Followed{Offset: c.Offset, Tokens: c.Tokens, Text: c.Text, Last: c.Last(), Call: c.Call, Answer: c.Replay}
 	if c.End != nil {
 		f.Finish, f.Tokens = c.End.Finish, c.End.Tokens
@@ -260,7 +260,7 @@
 	return f
 }
 
-func chunkOf(f message.Followed, requestID string) caller.Chunk {
+func chunkFromFollowed(f message.Followed, requestID string) caller.Chunk {
 	switch {
 	case f.Reason != "":
 		return caller.Chunk{Problem: &oriolebend.Problem{Reason: f.Reason, Ran: f.Ran, RetryAfter: f.RetryAfter, Detail: f.Detail, RequestID: requestID}}
@@ -285,14 +285,14 @@
 		if a.Answer != nil && delivered == 0 {
 			return caller.Chunk{Replay: a.Answer}, true
 		}
-		return comeBackChunk(requestID, oriolebend.ReasonServerLost, oriolebend.RanYes, "the answer is stored; ask again with the same key"), true
+		return retryChunk(requestID, oriolebend.ReasonServerLost, oriolebend.RanYes, "the answer is stored; ask again with the same key"), true
 	case message.RecordFailed:
 		if a.Answer != nil && !record.Passes(a.Answer.Reason) {
 			return caller.Chunk{Replay: a.Answer}, true
 		}
-		return comeBackChunk(requestID, failureOf(a), oriolebend.RanUnknown, "the request failed where it ran; ask again with the same key"), true
+		return retryChunk(requestID, failureOf(a), oriolebend.RanUnknown, "the request failed where it ran; ask again with the same key"), true
 	case message.RecordNotRun:
-		return comeBackChunk(requestID, oriolebend.ReasonServerLost, oriolebend.RanNo, "the request was closed without running; ask again with the same key"), true
+		return retryChunk(requestID, oriolebend.ReasonServerLost, oriolebend.RanNo, "the request was closed without running; ask again with the same key"), true
 	case message.RecordUnknown:
 		return problemChunk(requestID, oriolebend.ReasonOutcomeLost, oriolebend.RanUnknown, "the request was dispatched once and its outcome is lost"), true
 	default:
@@ -314,11 +314,11 @@
 
 // comeBackAfter is when a caller that followed a request is told to send its
 // key again: the record is open to a new run, or holds the answer, by then.
-const comeBackAfter = time.Second
+const followRetryAfter = time.Second
 
-func comeBackChunk(requestID string, reason oriolebend.Reason, ran oriolebend.Ran, detail string) caller.Chunk {
+func retryChunk(requestID string, reason oriolebend.Reason, ran oriolebend.Ran, detail string) caller.Chunk {
 	c := problemChunk(requestID, reason, ran, detail)
-	c.Problem.RetryAfter = comeBackAfter
+	c.Problem.RetryAfter = followRetryAfter
 	return c
 }
 
--- a/internal/role/entry_follow_test.go
+++ b/internal/role/entry_follow_test.go
@@ -29,7 +29,7 @@
 	is := is.New(t)
 	e := &Entry{config: EntryConfig{Records: awayRecords{}}, answers: map[string]*answerLog{}}
 	var told []caller.Chunk
-	e.attachTo(t.Context(), following{organisation: "o", requestID: "r"}, func(c caller.Chunk) { told = append(told, c) })
+	e.follow(t.Context(), followedRequest{organisation: "o", requestID: "r"}, func(c caller.Chunk) { told = append(told, c) })
 	is.Equal(len(told), 1)
 	is.Equal(told[0].Problem.Reason, oriolebend.ReasonControlAway)
 	is.Equal(told[0].Problem.Ran, oriolebend.RanUnknown)
--- a/internal/role/entry_process.go
+++ b/internal/role/entry_process.go
@@ -54,7 +54,7 @@
 		Dropped:      func() { p.observer().Count("controlDropped", oriolebend.ReasonControlAway, "") },
 	})
 	e := NewEntry(EntryConfig{
-		Reducer:  p.entryReducer(owner),
+		Reducer:  p.entryReducerConfig(owner),
 		Follow:   p.followConfig("entry"),
 		Dialer:   endpoint,
 		Records:  records,
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func (p Process) entryReducer(owner string) entry.Config {
+func (p Process) entryReducerConfig(owner string) entry.Config {
 	organisations := map[string]entry.Organisation{}
 	for _, o := range p.Settings.Organisations {
 		organisations[o.Name] = entry.Organisation{Share: o.Share}
@@ -150,7 +150,7 @@
 	closed := p.callers.stop(ctx)
 	p.cancel()
 	<-p.done
-	return p.process.stopped(drained, closed, closeEndpoint(p.endpoint), p.metrics.close())
+	return p.process.stopError(drained, closed, closeEndpoint(p.endpoint), p.metrics.close())
 }
 
 // Kill ends the entry at once, as a process that dies: nothing is handed over.
--- a/internal/role/entry_ready_test.go
+++ b/internal/role/entry_ready_test.go
@@ -32,7 +32,7 @@
 		e.Servers([]oriolebend.Server{server("decode-1", oriolebend.Decode)}, false)
 		is.True(e.Ready())
 		is.True(!e.Settled()) // others may be about to announce themselves
-		time.Sleep(settleAfter)
+		time.Sleep(announcementsSettleDelay)
 		is.True(e.Settled())
 	})
 }
--- a/internal/role/entry_session.go
+++ b/internal/role/entry_session.go
@@ -15,7 +15,7 @@
 // openWithin bounds the time to open a session with a gate. A gate that does
 // not answer by then is treated as lost for this attempt; without the bound a
 // request would wait for a VM that is gone until QUIC's own handshake limit.
-const openWithin = time.Second
+const openTimeout = time.Second
 
 // entrySession is one session of an entry with a gate. Its writer sends what
 // the reducer queues, its reader posts what the gate sends.
@@ -55,7 +55,7 @@
 	defer cancel()
 	stream, err := s.open(ctx, dialer, address)
 	if err != nil {
-		s.lost(false)
+		s.postLost(false)
 		return
 	}
 	defer stream.Close()
@@ -63,7 +63,7 @@
 		return
 	}
 	if err := stream.Send(first); err != nil {
-		s.lost(false)
+		s.postLost(false)
 		return
 	}
 	go s.write(ctx, stream)
@@ -71,7 +71,7 @@
 }
 
 func (s *entrySession) open(ctx context.Context, dialer peer.Dialer, address string) (peer.Stream, error) {
-	ctx, cancel := context.WithTimeout(ctx, openWithin)
+	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	return dialer.Open(ctx, address)
 }
@@ -106,16 +106,16 @@
 			return
 		}
 		if err != nil {
-			s.lost(true)
+			s.postLost(true)
 			return
 		}
-		last = isLast(m)
+		last = endsSession(m)
 		s.post(entry.Received{At: time.Now(), Session: s.key, Message: m})
 	}
 }
 
 // isLast reports whether a gate ends its session after a message.
-func isLast(m message.Message) bool {
+func endsSession(m message.Message) bool {
 	switch m := m.(type) {
 	case message.Refusal, message.CallAnswer:
 		return true
@@ -126,7 +126,7 @@
 	}
 }
 
-func (s *entrySession) lost(opened bool) {
+func (s *entrySession) postLost(opened bool) {
 	if s.isClosing() {
 		return
 	}
--- a/internal/role/follower.go
+++ b/internal/role/follower.go
@@ -55,7 +55,7 @@
 	return Tick{
 		Every: follow.TickEvery,
 		Event: func(at time.Time) reducer.Event {
-			f.note(at)
+			f.updateAge(at)
 			return follow.Ticked{At: at}
 		},
 	}
@@ -70,7 +70,7 @@
 }
 
 // note keeps the age for readers outside of the loop.
-func (f *Follower) note(at time.Time) {
+func (f *Follower) updateAge(at time.Time) {
 	age := f.State.Age(at)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,7 +81,7 @@
 func (f *Follower) Perform(effect follow.Effect) {
 	switch e := effect.(type) {
 	case follow.Open:
-		f.open(e)
+		f.openWatch(e)
 	case follow.Send:
 		if l := f.links[e.Link]; l != nil {
 			l.put(e.Message)
@@ -109,21 +109,21 @@
 	l.queue.Put(m)
 }
 
-func (f *Follower) open(e follow.Open) {
+func (f *Follower) openWatch(e follow.Open) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	l := &followLink{cancel: cancel, queue: mailbox.New[message.Message]()}
 	f.links[e.Link] = l
 	l.put(e.Watch)
 	go func() {
 		defer cancel()
-		f.watch(ctx, e, l)
+		f.runWatch(ctx, e, l)
 		f.post(follow.Lost{At: time.Now(), Link: e.Link})
 	}()
 }
 
 // watch carries one watch until either side ends it.
-func (f *Follower) watch(ctx context.Context, e follow.Open, l *followLink) {
-	opening, cancel := context.WithTimeout(ctx, openWithin)
+func (f *Follower) runWatch(ctx context.Context, e follow.Open, l *followLink) {
+	opening, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	s, err := f.config.Dialer.Open(opening, e.Address)
 	if err != nil {
--- a/internal/role/forwarder_process.go
+++ b/internal/role/forwarder_process.go
@@ -34,20 +34,20 @@
 
 // ForwarderProcess is a running forwarder with its ports.
 type ForwarderProcess struct {
-	process   Process
-	endpoint  *peer.Endpoint
-	forwarder *forwarder.Forwarder
-	follower  *routewatch.Follower
-	places    *places.Client
-	quotas    *quota.Client
-	limits    *serverlimit.Client
-	crashes   *quarantine.Store
-	teller    *crashreports.Teller
-	callers   *http1.Server
-	metrics   *httpServer
-	stopping  chan struct{}
-	cancel    context.CancelFunc
-	done      chan struct{}
+	process       Process
+	endpoint      *peer.Endpoint
+	forwarder     *forwarder.Forwarder
+	follower      *routewatch.Follower
+	places        *places.Client
+	quotas        *quota.Client
+	limits        *serverlimit.Client
+	crashes       *quarantine.Store
+	crashReporter *crashreports.Teller
+	callers       *http1.Server
+	metrics       *httpServer
+	stopping      chan struct{}
+	cancel        context.CancelFunc
+	done          chan struct{}
 }
 
 // StartForwarder starts a forwarder that speaks the dialect with callers and
@@ -55,18 +55,18 @@
 func StartForwarder(p Process, dialect forwarder.Dialect) (*ForwarderProcess, error) {
 	p = p.withMetrics(peer.RoleForwarder)
 	process := &ForwarderProcess{process: p, stopping: make(chan struct{}), done: make(chan struct{})}
-	process.teller = &crashreports.Teller{
+	process.crashReporter = &crashreports.Teller{
 		Controls: func() []string { return process.follower.Open() },
 		Peers:    func() []string { return process.follower.Peers() },
 		Logger:   p.Logger,
 	}
-	process.teller.Prepare()
-	process.crashes = quarantine.New(quarantine.Config{Sends: true, Tell: process.teller.Tell, Logger: p.Logger})
+	process.crashReporter.Prepare()
+	process.crashes = quarantine.New(quarantine.Config{Sends: true, Tell: process.crashReporter.Tell, Logger: p.Logger})
 	endpoint, err := p.listen(map[message.Kind]peer.Handler{message.KindCrashReports: crashreports.Serve(process.crashes)})
 	if err != nil {
 		return nil, fmt.Errorf("listen for peers: %w", err)
 	}
-	process.endpoint, process.teller.Dialer = endpoint, endpoint
+	process.endpoint, process.crashReporter.Dialer = endpoint, endpoint
 	process.places = &places.Client{
 		Node: p.Settings.Node.Name, FailureDomain: p.Settings.Node.FailureDomain, Dialer: endpoint, Logger: p.Logger,
 		Leader: func() string { return process.follower.Leader() },
@@ -104,20 +104,20 @@
 		},
 		Sink:    process.forwarder,
 		Reports: func(reports []message.CrashReport) { process.crashes.Heard(reports, false) },
-		Found:   func(address string) { process.teller.TellOne(address, process.crashes.Reports()) },
+		Found:   func(address string) { process.crashReporter.TellOne(address, process.crashes.Reports()) },
 		Logger:  p.Logger,
 	}
 	if err := process.serve(); err != nil {
 		return nil, errors.Join(err, endpoint.Close())
 	}
-	process.publish()
+	process.registerMetrics()
 	ctx, cancel := context.WithCancel(context.Background())
 	process.cancel = cancel
 	go func() {
 		defer close(process.done)
 		var running sync.WaitGroup
 		running.Go(func() { process.places.Run(ctx) })
-		running.Go(func() { process.teller.Run(ctx) })
+		running.Go(func() { process.crashReporter.Run(ctx) })
 		process.follower.Run(ctx)
 		running.Wait()
 	}()
@@ -152,18 +152,18 @@
 		Logger:         p.process.Logger,
 		MaxConnections: cmp.Or(s.Forward.MaxConnections, s.Node.Connections()),
 		Held:           p.process.Held,
-		Refused:        p.refused,
+		Refused:        p.recordRefusal,
 	})
 	return nil
 }
 
 // refused takes in a request that was not read.
-func (p *ForwarderProcess) refused(r http1.Refusal) {
+func (p *ForwarderProcess) recordRefusal(r http1.Refusal) {
 	p.process.observer().Count("refusal", r.Reason, "")
 	p.process.Logger.Info("request not read", "status", r.Status, "reason", r.Reason, "detail", r.Detail)
 }
 
-func (p *ForwarderProcess) publish() {
+func (p *ForwarderProcess) registerMetrics() {
 	gauge := p.process.metrics.Gauge
 	gauge("routing_version", "Version of the routing in force.", func() float64 { return float64(p.forwarder.Version()) })
 	gauge("control_links", "Control VMs that are watched.", func() float64 { return float64(p.follower.Links()) })
@@ -214,7 +214,7 @@
 	p.limits.Close()
 	p.cancel()
 	<-p.done
-	return p.process.stopped(closeEndpoint(p.endpoint), p.metrics.close())
+	return p.process.stopError(closeEndpoint(p.endpoint), p.metrics.close())
 }
 
 // Kill ends the forwarder at once, as a process that dies.
--- a/internal/role/gate_status.go
+++ b/internal/role/gate_status.go
@@ -10,11 +10,11 @@
 )
 
 // statusWithin bounds one question to a gate; the resolver asks again later.
-const statusWithin = 8 * time.Second
+const statusTimeout = 8 * time.Second
 
 // statusGates asks gates for the outcome of lost calls on behalf of a control
 // VM. It implements the Gates of package control.
-type statusGates struct {
+type gateStatusClient struct {
 	dialer peer.Dialer
 	// members lists the servers that are announced now.
 	members func() []oriolebend.Server
@@ -23,12 +23,12 @@
 // AskStatus asks the gate of the server that had the call, or else any gate of
 // the service. The word of another gate that the attempt did not run is worth
 // nothing, for it never had it; it is passed on as unknown.
-func (g statusGates) AskStatus(ctx context.Context, server, service string, q message.StatusQuery) (message.Message, error) {
-	target, found := g.find(server, service)
+func (g gateStatusClient) AskStatus(ctx context.Context, server, service string, q message.StatusQuery) (message.Message, error) {
+	target, found := g.selectServer(server, service)
 	if !found {
 		return nil, &oriolebend.Problem{Reason: oriolebend.ReasonNoServer, Ran: oriolebend.RanUnknown}
 	}
-	answer, err := g.ask(ctx, target.GateAddress, q)
+	answer, err := g.query(ctx, target.GateAddress, q)
 	if err != nil {
 		return nil, err
 	}
@@ -39,7 +39,7 @@
 	return answer, nil
 }
 
-func (g statusGates) find(server, service string) (oriolebend.Server, bool) {
+func (g gateStatusClient) selectServer(server, service string) (oriolebend.Server, bool) {
 	var other oriolebend.Server
 	for _, s := range g.members() {
 		if s.State == oriolebend.ServerGone || s.Role != oriolebend.Service || s.Service != service {
@@ -55,8 +55,8 @@
 	return other, other.Name != ""
 }
 
-func (g statusGates) ask(ctx context.Context, address string, q message.StatusQuery) (message.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+func (g gateStatusClient) query(ctx context.Context, address string, q message.StatusQuery) (message.Message, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	stream, err := g.dialer.Open(ctx, address)
 	if err != nil {
--- a/internal/role/gate_status_test.go
+++ b/internal/role/gate_status_test.go
@@ -46,7 +46,7 @@
 					network.Listen(ctx, s.GateAddress, s.Name, refuseNo)
 				}
 				network.Listen(ctx, "mute:1", "mute", func(ctx context.Context, s peer.Stream) { <-s.Done() })
-				gates := statusGates{dialer: network.Dialer("c1"), members: func() []oriolebend.Server {
+				gates := gateStatusClient{dialer: network.Dialer("c1"), members: func() []oriolebend.Server {
 					return append(servers,
 						oriolebend.Server{Name: "mute", GateAddress: "mute:1", Role: oriolebend.Service, Service: "mute"},
 						oriolebend.Server{Name: "away", GateAddress: "away:1", Role: oriolebend.Service, Service: "away"})
--- a/internal/role/joiner.go
+++ b/internal/role/joiner.go
@@ -17,12 +17,12 @@
 
 const (
 	// joinEvery is how often a control VM looks whether it still is a member.
-	joinEvery = 500 * time.Millisecond
+	membershipCheckInterval = 500 * time.Millisecond
 	// joinAfter is how long a control VM without a leader waits before it asks
 	// to be taken in: elections take a second at most.
-	joinAfter = 2 * time.Second
+	joinDelay = 2 * time.Second
 	// joinWithin bounds one question.
-	joinWithin = 2 * time.Second
+	joinTimeout = 2 * time.Second
 	// removeAfter is how long a member may be away before the leader removes it
 	// from a group that is large enough without it: several times a restart and
 	// longer than partitions of a few seconds. A member that returns later asks
@@ -31,12 +31,12 @@
 	// replacedAfter is the same while a VM that joined a short time ago takes the
 	// place of one that is gone: until then the group counts one more than it has,
 	// and the next loss would leave no quorum. It is longer than a restart takes.
-	replacedAfter = 2500 * time.Millisecond
+	removeReplacedAfter = 2500 * time.Millisecond
 	// replacingFor is how long after a join a member that is away counts as
 	// replaced.
-	replacingFor = 30 * time.Second
+	replacementWindow = 30 * time.Second
 	// joinHops bounds the way to the leader.
-	joinHops = 3
+	maxJoinRedirects = 3
 )
 
 // Joiner keeps a control VM that knows only some others a member of their
@@ -52,33 +52,33 @@
 	Dialer  peer.Dialer
 	Logger  *slog.Logger
 
-	mutex sync.Mutex // guards Seeds once Run has begun
-	heard time.Time
+	mutex      sync.Mutex // guards Seeds once Run has begun
+	lastMember time.Time
 	// away is since when members have not answered this leader.
-	away map[string]time.Time
-	next int
+	unreachableSince map[string]time.Time
+	nextTarget       int
 	// joined is when this VM last took another one in, nil if it never did. It
 	// keeps the steady clock: the time of day may jump.
-	joined atomic.Pointer[time.Time]
+	lastAdmission atomic.Pointer[time.Time]
 }
 
 // Run joins and removes until ctx ends.
 func (j *Joiner) Run(ctx context.Context) {
-	j.heard, j.away = time.Now(), map[string]time.Time{}
-	for wait(ctx, joinEvery); ctx.Err() == nil; wait(ctx, joinEvery) {
+	j.lastMember, j.unreachableSince = time.Now(), map[string]time.Time{}
+	for wait(ctx, membershipCheckInterval); ctx.Err() == nil; wait(ctx, membershipCheckInterval) {
 		status := j.Replica.Status()
 		if status.Role == agreement.Leader {
-			j.heard = time.Now()
-			j.removeAway(ctx, status)
+			j.lastMember = time.Now()
+			j.removeUnreachable(ctx, status)
 			continue
 		}
-		clear(j.away)
+		clear(j.unreachableSince)
 		if status.Leader != "" && isVoter(status.Members, j.Self.Name) {
-			j.heard = time.Now()
+			j.lastMember = time.Now()
 			continue
 		}
-		if !isMember(status.Members, j.Self.Name) || time.Since(j.heard) > joinAfter {
-			j.ask(ctx, status)
+		if !isMember(status.Members, j.Self.Name) || time.Since(j.lastMember) > joinDelay {
+			j.requestJoin(ctx, status)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 
 // ask asks one control VM after the other for the leader, and the leader to
 // take this one in.
-func (j *Joiner) ask(ctx context.Context, status replica.Status) {
+func (j *Joiner) requestJoin(ctx context.Context, status replica.Status) {
 	j.mutex.Lock()
 	targets := slices.Clone(j.Seeds)
 	j.mutex.Unlock()
@@ -113,10 +113,10 @@
 	if len(targets) == 0 {
 		return
 	}
-	j.next++
-	address := targets[j.next%len(targets)]
-	for range joinHops {
-		answer, err := j.askOne(ctx, address)
+	j.nextTarget++
+	address := targets[j.nextTarget%len(targets)]
+	for range maxJoinRedirects {
+		answer, err := j.sendJoin(ctx, address)
 		if err != nil {
 			j.Logger.Info("join not answered", "asked", address, "error", err)
 			return
@@ -129,8 +129,8 @@
 	}
 }
 
-func (j *Joiner) askOne(ctx context.Context, address string) (message.Joined, error) {
-	ctx, cancel := context.WithTimeout(ctx, joinWithin)
+func (j *Joiner) sendJoin(ctx context.Context, address string) (message.Joined, error) {
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	s, err := j.Dialer.Open(ctx, address)
 	if err != nil {
@@ -156,18 +156,18 @@
 	if err != nil || !ok || join.Member.Name != s.Peer() {
 		return
 	}
-	answer := j.takeIn(ctx, join.Member)
+	answer := j.admit(ctx, join.Member)
 	// The asker asks again if the answer is lost.
 	_ = s.Send(answer)
 	<-s.Done()
 }
 
-func (j *Joiner) takeIn(ctx context.Context, m message.Member) message.Joined {
+func (j *Joiner) admit(ctx context.Context, m message.Member) message.Joined {
 	name, address := j.Replica.Leader()
 	if name != j.Self.Name {
 		return message.Joined{Leader: address}
 	}
-	ctx, cancel := context.WithTimeout(ctx, joinWithin)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	if isMember(j.Replica.Status().Members, m.Name) {
 		return message.Joined{}
@@ -176,34 +176,34 @@
 		return message.Joined{Reason: err.Error()}
 	}
 	now := time.Now()
-	j.joined.Store(&now)
+	j.lastAdmission.Store(&now)
 	j.Logger.Info("control VM joins", "member", m.Name, "address", m.Address, "failureDomain", m.FailureDomain)
 	return message.Joined{}
 }
 
 // removeAway removes one member that has been away for long.
-func (j *Joiner) removeAway(ctx context.Context, status replica.Status) {
+func (j *Joiner) removeUnreachable(ctx context.Context, status replica.Status) {
 	voters := 0
 	for _, p := range status.Peers {
 		if p.Voter {
 			voters++
 		}
 		if p.Active {
-			delete(j.away, p.Name)
-		} else if _, noted := j.away[p.Name]; !noted {
-			j.away[p.Name] = time.Now()
+			delete(j.unreachableSince, p.Name)
+		} else if _, noted := j.unreachableSince[p.Name]; !noted {
+			j.unreachableSince[p.Name] = time.Now()
 		}
 	}
 	allowed := removeAfter
-	if joined := j.joined.Load(); joined != nil && time.Since(*joined) < replacingFor {
-		allowed = replacedAfter
+	if joined := j.lastAdmission.Load(); joined != nil && time.Since(*joined) < replacementWindow {
+		allowed = removeReplacedAfter
 	}
 	for _, p := range status.Peers {
-		since, away := j.away[p.Name]
+		since, away := j.unreachableSince[p.Name]
 		if !away || time.Since(since) < allowed || (p.Voter && voters <= agreement.MinVoters) {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(ctx, joinWithin)
+		ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 		err := j.Replica.RemoveMember(ctx, p.Name)
 		cancel()
 		j.Logger.Info("control VM removed", "member", p.Name, "awayMs", time.Since(since).Milliseconds(), "error", err)
@@ -211,9 +211,9 @@
 	}
 }
 
-// seedMembers are the members that seeds found a group of: each is named by
+// membersFromSeeds are the members that seeds found a group of: each is named by
 // its IP, which is all that is known of it.
-func seedMembers(seeds []string) []message.Member {
+func membersFromSeeds(seeds []string) []message.Member {
 	var members []message.Member
 	for _, seed := range seeds {
 		members = append(members, message.Member{Name: hostOf(seed), Address: seed, Voter: true})
--- a/internal/role/loop.go
+++ b/internal/role/loop.go
@@ -53,7 +53,7 @@
 
 // Run reduces events until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
-	ticker := time.NewTicker(l.shortest())
+	ticker := time.NewTicker(l.shortestInterval())
 	defer ticker.Stop()
 	for {
 		select {
@@ -69,7 +69,7 @@
 }
 
 // shortest is the time between the ticks of the part that needs most.
-func (l *Loop) shortest() time.Duration {
+func (l *Loop) shortestInterval() time.Duration {
 	shortest := time.Second
 	for _, t := range l.Ticks {
 		shortest = min(shortest, t.Every)
@@ -84,18 +84,18 @@
 			continue
 		}
 		// A little early, for a ticker's ticks are not evenly spaced.
-		t.due = at.Add(t.Every - l.shortest()/2)
-		l.step(t.Event(at))
+		t.due = at.Add(t.Every - l.shortestInterval()/2)
+		l.reduce(t.Event(at))
 	}
 }
 
 func (l *Loop) drain() {
 	for _, e := range l.events.Take() {
-		l.step(e)
+		l.reduce(e)
 	}
 }
 
-func (l *Loop) step(e reducer.Event) {
+func (l *Loop) reduce(e reducer.Event) {
 	for _, effect := range reducer.Reduce(l.State, e) {
 		l.Perform(effect)
 	}
--- a/internal/role/member_leader.go
+++ b/internal/role/member_leader.go
@@ -21,9 +21,9 @@
 
 const (
 	// leadEvery is how often a control VM looks whether it leads.
-	leadEvery = 50 * time.Millisecond
+	leadershipCheckInterval = 50 * time.Millisecond
 	// proposeWithin bounds one change of the membership.
-	proposeWithin = 5 * time.Second
+	proposeTimeout = 5 * time.Second
 )
 
 // MemberLeader holds the membership leases while its control VM leads.
@@ -34,12 +34,12 @@
 	Observer Observer
 	Logger   *slog.Logger
 
-	loop     *Loop
-	sessions atomic.Uint64
-	leads    atomic.Bool
+	loop        *Loop
+	lastSession atomic.Uint64
+	leads       atomic.Bool
 
-	mu   sync.Mutex
-	open map[member.SessionID]*peer.Outbox
+	mu           sync.Mutex
+	openSessions map[member.SessionID]*peer.Outbox
 	// announced holds the latest announcement of each server.
 	announced map[string]message.Announce
 	ctx       context.Context
@@ -47,7 +47,7 @@
 
 // Prepare makes the leader ready for Serve; it must be called before Run.
 func (m *MemberLeader) Prepare() {
-	m.open = map[member.SessionID]*peer.Outbox{}
+	m.openSessions = map[member.SessionID]*peer.Outbox{}
 	m.announced = map[string]message.Announce{}
 	m.loop = NewLoop(&reducer.State{Member: member.New(member.Config{})}, m.perform, Tick{
 		Every: member.TickEvery,
@@ -65,7 +65,7 @@
 // watchLeadership tells the reducer when this control VM begins and ends to
 // lead, and of every change of the state in between.
 func (m *MemberLeader) watchLeadership(ctx context.Context) {
-	ticker := time.NewTicker(leadEvery)
+	ticker := time.NewTicker(leadershipCheckInterval)
 	defer ticker.Stop()
 	for {
 		var view declared.View
@@ -97,7 +97,7 @@
 		m.loop.Post(member.Deposed{At: time.Now()})
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, proposeWithin)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	if err := m.Log.Confirm(ctx); err != nil {
 		return
@@ -109,17 +109,17 @@
 // Serve is the peer.Handler for sidecars that announce their server and ask
 // for permits.
 func (m *MemberLeader) Serve(_ context.Context, s peer.Stream) {
-	id := member.SessionID(fmt.Sprintf("%s/%d", s.Peer(), m.sessions.Add(1)))
+	id := member.SessionID(fmt.Sprintf("%s/%d", s.Peer(), m.lastSession.Add(1)))
 	out := peer.NewOutbox(s)
 	m.mu.Lock()
-	m.open[id] = out
+	m.openSessions[id] = out
 	m.mu.Unlock()
 	go out.Write()
 	defer func() {
 		out.End()
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		delete(m.open, id)
+		delete(m.openSessions, id)
 	}()
 	for {
 		received, err := s.Receive()
@@ -132,7 +132,7 @@
 		}
 		switch f := received.(type) {
 		case message.Announce:
-			m.note(f)
+			m.recordAnnouncement(f)
 			m.loop.Post(member.Announced{At: time.Now(), Session: id, Announce: f})
 		case message.Permit:
 			m.loop.Post(member.PermitRequested{At: time.Now(), Session: id, Permit: f})
@@ -143,7 +143,7 @@
 }
 
 // note keeps an announcement for operators who ask how far a server is.
-func (m *MemberLeader) note(a message.Announce) {
+func (m *MemberLeader) recordAnnouncement(a message.Announce) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.announced[a.Server.Name] = a
@@ -164,7 +164,7 @@
 	switch f := effect.(type) {
 	case member.Reply:
 		m.mu.Lock()
-		s := m.open[f.Session]
+		s := m.openSessions[f.Session]
 		m.mu.Unlock()
 		if s != nil {
 			s.Put(f.Message)
@@ -191,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(m.ctx, proposeWithin)
+	ctx, cancel := context.WithTimeout(m.ctx, proposeTimeout)
 	defer cancel()
 	reply, err := m.Log.Propose(ctx, command)
 	if err != nil {
--- a/internal/role/memory.go
+++ b/internal/role/memory.go
@@ -30,7 +30,7 @@
 }
 
 // publishHeld shows how many bytes of bodies are held.
-func (p Process) publishHeld() {
+func (p Process) registerHeldBytes() {
 	gauge := p.metrics.Gauge
 	gauge("held_bytes_limit", "Bytes of bodies that may be held for callers and servers.", func() float64 { return float64(p.Held.Limit()) })
 	for _, kind := range heldbytes.Kinds() {
@@ -43,19 +43,19 @@
 const (
 	// guardedWithin is the time in which the body of a call to a control VM has to come: a
 	// whole routing over a thin link.
-	guardedWithin = 15 * time.Second
+	guardedBodyTimeout = 15 * time.Second
 	// retryGuarded is when a call may come again whose body there was no room for.
-	retryGuarded = time.Second
+	guardedRetryAfter = time.Second
 )
 
 // Guard bounds the bodies of the calls that a handler of this process reads.
 func (p Process) Guard(next http.Handler) http.Handler {
-	return heldbytes.Guard{Account: p.Held, Within: guardedWithin, Refuse: p.refuseBody}.Handler(next)
+	return heldbytes.Guard{Account: p.Held, Within: guardedBodyTimeout, Refuse: p.refuseBody}.Handler(next)
 }
 
 func (p Process) refuseBody(w http.ResponseWriter, r *http.Request, err error) {
 	p.observer().Count("refusal", oriolebend.ReasonMemoryShort, "")
 	p.Logger.Info("call refused", "path", r.URL.Path, "reason", oriolebend.ReasonMemoryShort, "error", err)
-	w.Header().Set("Retry-After", strconv.Itoa(int(retryGuarded.Seconds())))
+	w.Header().Set("Retry-After", strconv.Itoa(int(guardedRetryAfter.Seconds())))
 	http.Error(w, string(oriolebend.ReasonMemoryShort), http.StatusServiceUnavailable)
 }
--- a/internal/role/orders.go
+++ b/internal/role/orders.go
@@ -14,7 +14,7 @@
 )
 
 // orderWithin bounds one order; a load waits for the weight store.
-const orderWithin = 10 * time.Minute
+const orderTimeout = 10 * time.Minute
 
 // Orders has a backend server's engine become what is declared for it.
 type Orders struct {
@@ -73,11 +73,11 @@
 	case order.SetState:
 		o.SetState(f.State)
 	case order.AskEngine:
-		go o.ask(f.Number)
+		go o.queryEngine(f.Number)
 	case order.Issue:
 		go o.issue(f.Order)
 	case order.AskPermit:
-		o.Announcer.Ask(f.Permit, o.permitted)
+		o.Announcer.Ask(f.Permit, o.postPermit)
 	case order.Report:
 		o.Announcer.Progress(f.Progress, f.Detail)
 	case order.Left:
@@ -87,7 +87,7 @@
 	}
 }
 
-func (o *Orders) permitted(answer *message.Permitted) {
+func (o *Orders) postPermit(answer *message.Permitted) {
 	if answer == nil {
 		o.post(order.PermitLost{At: time.Now()})
 		return
@@ -95,8 +95,8 @@
 	o.post(order.PermitAnswered{At: time.Now(), Answer: *answer})
 }
 
-func (o *Orders) ask(number uint64) {
-	ctx, cancel := context.WithTimeout(o.ctx, watchWithin)
+func (o *Orders) queryEngine(number uint64) {
+	ctx, cancel := context.WithTimeout(o.ctx, engineQueryTimeout)
 	defer cancel()
 	info, err := o.Engine.Info(ctx)
 	if err != nil {
@@ -107,7 +107,7 @@
 }
 
 func (o *Orders) issue(f engine.Order) {
-	ctx, cancel := context.WithTimeout(o.ctx, orderWithin)
+	ctx, cancel := context.WithTimeout(o.ctx, orderTimeout)
 	defer cancel()
 	err := o.Engine.Order(ctx, f)
 	ended := order.Ended{At: time.Now()}
--- a/internal/role/pool_controller.go
+++ b/internal/role/pool_controller.go
@@ -21,9 +21,9 @@
 
 const (
 	// judgeEvery is how often the pools are judged.
-	judgeEvery = time.Second
+	evaluateInterval = time.Second
 	// roleOrderWithin bounds one order.
-	roleOrderWithin = 2 * time.Second
+	roleOrderTimeout = 2 * time.Second
 )
 
 // EngineOrders gives orders to model engines.
@@ -79,13 +79,13 @@
 
 // Run judges the pools until ctx ends.
 func (k *PoolKeeper) Run(ctx context.Context) {
-	for wait(ctx, judgeEvery); ctx.Err() == nil; wait(ctx, judgeEvery) {
+	for wait(ctx, evaluateInterval); ctx.Err() == nil; wait(ctx, evaluateInterval) {
 		status := k.Status()
-		k.tell()
+		k.updateEngines()
 		k.reduce(pools.Leads{At: time.Now(), Term: status.Term, Lead: status.Role == agreement.Leader})
 		var giving sync.WaitGroup
 		for _, order := range k.reduce(pools.Ticked{At: time.Now()}) {
-			giving.Go(func() { k.give(ctx, order) })
+			giving.Go(func() { k.issue(ctx, order) })
 		}
 		giving.Wait()
 	}
@@ -103,10 +103,10 @@
 	return orders
 }
 
-func (k *PoolKeeper) give(ctx context.Context, o pools.Order) {
-	ctx, cancel := context.WithTimeout(ctx, roleOrderWithin)
+func (k *PoolKeeper) issue(ctx context.Context, o pools.Order) {
+	ctx, cancel := context.WithTimeout(ctx, roleOrderTimeout)
 	defer cancel()
-	accepted, err := k.order(ctx, o)
+	accepted, err := k.send(ctx, o)
 	k.Logger.Info("engine ordered to change its role", "instance", o.Engine.Instance, "address", o.Engine.Address,
 		"role", o.Role, "fencing", o.Fencing, "accepted", accepted, "error", err,
 		"prefillEngines", o.Grounds.PrefillEngines, "decodeEngines", o.Grounds.DecodeEngines,
@@ -123,7 +123,7 @@
 // order announces an order and sends it, unless another control VM may lead by
 // then: a process that was paused in between would otherwise send it among the
 // orders of its successor.
-func (k *PoolKeeper) order(ctx context.Context, o pools.Order) (bool, error) {
+func (k *PoolKeeper) send(ctx context.Context, o pools.Order) (bool, error) {
 	if err := k.Announce(ctx, o.Engine, o.Away); err != nil {
 		return false, &NotOrderedError{Cause: err}
 	}
@@ -154,7 +154,7 @@
 
 // tell tells the reducer of all engines. It is called before each judgement, and not
 // for each change: while hundreds of engines start, each of them is one.
-func (k *PoolKeeper) tell() {
+func (k *PoolKeeper) updateEngines() {
 	k.mutex.Lock()
 	known := pools.Engines{Services: k.routing.Services, Servers: k.servers.List()}
 	k.mutex.Unlock()
--- a/internal/role/process.go
+++ b/internal/role/process.go
@@ -59,7 +59,7 @@
 	if p.Held == nil {
 		p.Held = heldbytes.New(heldbytes.Config{Limit: p.Settings.Node.HeldBytes()})
 	}
-	p.publishHeld()
+	p.registerHeldBytes()
 	return p
 }
 
@@ -70,8 +70,8 @@
 	return p.Observer
 }
 
-// unreadable counts an announcement that names no server to use.
-func (p Process) unreadable(reason oriolebend.Reason) {
+// countUnreadable counts an announcement that names no server to use.
+func (p Process) countUnreadable(reason oriolebend.Reason) {
 	p.observer().Count("announcementRefused", reason, "")
 }
 
@@ -125,12 +125,12 @@
 	return s.Node.Name
 }
 
-// founders lists the members that the settings name.
-func (p Process) founders() []message.Member {
+// initialMembers lists the members that the settings name.
+func (p Process) initialMembers() []message.Member {
 	if len(p.Settings.Control.Seeds) > 0 {
-		return seedMembers(p.seeds())
+		return membersFromSeeds(p.seeds())
 	}
-	return members(p.Settings.Control.Members)
+	return membersFromSettings(p.Settings.Control.Members)
 }
 
 // addressOf finds the peer address of a control VM by its name where control
@@ -177,40 +177,40 @@
 		Handler:     dispatch.Serve,
 		Logger:      p.Logger,
 		Metrics:     counts,
-		Silence:     p.silence(),
+		Silence:     p.idleTimeout(),
 	})
 }
 
-// seededSilence is how long a peer may say nothing where control VMs are found
+// seededIdleTimeout is how long a peer may say nothing where control VMs are found
 // through seeds: changes have to reach every process within two seconds, also
 // if a connection has gone silent just before.
-const seededSilence = 1500 * time.Millisecond
+const seededIdleTimeout = 1500 * time.Millisecond
 
-// silence is the bound for peers' silence; zero means the default.
-func (p Process) silence() time.Duration {
+// idleTimeout is the bound for peers' idleTimeout; zero means the default.
+func (p Process) idleTimeout() time.Duration {
 	if len(p.Settings.Control.Seeds) > 0 {
-		return seededSilence
+		return seededIdleTimeout
 	}
 	return 0
 }
 
-// stopped joins what went wrong while a process stopped under its name, nil if
+// stopError joins what went wrong while a process stopError under its name, nil if
 // nothing did.
-func (p Process) stopped(errs ...error) error {
+func (p Process) stopError(errs ...error) error {
 	if err := errors.Join(errs...); err != nil {
 		return fmt.Errorf("stop %s: %w", p.Settings.Node.Name, err)
 	}
 	return nil
 }
 
-// closeWithin bounds the wait for sessions that peers still hold when a role
+// closeTimeout bounds the wait for sessions that peers still hold when a role
 // has drained: what they carry then are watches and renewals, which their
 // peers open anew elsewhere.
-const closeWithin = time.Second
+const closeTimeout = time.Second
 
 // closeEndpoint ends a process's endpoint once its role has drained.
 func closeEndpoint(e *peer.Endpoint) error {
-	ctx, cancel := context.WithTimeout(context.Background(), closeWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	err := e.Stop(ctx)
 	if peer.CodeOf(err) == peer.CodeCancelled {
--- a/internal/role/relay_process.go
+++ b/internal/role/relay_process.go
@@ -100,15 +100,15 @@
 
 // Declare tells that a relay does not lead.
 func (r *RelayProcess) Declare(context.Context, oriolebend.Routing, []byte) (routing.Replaced, error) {
-	return routing.Replaced{}, notLeading()
+	return routing.Replaced{}, notLeaderError()
 }
 
 // Routing tells that a relay does not lead.
 func (r *RelayProcess) Routing(context.Context) (routing.InForce, error) {
-	return routing.InForce{}, notLeading()
+	return routing.InForce{}, notLeaderError()
 }
 
-func notLeading() error {
+func notLeaderError() error {
 	return &oriolebend.Problem{
 		Reason: oriolebend.ReasonNotLeader, Ran: oriolebend.RanNo, Detail: "this control VM has no disk and never leads",
 	}
@@ -145,8 +145,8 @@
 func (r *RelayProcess) Stop(context.Context) error {
 	r.cancel()
 	<-r.done
-	return r.process.stopped(closeEndpoint(r.endpoint), r.metrics.close())
+	return r.process.stopError(closeEndpoint(r.endpoint), r.metrics.close())
 }
 
 // Unreadable counts an announcement that names no server to use.
-func (r *RelayProcess) Unreadable(reason oriolebend.Reason) { r.process.unreadable(reason) }
+func (r *RelayProcess) Unreadable(reason oriolebend.Reason) { r.process.countUnreadable(reason) }
--- a/internal/role/sidecar.go
+++ b/internal/role/sidecar.go
@@ -45,19 +45,19 @@
 
 // Sidecar is the role beside one backend server: its gate.
 type Sidecar struct {
-	config   SidecarConfig
-	loop     *Loop
-	ctx      context.Context
-	sessions atomic.Uint64
-	drained  chan struct{}
-	once     sync.Once
-	work     *engineWork
-	orders   *Orders
-	follower *Follower
+	config      SidecarConfig
+	loop        *Loop
+	ctx         context.Context
+	lastSession atomic.Uint64
+	drained     chan struct{}
+	drainedOnce sync.Once
+	work        *engineWork
+	orders      *Orders
+	follower    *Follower
 
-	mu     sync.Mutex
-	open   map[gate.SessionID]*peer.Outbox
-	server oriolebend.Server
+	mu           sync.Mutex
+	openSessions map[gate.SessionID]*peer.Outbox
+	server       oriolebend.Server
 	// stopping is true once Stop was called.
 	stopping bool
 }
@@ -65,15 +65,15 @@
 // renewEvery is how often the sidecar renews the leases of sessions whose
 // connection lives. The connection's own idle timeout ends sessions of a peer
 // that is gone, so no message is spent on renewal.
-const renewEvery = 500 * time.Millisecond
+const sessionRenewInterval = 500 * time.Millisecond
 
 // NewSidecar returns a sidecar; Run starts it.
 func NewSidecar(c SidecarConfig) *Sidecar {
 	s := &Sidecar{
-		config:  c,
-		drained: make(chan struct{}),
-		open:    map[gate.SessionID]*peer.Outbox{},
-		server:  c.Server,
+		config:       c,
+		drained:      make(chan struct{}),
+		openSessions: map[gate.SessionID]*peer.Outbox{},
+		server:       c.Server,
 	}
 	s.follower = NewFollower(FollowerConfig{
 		Reducer:  c.Follow,
@@ -84,13 +84,13 @@
 	s.orders = &Orders{
 		Engine:    c.Engine,
 		Announcer: c.Announcer,
-		SetState:  s.declare,
+		SetState:  s.setGateState,
 		Left:      c.Left,
 		Observer:  c.Observer,
 	}
 	state := &reducer.State{Gate: gate.New(c.Reducer), Order: order.New(c.Orders), Follow: s.follower.State}
 	s.loop = NewLoop(state, s.perform, s.follower.Tick(), s.orders.Tick(), Tick{
-		Every: gateTickEvery,
+		Every: gateTickInterval,
 		Event: func(at time.Time) reducer.Event { return gate.Ticked{At: at} },
 	})
 	s.work = newEngineWork(c.Engine, c.Service, s.loop.Post)
@@ -102,7 +102,7 @@
 func (s *Sidecar) Run(ctx context.Context) {
 	s.ctx = ctx
 	s.work.ctx = ctx
-	go s.renew(ctx)
+	go s.renewSessions(ctx)
 	s.orders.Start(ctx, s.loop.Post)
 	s.follower.Start(ctx, s.loop.Post)
 	if s.config.Engine != nil {
@@ -121,7 +121,7 @@
 }
 
 // declare tells the gate whether to take new work.
-func (s *Sidecar) declare(state oriolebend.ServerState) {
+func (s *Sidecar) setGateState(state oriolebend.ServerState) {
 	s.loop.Post(gate.Declared{At: time.Now(), State: state})
 }
 
@@ -131,7 +131,7 @@
 	stopping := s.stopping
 	s.mu.Unlock()
 	if stopping {
-		s.once.Do(func() { close(s.drained) })
+		s.drainedOnce.Do(func() { close(s.drained) })
 		return
 	}
 	s.orders.WorkEnded()
@@ -164,15 +164,15 @@
 func (s *Sidecar) sessionsOpen() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.open)
+	return len(s.openSessions)
 }
 
 // Serve is the peer.Handler for sessions that entries open.
 func (s *Sidecar) Serve(_ context.Context, stream peer.Stream) {
-	id := gate.SessionID(fmt.Sprintf("%s/%d", stream.Peer(), s.sessions.Add(1)))
+	id := gate.SessionID(fmt.Sprintf("%s/%d", stream.Peer(), s.lastSession.Add(1)))
 	session := peer.NewOutbox(stream)
 	s.mu.Lock()
-	s.open[id] = session
+	s.openSessions[id] = session
 	s.mu.Unlock()
 	go session.Write()
 	for {
@@ -183,15 +183,15 @@
 		s.loop.Post(gate.Received{At: time.Now(), Session: id, Message: m})
 	}
 	s.mu.Lock()
-	delete(s.open, id)
+	delete(s.openSessions, id)
 	s.mu.Unlock()
 	s.loop.Post(gate.Closed{At: time.Now(), Session: id})
 	session.End()
 }
 
 // renew renews the lease of every session whose connection lives.
-func (s *Sidecar) renew(ctx context.Context) {
-	ticker := time.NewTicker(renewEvery)
+func (s *Sidecar) renewSessions(ctx context.Context) {
+	ticker := time.NewTicker(sessionRenewInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -199,7 +199,7 @@
 			return
 		case at := <-ticker.C:
 			s.mu.Lock()
-			for id := range s.open {
+			for id := range s.openSessions {
 				s.loop.Post(gate.Renewed{At: at, Session: id})
 			}
 			s.mu.Unlock()
@@ -217,7 +217,7 @@
 }
 
 // gateTickEvery is how often time passes for the gate.
-const gateTickEvery = 50 * time.Millisecond
+const gateTickInterval = 50 * time.Millisecond
 
 // perform carries one effect of the reducer out.
 func (s *Sidecar) perform(effect reducer.Effect) {
@@ -250,7 +250,7 @@
 
 func (s *Sidecar) reply(f gate.Reply) {
 	s.mu.Lock()
-	session := s.open[f.Session]
+	session := s.openSessions[f.Session]
 	s.mu.Unlock()
 	if session != nil {
 		session.Put(f.Message)
@@ -259,7 +259,7 @@
 
 func (s *Sidecar) endSession(id gate.SessionID) {
 	s.mu.Lock()
-	session := s.open[id]
+	session := s.openSessions[id]
 	s.mu.Unlock()
 	if session != nil {
 		session.End()
--- a/internal/role/sidecar_process.go
+++ b/internal/role/sidecar_process.go
@@ -63,7 +63,7 @@
 
 // declaredWithin is how long a new sidecar waits to learn what is declared for
 // its server before it takes work without.
-const declaredWithin = 5 * time.Second
+const declaredTimeout = 5 * time.Second
 
 func (p Process) sidecarConfig(endpoint *peer.Endpoint, announcer *Announcer) SidecarConfig {
 	s := p.Settings
@@ -76,7 +76,7 @@
 			Shares:        shares(s.Organisations),
 			// A restarted sidecar of a leaving server would take new work until it
 			// knows that; control that is away must not keep it out for long.
-			DeclaredWithin: declaredWithin,
+			DeclaredWithin: declaredTimeout,
 		},
 		Orders: order.Config{
 			Server:        s.Sidecar.Server,
@@ -120,7 +120,7 @@
 	drained := p.sidecar.Stop(ctx)
 	p.cancel()
 	<-p.done
-	return p.process.stopped(drained, closeEndpoint(p.endpoint), p.metrics.close())
+	return p.process.stopError(drained, closeEndpoint(p.endpoint), p.metrics.close())
 }
 
 // Kill ends the sidecar at once, as a process that dies.
--- a/internal/role/watch_server.go
+++ b/internal/role/watch_server.go
@@ -13,7 +13,7 @@
 
 // freshEvery is how often a follower is told that its state is still the
 // newest; an update that carries changes tells it as well.
-const freshEvery = 2 * time.Second
+const freshnessInterval = 2 * time.Second
 
 // WatchServer feeds the followers of one control VM.
 type WatchServer struct {
@@ -33,12 +33,12 @@
 	if !ok {
 		return
 	}
-	go w.hear(s)
-	w.feed(ctx, s, watch)
+	go w.receiveReports(s)
+	w.sendUpdates(ctx, s, watch)
 }
 
 // hear takes the follower's word of what it has in force.
-func (w *WatchServer) hear(s peer.Stream) {
+func (w *WatchServer) receiveReports(s peer.Stream) {
 	for {
 		m, err := s.Receive()
 		if err != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-func (w *WatchServer) feed(ctx context.Context, s peer.Stream, watch message.Watch) {
+func (w *WatchServer) sendUpdates(ctx context.Context, s peer.Stream, watch message.Watch) {
 	from, came := watch.From, time.Now()
 	w.Confirmer.Soon()
 	for {
@@ -77,7 +77,7 @@
 		} else {
 			w.Confirmer.Soon()
 		}
-		if !w.sleep(ctx, s, changed, confirmed) {
+		if !w.waitNext(ctx, s, changed, confirmed) {
 			return
 		}
 	}
@@ -85,8 +85,8 @@
 
 // sleep waits for a change, a confirmation that the follower still lacks, or
 // the time to tell of freshness; it is false once the session ended.
-func (w *WatchServer) sleep(ctx context.Context, s peer.Stream, changed, confirmed <-chan struct{}) bool {
-	timer := time.NewTimer(freshEvery)
+func (w *WatchServer) waitNext(ctx context.Context, s peer.Stream, changed, confirmed <-chan struct{}) bool {
+	timer := time.NewTimer(freshnessInterval)
 	defer timer.Stop()
 	select {
 	case <-changed:
