--- a/internal/role/confirmer.go
+++ b/internal/role/confirmer.go
@@ -53,7 +53,7 @@
 }
 
 // Soon asks for a confirmation before the next one is due.
-func (c *Confirmer) Soon() {
+func (c *Confirmer) Trigger() {
 	select {
 	case c.trigger <- struct{}{}:
 	default:
--- a/internal/role/watch_server.go
+++ b/internal/role/watch_server.go
@@ -52,7 +52,7 @@
 
 func (w *WatchServer) sendUpdates(ctx context.Context, s peer.Stream, watch message.Watch) {
 	from, came := watch.From, time.Now()
-	w.Confirmer.Soon()
+	w.Confirmer.Trigger()
 	for {
 		// The confirmation is read before the state: a later one could vouch
 		// for a state that was read before it.
@@ -75,7 +75,7 @@
 		if update.Fresh {
 			confirmed = nil
 		} else {
-			w.Confirmer.Soon()
+			w.Confirmer.Trigger()
 		}
 		if !w.waitNext(ctx, s, changed, confirmed) {
 			return
