--- a/internal/role/confirmer.go
+++ b/internal/role/confirmer.go
@@ -224,7 +224,7 @@
 }
 
 // Heard takes the word of a follower of this control VM.
-func (r *ReachedTable) Heard(m message.Reached) {
+func (r *ReachedTable) Record(m message.Reached) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.Heard(time.Now(), m)
--- a/internal/role/watch_server.go
+++ b/internal/role/watch_server.go
@@ -45,7 +45,7 @@
 			return
 		}
 		if r, ok := m.(message.Reached); ok {
-			w.Reached.Heard(r)
+			w.Reached.Record(r)
 		}
 	}
 }
