--- a/internal/role/announcer.go
+++ b/internal/role/announcer.go
@@ -58,7 +58,7 @@
 }
 
 // Server has the server's state told at once and renewed from then on.
-func (a *Announcer) Server(s oriolebend.Server) {
+func (a *Announcer) SetServer(s oriolebend.Server) {
 	a.update(func(m *message.Announce) { m.Server = s }, true)
 }
 
--- a/internal/role/engine_watch.go
+++ b/internal/role/engine_watch.go
@@ -58,7 +58,7 @@
 	server := s.server
 	s.mu.Unlock()
 	if server.State != "" {
-		s.config.Announcer.Server(server)
+		s.config.Announcer.SetServer(server)
 	}
 }
 
--- a/internal/role/followers_bench_test.go
+++ b/internal/role/followers_bench_test.go
@@ -241,7 +241,7 @@
 		a.Control = append(a.Control, control.Address)
 	}
 	a.Prepare()
-	a.Server(benchServer(i))
+	a.SetServer(benchServer(i))
 	go a.Run(context.Background())
 	return a
 }
--- a/internal/role/sidecar.go
+++ b/internal/role/sidecar.go
@@ -213,7 +213,7 @@
 	s.server.State = state
 	server := s.server
 	s.mu.Unlock()
-	s.config.Announcer.Server(server)
+	s.config.Announcer.SetServer(server)
 }
 
 // gateTickEvery is how often time passes for the gate.
