--- a/internal/role/announcer.go
+++ b/internal/role/announcer.go
@@ -63,7 +63,7 @@
 }
 
 // Reached has the revision in force told with the next announcement.
-func (a *Announcer) Reached(revision uint64) {
+func (a *Announcer) SetReached(revision uint64) {
 	a.update(func(m *message.Announce) { m.Reached = revision }, false)
 }
 
--- a/internal/role/followers_bench_test.go
+++ b/internal/role/followers_bench_test.go
@@ -220,7 +220,7 @@
 			f.reached = append(f.reached, benchReached{revision: view.Revision, at: time.Now().UnixNano()})
 			f.mu.Unlock()
 			if announcer != nil {
-				announcer.Reached(view.Revision)
+				announcer.SetReached(view.Revision)
 			}
 		},
 		Observer: silentObserver{},
--- a/internal/role/sidecar.go
+++ b/internal/role/sidecar.go
@@ -113,7 +113,7 @@
 
 // Declared tells of the declared state in force.
 func (s *Sidecar) Declared(view declared.View) {
-	s.config.Announcer.Reached(view.Revision)
+	s.config.Announcer.SetReached(view.Revision)
 	s.mu.Lock()
 	server := s.server
 	s.mu.Unlock()
