--- a/internal/role/announcer.go
+++ b/internal/role/announcer.go
@@ -68,7 +68,7 @@
 }
 
 // Progress has told at once how far the server is with what is declared.
-func (a *Announcer) Progress(p message.Progress, detail string) {
+func (a *Announcer) SetProgress(p message.Progress, detail string) {
 	a.update(func(m *message.Announce) { m.Progress, m.Detail = p, detail }, true)
 }
 
--- a/internal/role/orders.go
+++ b/internal/role/orders.go
@@ -79,7 +79,7 @@
 	case order.AskPermit:
 		o.Announcer.Ask(f.Permit, o.postPermit)
 	case order.Report:
-		o.Announcer.Progress(f.Progress, f.Detail)
+		o.Announcer.SetProgress(f.Progress, f.Detail)
 	case order.Left:
 		o.Left()
 	case order.Count:
