--- a/internal/role/announcer.go
+++ b/internal/role/announcer.go
@@ -91,7 +91,7 @@
 }
 
 // Ask asks the leader for a permit; answered gets its answer, or nil.
-func (a *Announcer) Ask(p message.Permit, answered func(*message.Permitted)) {
+func (a *Announcer) RequestPermit(p message.Permit, answered func(*message.Permitted)) {
 	a.permits.Put(permitRequest{permit: p, answered: answered})
 }
 
--- a/internal/role/orders.go
+++ b/internal/role/orders.go
@@ -77,7 +77,7 @@
 	case order.Issue:
 		go o.issue(f.Order)
 	case order.AskPermit:
-		o.Announcer.Ask(f.Permit, o.postPermit)
+		o.Announcer.RequestPermit(f.Permit, o.postPermit)
 	case order.Report:
 		o.Announcer.SetProgress(f.Progress, f.Detail)
 	case order.Left:
