--- a/internal/role/control_process.go
+++ b/internal/role/control_process.go
@@ -45,7 +45,7 @@
 	routing      *routing.Store
 	routes       *routewatch.Server
 	joiner       *Joiner
-	pools        *PoolKeeper
+	pools        *PoolController
 	places       *places.Giver
 	observer     *routewatch.Follower
 	crashes      *quarantine.Store
--- a/internal/role/control_routing.go
+++ b/internal/role/control_routing.go
@@ -109,7 +109,7 @@
 	c.places.Prepare()
 	sinks := routewatch.Sinks{c.places}
 	if p.Orders != nil {
-		c.pools = &PoolKeeper{Self: name, Orders: p.Orders, Announce: c.routes.RoleChanges, Status: c.replica.Status, Leads: c.Leads, Limited: c.limits.Limited, Logger: p.Logger}
+		c.pools = &PoolController{Self: name, Orders: p.Orders, Announce: c.routes.RoleChanges, Status: c.replica.Status, Leads: c.Leads, Limited: c.limits.Limited, Logger: p.Logger}
 		c.pools.Prepare()
 		c.routes.Loads = c.pools.Heard
 		sinks = append(sinks, c.pools)
--- a/internal/role/pool_controller.go
+++ b/internal/role/pool_controller.go
@@ -49,7 +49,7 @@
 
 // PoolKeeper divides model engines between prefill and decode while its control
 // VM leads. It follows what all control VMs know of the engines.
-type PoolKeeper struct {
+type PoolController struct {
 	Self   string
 	Orders EngineOrders
 	// Announce tells forwarders that an engine is about to change its role.
@@ -69,16 +69,16 @@
 	servers registry.Servers
 }
 
-var _ routewatch.Sink = (*PoolKeeper)(nil)
+var _ routewatch.Sink = (*PoolController)(nil)
 
 // Prepare makes the keeper ready; it must be called before all else.
-func (k *PoolKeeper) Prepare() {
+func (k *PoolController) Prepare() {
 	k.state = &reducer.State{Pools: pools.New()}
 	k.servers = registry.Servers{}
 }
 
 // Run judges the pools until ctx ends.
-func (k *PoolKeeper) Run(ctx context.Context) {
+func (k *PoolController) Run(ctx context.Context) {
 	for wait(ctx, evaluateInterval); ctx.Err() == nil; wait(ctx, evaluateInterval) {
 		status := k.Status()
 		k.updateEngines()
@@ -91,7 +91,7 @@
 	}
 }
 
-func (k *PoolKeeper) reduce(e pools.Event) []pools.Order {
+func (k *PoolController) reduce(e pools.Event) []pools.Order {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	var orders []pools.Order
@@ -103,7 +103,7 @@
 	return orders
 }
 
-func (k *PoolKeeper) issue(ctx context.Context, o pools.Order) {
+func (k *PoolController) issue(ctx context.Context, o pools.Order) {
 	ctx, cancel := context.WithTimeout(ctx, roleOrderTimeout)
 	defer cancel()
 	accepted, err := k.send(ctx, o)
@@ -123,7 +123,7 @@
 // order announces an order and sends it, unless another control VM may lead by
 // then: a process that was paused in between would otherwise send it among the
 // orders of its successor.
-func (k *PoolKeeper) send(ctx context.Context, o pools.Order) (bool, error) {
+func (k *PoolController) send(ctx context.Context, o pools.Order) (bool, error) {
 	if err := k.Announce(ctx, o.Engine, o.Away); err != nil {
 		return false, &NotOrderedError{Cause: err}
 	}
@@ -134,10 +134,10 @@
 }
 
 // Heard takes what a forwarder did.
-func (k *PoolKeeper) Heard(loads []message.ServiceLoad) { k.reduce(pools.Heard{Loads: loads}) }
+func (k *PoolController) Heard(loads []message.ServiceLoad) { k.reduce(pools.Heard{Loads: loads}) }
 
 // SetRouting implements routewatch.Sink.
-func (k *PoolKeeper) SetRouting(r oriolebend.Routing) {
+func (k *PoolController) SetRouting(r oriolebend.Routing) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if r.Version > k.routing.Version {
@@ -146,7 +146,7 @@
 }
 
 // ChangeServers implements routewatch.Sink.
-func (k *PoolKeeper) ChangeServers(changes registry.Changes, _ int) {
+func (k *PoolController) ChangeServers(changes registry.Changes, _ int) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.servers.Apply(changes)
@@ -154,7 +154,7 @@
 
 // tell tells the reducer of all engines. It is called before each judgement, and not
 // for each change: while hundreds of engines start, each of them is one.
-func (k *PoolKeeper) updateEngines() {
+func (k *PoolController) updateEngines() {
 	k.mutex.Lock()
 	known := pools.Engines{Services: k.routing.Services, Servers: k.servers.List()}
 	k.mutex.Unlock()
@@ -163,14 +163,14 @@
 }
 
 // Version implements routewatch.Sink.
-func (k *PoolKeeper) Version() uint64 {
+func (k *PoolController) Version() uint64 {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.routing.Version
 }
 
 // Loads implements routewatch.Sink; a control VM puts no load on engines.
-func (k *PoolKeeper) Loads() []message.ServiceLoad { return nil }
+func (k *PoolController) Loads() []message.ServiceLoad { return nil }
 
 // Expire implements routewatch.Sink.
-func (k *PoolKeeper) Expire() {}
+func (k *PoolController) Expire() {}
