--- a/internal/role/control_routing.go
+++ b/internal/role/control_routing.go
@@ -111,7 +111,7 @@
 	if p.Orders != nil {
 		c.pools = &PoolController{Self: name, Orders: p.Orders, Announce: c.routes.RoleChanges, Status: c.replica.Status, Leads: c.Leads, Limited: c.limits.Limited, Logger: p.Logger}
 		c.pools.Prepare()
-		c.routes.Loads = c.pools.Heard
+		c.routes.Loads = c.pools.ApplyLoads
 		sinks = append(sinks, c.pools)
 	}
 	c.observer = &routewatch.Follower{
--- a/internal/role/pool_controller.go
+++ b/internal/role/pool_controller.go
@@ -134,7 +134,7 @@
 }
 
 // Heard takes what a forwarder did.
-func (k *PoolController) Heard(loads []message.ServiceLoad) { k.reduce(pools.Heard{Loads: loads}) }
+func (k *PoolController) ApplyLoads(loads []message.ServiceLoad) { k.reduce(pools.Heard{Loads: loads}) }
 
 // SetRouting implements routewatch.Sink.
 func (k *PoolController) SetRouting(r oriolebend.Routing) {
