--- a/internal/role/orders.go
+++ b/internal/role/orders.go
@@ -44,7 +44,7 @@
 }
 
 // Declared tells of the declared state in force.
-func (o *Orders) Declared(view declared.View, server oriolebend.Server) {
+func (o *Orders) ApplyDeclared(view declared.View, server oriolebend.Server) {
 	event := order.Declared{At: time.Now(), Revision: view.Revision, Target: view.TargetOf(server)}
 	if self, ok := view.Servers[server.Name]; ok {
 		event.Self = &self
--- a/internal/role/sidecar.go
+++ b/internal/role/sidecar.go
@@ -117,7 +117,7 @@
 	s.mu.Lock()
 	server := s.server
 	s.mu.Unlock()
-	s.orders.Declared(view, server)
+	s.orders.ApplyDeclared(view, server)
 }
 
 // declare tells the gate whether to take new work.
