--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -83,7 +83,7 @@
 	e.follower = NewFollower(FollowerConfig{
 		Reducer:  c.Follow,
 		Dialer:   c.Dialer,
-		Apply:    func(_ declared.View, changed follow.Changed) { e.Servers(changed.Servers, changed.Whole) },
+		Apply:    func(_ declared.View, changed follow.Changed) { e.ApplyServers(changed.Servers, changed.Whole) },
 		Observer: c.Observer,
 	})
 	state := &reducer.State{Entry: entry.New(c.Reducer), Follow: e.follower.State}
@@ -151,7 +151,7 @@
 }
 
 // Servers tells the entry of servers that are new, changed or gone.
-func (e *Entry) Servers(servers []oriolebend.Server, whole bool) {
+func (e *Entry) ApplyServers(servers []oriolebend.Server, whole bool) {
 	e.mu.Lock()
 	if whole {
 		clear(e.servers)
--- a/internal/role/entry_ready_test.go
+++ b/internal/role/entry_ready_test.go
@@ -26,10 +26,10 @@
 				Models: []oriolebend.LoadedModel{{Model: "planner-lm", Version: "1"}},
 			}
 		}
-		e.Servers([]oriolebend.Server{server("prefill-1", oriolebend.Prefill)}, true)
+		e.ApplyServers([]oriolebend.Server{server("prefill-1", oriolebend.Prefill)}, true)
 		is.True(!e.Ready())
 		is.True(!e.Settled())
-		e.Servers([]oriolebend.Server{server("decode-1", oriolebend.Decode)}, false)
+		e.ApplyServers([]oriolebend.Server{server("decode-1", oriolebend.Decode)}, false)
 		is.True(e.Ready())
 		is.True(!e.Settled()) // others may be about to announce themselves
 		time.Sleep(announcementsSettleDelay)
