--- a/internal/role/sidecar.go
+++ b/internal/role/sidecar.go
@@ -78,7 +78,7 @@
 	s.follower = NewFollower(FollowerConfig{
 		Reducer:  c.Follow,
 		Dialer:   c.Dialer,
-		Apply:    func(view declared.View, _ follow.Changed) { s.Declared(view) },
+		Apply:    func(view declared.View, _ follow.Changed) { s.ApplyDeclared(view) },
 		Observer: c.Observer,
 	})
 	s.orders = &Orders{
@@ -112,7 +112,7 @@
 }
 
 // Declared tells of the declared state in force.
-func (s *Sidecar) Declared(view declared.View) {
+func (s *Sidecar) ApplyDeclared(view declared.View) {
 	s.config.Announcer.SetReached(view.Revision)
 	s.mu.Lock()
 	server := s.server
