--- a/internal/role/announcer.go
+++ b/internal/role/announcer.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// reconnectLeast and reconnectMost bound the random wait before a sidecar
-	// tries the next control VM.
+	// minReconnectDelay and maxReconnectDelay bound the random delay before
+	// a sidecar tries the next control VM.
 	minReconnectDelay = 50 * time.Millisecond
 	maxReconnectDelay = 300 * time.Millisecond
-	// reconnectLongest bounds the growth of that wait.
+	// reconnectDelayLimit bounds the growth of that delay.
 	reconnectDelayLimit = 5 * time.Second
-	// announceEvery renews the membership lease several times within it.
+	// announceInterval is shorter than the membership lease, so that the lease is
+	// renewed several times before it expires.
 	announceInterval = 1500 * time.Millisecond
-	// answerWithin bounds the leader's answer to an announcement or permit.
+	// answerTimeout bounds the leader's answer to an announcement or permit.
 	answerTimeout = 2 * time.Second
 )
 
-// Announcer keeps the leading control VM told of one backend server, and
-// carries its sidecar's questions for permits.
+// Announcer announces one backend server to the leading control VM and sends it
+// the sidecar's requests for permits.
 type Announcer struct {
 	Dialer  peer.Dialer
 	Control []string
 	Logger  *slog.Logger
 
-	// Clean is called when the leader knows that no order of an earlier start
-	// of the sidecar can be on its way; it may be nil.
+	// Clean is called when the leader knows that no order of an earlier
+	// incarnation of the sidecar can still be in flight; it may be nil.
 	Clean func()
 
 	changed chan struct{}
@@ -44,30 +45,31 @@
 	announce *message.Announce
 }
 
-// permitQuestion is a permit that is asked for; answered gets the answer, or
-// nil if none came.
+// permitRequest is a request for a permit. answered is called with the answer, or
+// with nil if there is none.
 type permitRequest struct {
 	permit   message.Permit
 	answered func(*message.Permitted)
 }
 
-// Prepare makes the announcer ready; it must be called before all else.
+// Prepare initializes the Announcer; it must be called before any other method.
 func (a *Announcer) Prepare() {
 	a.changed = make(chan struct{}, 1)
 	a.permits = mailbox.New[permitRequest]()
 }
 
-// Server has the server's state told at once and renewed from then on.
+// SetServer announces the server's state at once and renews it from then on.
 func (a *Announcer) SetServer(s oriolebend.Server) {
 	a.update(func(m *message.Announce) { m.Server = s }, true)
 }
 
-// Reached has the revision in force told with the next announcement.
+// SetReached sets the revision in force, which the next announcement reports.
 func (a *Announcer) SetReached(revision uint64) {
 	a.update(func(m *message.Announce) { m.Reached = revision }, false)
 }
 
-// Progress has told at once how far the server is with what is declared.
+// SetProgress announces at once how far the server has applied what is declared
+// for it.
 func (a *Announcer) SetProgress(p message.Progress, detail string) {
 	a.update(func(m *message.Announce) { m.Progress, m.Detail = p, detail }, true)
 }
@@ -90,48 +92,50 @@
 	}
 }
 
-// Ask asks the leader for a permit; answered gets its answer, or nil.
+// RequestPermit requests a permit from the leader; answered is called with its
+// answer, or with nil if there is none.
 func (a *Announcer) RequestPermit(p message.Permit, answered func(*message.Permitted)) {
 	a.permits.Put(permitRequest{permit: p, answered: answered})
 }
 
-// Run announces until ctx ends, going from one control VM to the next until it
-// finds the leader.
+// Run announces the server until ctx ends. It tries one control VM after the other
+// until it finds the leader.
 func (a *Announcer) Run(ctx context.Context) {
-	unheard := 0
+	failures := 0
 	for next := rand.IntN(len(a.Control)); ctx.Err() == nil; next++ {
 		address := a.Control[next%len(a.Control)]
-		heard, err := a.announceTo(ctx, address)
+		accepted, err := a.announceTo(ctx, address)
 		if err != nil && ctx.Err() == nil {
-			a.Logger.Debug("a control VM does not take announcements", "address", address, "error", err)
+			a.Logger.Debug("control VM accepts no announcements", "address", address, "error", err)
 		}
-		unheard++
-		if heard {
-			unheard = 0
+		failures++
+		if accepted {
+			failures = 0
 		}
-		for _, q := range a.permits.Take() {
-			q.answered(nil)
+		for _, r := range a.permits.Take() {
+			r.answered(nil)
 		}
-		wait(ctx, a.retryDelay(unheard))
+		wait(ctx, a.retryDelay(failures))
 	}
 }
 
-// pause is the wait before the next control VM is tried, after so many in a row
-// that took no announcement. One round of all is made quickly, to find a new
-// leader; then the wait doubles. Without that a sidecar that is refused, for
-// its certificate say, costs the control VMs a handshake several times a
-// second for as long as it lives.
-func (a *Announcer) retryDelay(unheard int) time.Duration {
+// retryDelay returns the delay before the next control VM is tried, after a number
+// of control VMs in a row that accepted no announcement. The first round over all
+// control VMs has a short delay, to find a new leader quickly; then the delay
+// doubles with each round. Without this backoff a sidecar that is refused, for
+// example for its certificate, would cost the control VMs a handshake several
+// times a second for as long as it runs.
+func (a *Announcer) retryDelay(failures int) time.Duration {
 	least, most := minReconnectDelay, maxReconnectDelay
-	for round := unheard / len(a.Control); round > 1 && most < reconnectDelayLimit; round-- {
+	for round := failures / len(a.Control); round > 1 && most < reconnectDelayLimit; round-- {
 		least, most = 2*least, 2*most
 	}
 	return least + rand.N(most-least)
 }
 
-// serve announces to one control VM for as long as it leads; heard is true if
-// it took an announcement as the leader.
-func (a *Announcer) announceTo(ctx context.Context, address string) (heard bool, err error) {
+// announceTo announces the server to one control VM for as long as that VM leads.
+// accepted is true if the VM accepted an announcement as the leader.
+func (a *Announcer) announceTo(ctx context.Context, address string) (accepted bool, err error) {
 	opening, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	s, err := a.Dialer.Open(opening, address)
@@ -144,15 +148,15 @@
 	defer ticker.Stop()
 	for {
 		if leads, err := a.sendAnnouncement(s); err != nil || !leads {
-			return heard, err
+			return accepted, err
 		}
-		heard = true
+		accepted = true
 		if err := a.requestPermits(s); err != nil {
-			return heard, err
+			return accepted, err
 		}
 		select {
 		case <-ctx.Done():
-			return heard, ctx.Err()
+			return accepted, ctx.Err()
 		case <-a.changed:
 		case <-a.permits.Wait():
 		case <-ticker.C:
@@ -160,7 +164,8 @@
 	}
 }
 
-// renew sends the announcement; it is false if the control VM does not lead.
+// sendAnnouncement sends the announcement. It reports false if the control VM does
+// not lead.
 func (a *Announcer) sendAnnouncement(s peer.Stream) (bool, error) {
 	a.mu.Lock()
 	announce := a.announce
@@ -182,29 +187,30 @@
 	return answer.LeaseFor > 0, nil
 }
 
+// requestPermits sends the queued requests for permits and passes on the answers.
 func (a *Announcer) requestPermits(s peer.Stream) error {
-	questions := a.permits.Take()
-	for i, q := range questions {
-		answer, err := exchange[message.Permitted](s, q.permit)
+	requests := a.permits.Take()
+	for i, r := range requests {
+		answer, err := exchange[message.Permitted](s, r.permit)
 		if err != nil {
-			for _, unanswered := range questions[i:] {
+			for _, unanswered := range requests[i:] {
 				unanswered.answered(nil)
 			}
 			return err
 		}
-		q.answered(&answer)
+		r.answered(&answer)
 	}
 	return nil
 }
 
-// UnexpectedError is a message that does not answer what was asked.
+// UnexpectedError reports a message that is no answer to the request.
 type UnexpectedError struct{ Kind message.Kind }
 
 // Error implements error.
 func (e *UnexpectedError) Error() string { return "unexpected message " + string(e.Kind) }
 
-// exchange sends a message and waits for its answer; a peer that does not
-// answer in time has its session closed.
+// exchange sends a message and waits for its answer. The session is closed if the
+// peer does not answer in time.
 func exchange[Answer message.Message](s peer.Stream, m message.Message) (Answer, error) {
 	var none Answer
 	if err := s.Send(m); err != nil {
--- a/internal/role/answer_log.go
+++ b/internal/role/answer_log.go
@@ -7,22 +7,22 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/entry"
 )
 
-// answerLog keeps the chunks of one answer while it is made, so that its
-// caller and any number of others with the same key can each read all of it.
-// It is unbounded but for the bound on a request's output: a reader that is
-// slow holds up neither the reducer nor the other readers.
+// answerLog stores the chunks of one answer while it is produced, so that its
+// caller and any number of other callers with the same key can each read all of
+// them. Its only bound is the bound on a request's output, so a slow reader blocks
+// neither the reducer nor the other readers.
 type answerLog struct {
 	organisation string
-	// keep is true if the request goes on when nobody reads.
+	// keepRunning is true if the request continues without readers.
 	keepRunning bool
-	// request is what the caller asked for.
+	// request is the caller's request.
 	request entry.Request
 
 	mu sync.Mutex
-	// runsAs is the id under which this entry runs the request.
+	// currentID is the id under which this entry runs the request.
 	currentID string
-	// readers counts those who read the answer; the request is cancelled when
-	// the last one leaves before its end.
+	// readers is the number of callers that read the answer. The request is
+	// cancelled when the last one disconnects before the end of the answer.
 	readers int
 	chunks  []caller.Chunk
 	changed chan struct{}
@@ -45,15 +45,15 @@
 	return a.currentID
 }
 
-// rename changes the id under which this entry runs the request.
+// setID changes the id under which this entry runs the request.
 func (a *answerLog) setID(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.currentID = id
 }
 
-// append adds a chunk and wakes the readers. Nothing is added behind a last
-// chunk.
+// append adds a chunk and wakes the readers. Chunks after the last one are
+// dropped.
 func (a *answerLog) append(c caller.Chunk) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -65,14 +65,14 @@
 	a.changed = make(chan struct{})
 }
 
-// join counts a reader in.
+// addReader registers a reader.
 func (a *answerLog) addReader() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.readers++
 }
 
-// leave counts a reader out and reports whether nobody is left to read.
+// removeReader removes a reader and reports whether it was the last one.
 func (a *answerLog) removeReader() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -80,8 +80,8 @@
 	return a.readers == 0
 }
 
-// from returns the chunks behind the first read ones, and a channel that is
-// closed when there are more.
+// chunksFrom returns the chunks after the first ones, of which there are read, and
+// a channel that is closed when the next one is added.
 func (a *answerLog) chunksFrom(read int) ([]caller.Chunk, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/role/confirmer.go
+++ b/internal/role/confirmer.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// confirmEvery is how often a control VM makes sure that its state is the
+	// confirmInterval is how often a control VM confirms that its state is the
 	// newest that a quorum accepted.
 	confirmInterval = time.Second
-	// confirmAgain is how soon it tries again after it could not. After a power loss
-	// a leader is elected within half a second; callers wait for what comes on top.
+	// confirmRetryDelay is the delay after a failed confirmation. After a power loss a
+	// leader is elected within half a second; callers wait for this delay as well.
 	confirmRetryDelay = 50 * time.Millisecond
-	// confirmLeast is the shortest time between two confirmations, so that many
-	// followers that come at once share one.
+	// minConfirmInterval is the shortest time between two confirmations, so that
+	// followers that connect at the same time share one.
 	minConfirmInterval = 20 * time.Millisecond
-	// confirmWithin bounds one try.
+	// confirmTimeout bounds one confirmation.
 	confirmTimeout = 2 * time.Second
-	// appliedEvery is how often the wait for the log to be applied looks.
+	// appliedPollInterval is how often waitApplied checks the applied index.
 	appliedPollInterval = 2 * time.Millisecond
 )
 
-// Confirmer knows when a control VM's state was last confirmed by a quorum. A
-// control VM that a network partition cut off can't confirm, so what it shows
-// its followers grows old visibly; one that is merely quiet still can.
+// Confirmer records when a quorum last confirmed that a control VM's state is the
+// newest. A control VM that is isolated by a network partition can't confirm, so
+// its followers see the age of its state grow. A control VM whose state merely
+// doesn't change still confirms it.
 type Confirmer struct {
 	Self    string
 	Replica *replica.Replica
@@ -46,13 +47,13 @@
 	leader string
 }
 
-// Prepare makes the confirmer ready; it must be called before all else.
+// Prepare initializes the Confirmer; it must be called before any other method.
 func (c *Confirmer) Prepare() {
 	c.trigger = make(chan struct{}, 1)
 	c.confirmed = make(chan struct{})
 }
 
-// Soon asks for a confirmation before the next one is due.
+// Trigger requests a confirmation before the next one is due.
 func (c *Confirmer) Trigger() {
 	select {
 	case c.trigger <- struct{}{}:
@@ -60,12 +61,12 @@
 	}
 }
 
-// Run confirms until ctx ends.
+// Run confirms the state repeatedly until ctx ends.
 func (c *Confirmer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		asked, pause := time.Now(), confirmRetryDelay
+		requested, pause := time.Now(), confirmRetryDelay
 		if c.confirm(ctx) {
-			c.recordConfirmation(asked)
+			c.recordConfirmation(requested)
 			pause = confirmInterval
 		}
 		wait(ctx, minConfirmInterval)
@@ -73,11 +74,12 @@
 	}
 }
 
-// took notes a confirmation and wakes who waits for one.
-func (c *Confirmer) recordConfirmation(asked time.Time) {
+// recordConfirmation records a confirmation that was requested at a time, and
+// wakes the goroutines that wait for one.
+func (c *Confirmer) recordConfirmation(requested time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = asked
+	c.last = requested
 	close(c.confirmed)
 	c.confirmed = make(chan struct{})
 }
@@ -92,7 +94,7 @@
 	}
 }
 
-// Last returns when the state was last known to be the newest, zero if never,
+// Last returns when the state was last confirmed to be the newest, zero if never,
 // and a channel that is closed at the next confirmation.
 func (c *Confirmer) Last() (time.Time, <-chan struct{}) {
 	c.mu.Lock()
@@ -100,8 +102,8 @@
 	return c.last, c.confirmed
 }
 
-// Age tells how long ago the state was known to be the newest; it is false if
-// it never was.
+// Age returns how long before at the state was last confirmed to be the newest. It
+// reports false if it never was.
 func (c *Confirmer) Age(at time.Time) (time.Duration, bool) {
 	last, _ := c.Last()
 	return at.Sub(last), !last.IsZero()
@@ -121,7 +123,7 @@
 	return ok && c.waitApplied(ctx, index)
 }
 
-// ask asks the leader up to where the log was agreed on.
+// queryLeader asks the leader for the index up to which its state is confirmed.
 func (c *Confirmer) queryLeader(ctx context.Context, leader, address string) (uint64, bool) {
 	s, err := c.openSession(ctx, leader, address)
 	if err != nil {
@@ -144,8 +146,8 @@
 	return confirmed.Index, true
 }
 
-// open returns the session with the leader, kept from the last time if it is
-// the same one.
+// openSession returns a session with the leader; an open session with the same
+// leader is reused.
 func (c *Confirmer) openSession(ctx context.Context, leader, address string) (peer.Stream, error) {
 	if c.stream != nil && c.leader == leader {
 		return c.stream, nil
@@ -166,7 +168,8 @@
 	c.stream, c.leader = nil, ""
 }
 
-// applied waits until this VM has applied the log up to an index.
+// waitApplied waits until this VM has applied the log up to an index. It reports
+// false if ctx ends first.
 func (c *Confirmer) waitApplied(ctx context.Context, index uint64) bool {
 	for c.Replica.Status().Applied < index {
 		if ctx.Err() != nil {
@@ -177,26 +180,26 @@
 	return true
 }
 
-// Serve is the peer.Handler for other control VMs that ask this one as the
-// leader.
+// Serve is the peer.Handler for control VMs that request a confirmation from this
+// one as the leader.
 func (c *Confirmer) Serve(ctx context.Context, s peer.Stream) {
 	for {
 		m, err := s.Receive()
 		if err != nil {
 			return
 		}
-		asked, ok := m.(message.Confirm)
+		request, ok := m.(message.Confirm)
 		if !ok {
 			return
 		}
-		c.Reached.Merge(asked.Followers)
-		if err := s.Send(c.confirmForPeer(ctx, asked.Control)); err != nil {
+		c.Reached.Merge(request.Followers)
+		if err := s.Send(c.confirmForPeer(ctx, request.Control)); err != nil {
 			return
 		}
 	}
 }
 
-func (c *Confirmer) confirmForPeer(ctx context.Context, asking string) message.Confirmed {
+func (c *Confirmer) confirmForPeer(ctx context.Context, peerName string) message.Confirmed {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	started := time.Now()
@@ -205,7 +208,7 @@
 	}
 	return message.Confirmed{
 		Index:     c.Replica.Status().Applied,
-		Followers: c.Reached.Others(asking),
+		Followers: c.Reached.Others(peerName),
 		Took:      time.Since(started),
 	}
 }
@@ -223,14 +226,14 @@
 	return &ReachedTable{self: self, table: reached.New(self), received: map[string]message.Followers{}}
 }
 
-// Heard takes the word of a follower of this control VM.
+// Record stores the report of a follower of this control VM.
 func (r *ReachedTable) Record(m message.Reached) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.Heard(time.Now(), m)
 }
 
-// Merge takes what another control VM told.
+// Merge adds the reports of followers that another control VM has sent.
 func (r *ReachedTable) Merge(m message.Followers) {
 	if m.Control == "" || m.Control == r.self {
 		return
@@ -241,7 +244,7 @@
 	r.table.Merge(time.Now(), m)
 }
 
-// Own returns what this control VM heard itself.
+// Own returns the reports that this control VM received from its own followers.
 func (r *ReachedTable) Own() message.Followers {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,21 +252,21 @@
 	return r.table.Own(time.Now())
 }
 
-// Others returns what every control VM but one heard.
-func (r *ReachedTable) Others(but string) []message.Followers {
+// Others returns the reports of the followers of all control VMs except one.
+func (r *ReachedTable) Others(except string) []message.Followers {
 	own := r.Own()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	others := []message.Followers{own}
 	for control, f := range r.received {
-		if control != but {
+		if control != except {
 			others = append(others, f)
 		}
 	}
 	return others
 }
 
-// List returns the word of every follower.
+// List returns the report of every follower.
 func (r *ReachedTable) List() []reached.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/role/control_process.go
+++ b/internal/role/control_process.go
@@ -27,10 +27,11 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// operatorHeaderTimeout ends operators' clients that send their head slowly.
+// operatorHeaderTimeout bounds how long an operator's client may take to send
+// the header of a request.
 const operatorHeaderTimeout = 5 * time.Second
 
-// ControlProcess is a running control VM's process with its ports.
+// ControlProcess is the running process of a control VM with its ports.
 type ControlProcess struct {
 	process      Process
 	endpoint     *peer.Endpoint
@@ -53,12 +54,12 @@
 	quotas       *quota.Keeper
 	limits       *serverlimit.Keeper
 	cancel       context.CancelFunc
-	// done is closed once the log has ended, with ended as its error.
+	// done is closed once the replica has stopped; runErr is its error.
 	done   chan struct{}
 	runErr error
 }
 
-// StartControl starts a control VM's process; Stop ends it.
+// StartControl starts the process of a control VM; Stop ends it.
 func StartControl(p Process) (*ControlProcess, error) {
 	p = p.withMetrics(peer.RoleControl)
 	process := &ControlProcess{process: p, done: make(chan struct{})}
@@ -97,7 +98,8 @@
 	return process, nil
 }
 
-// handlers serves peers once the process is built.
+// handlers returns the handlers of peer sessions. Each waits until ready is
+// closed, as the process accepts sessions before it is built.
 func (c *ControlProcess) handlers(ready <-chan struct{}) map[message.Kind]peer.Handler {
 	records := func(ctx context.Context, s peer.Stream) { <-ready; c.records.Serve(ctx, s) }
 	members := func(ctx context.Context, s peer.Stream) { <-ready; c.members.Serve(ctx, s) }
@@ -127,7 +129,8 @@
 	return handlers
 }
 
-// build joins the log with the machines that it feeds.
+// build creates the replicated log, its state machines and the servers of the
+// process.
 func (c *ControlProcess) build() error {
 	p := c.process
 	name := p.self()
@@ -228,7 +231,8 @@
 		Group:   c.replica,
 		Routing: c,
 		Reports: reached.List,
-		// Operators ask a VM that hears the servers for how far they are.
+		// Only the leader receives announcements, so operators must query it for
+		// the progress of servers.
 		Announcements: c.members.Announcements,
 		Confirmed:     func() (time.Duration, bool) { return c.confirmer.Age(time.Now()) },
 		OperatorURL:   operatorURL(s),
@@ -250,14 +254,15 @@
 	return nil
 }
 
-// operatorURL finds the operators' address of a control VM by its name.
+// operatorURL returns a function that maps the name of a control VM to the URL
+// at which operators reach it, empty if unknown.
 func operatorURL(s settings.Settings) func(string) string {
 	own, err := netip.ParseAddrPort(s.Operator.Listen)
 	seeded := len(s.Control.Seeds) > 0 && err == nil && !own.Addr().IsLoopback()
 	return func(node string) string {
 		if ip, err := netip.ParseAddr(node); seeded && err == nil {
-			// Found through seeds, control VMs are named by their IP and share
-			// their ports.
+			// Control VMs that are found through seeds are named by their IP and
+			// listen on the same ports.
 			return "http://" + netip.AddrPortFrom(ip, own.Port()).String()
 		}
 		for _, m := range s.Control.Members {
@@ -269,25 +274,26 @@
 	}
 }
 
-// Address is where peers reach the process.
+// Address returns the address at which peers reach the process.
 func (c *ControlProcess) Address() string { return c.endpoint.Address() }
 
-// OperatorAddress is where operators reach the process.
+// OperatorAddress returns the address at which operators reach the process.
 func (c *ControlProcess) OperatorAddress() string { return c.operators.address() }
 
-// Stop hands leadership over and ends the process.
+// Stop transfers the leadership and ends the process.
 func (c *ControlProcess) Stop(ctx context.Context) error {
 	return c.process.stopError(c.shutdown(ctx), closeEndpoint(c.endpoint))
 }
 
 // StopTogether ends the process when the other control VMs stop at the same
-// time: it hands no leadership over, and waits for no session of theirs.
+// time: it neither transfers the leadership nor waits for the other control VMs
+// to close their sessions.
 func (c *ControlProcess) StopTogether(ctx context.Context) error {
 	c.replica.StopTogether()
 	return c.process.stopError(c.shutdown(ctx), c.endpoint.Close())
 }
 
-// shutdown has the log stop, and closes the ports for operators and metrics.
+// shutdown stops the replica and closes the ports for operators and metrics.
 func (c *ControlProcess) shutdown(ctx context.Context) error {
 	c.cancel()
 	closed := errors.Join(c.operators.close(), c.metrics.close())
@@ -299,15 +305,16 @@
 	}
 }
 
-// Kill ends the process at once, as one that dies.
+// Kill ends the process at once, as a crash would.
 func (c *ControlProcess) Kill() error {
-	// The endpoint goes first: a VM that dies hands no leadership over.
+	// The endpoint is closed first: a VM that crashes transfers no leadership.
 	closed := errors.Join(c.endpoint.Close(), c.operators.close(), c.metrics.close())
 	c.cancel()
 	<-c.done
 	return errors.Join(closed, c.runErr)
 }
 
+// membersFromSettings returns the listed control VMs as voters.
 func membersFromSettings(list []settings.Member) []message.Member {
 	var members []message.Member
 	for _, m := range list {
@@ -316,7 +323,8 @@
 	return members
 }
 
-// newQuotas counts what organisations ask for.
+// newQuotas returns the server that counts requests against the quotas of
+// organisations.
 func (c *ControlProcess) newQuotas() *quota.Keeper {
 	s := c.process.Settings.Control
 	k := &quota.Keeper{
@@ -333,7 +341,8 @@
 	return k
 }
 
-// newLimits counts what is sent to backend servers that have named a limit.
+// newLimits returns the server that counts the requests sent to backend servers
+// that have reported a limit.
 func (c *ControlProcess) newLimits() *serverlimit.Keeper {
 	k := &serverlimit.Keeper{
 		Leads: c.Leads, Term: func() uint64 { return c.replica.Status().Term }, Logger: c.process.Logger,
--- a/internal/role/control_routing.go
+++ b/internal/role/control_routing.go
@@ -16,9 +16,10 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Declare has a routing agreed on. It returns once a quorum holds it, with the
-// version in force. The routing must have passed its checks. Errors are
-// *oriolebend.Problem; one with reason notLeader asks to go to Leader.
+// Declare proposes a routing, which must have been validated. It returns the
+// version in force once a quorum has stored it. Errors are *oriolebend.Problem
+// values; after one with reason notLeader the caller should try the VM that
+// LeaderIP names.
 func (c *ControlProcess) Declare(ctx context.Context, r oriolebend.Routing, document []byte) (routing.Replaced, error) {
 	command, err := cbor.Marshal(routing.Replace{Routing: r, Document: document})
 	if err != nil {
@@ -36,8 +37,8 @@
 	return replaced, nil
 }
 
-// Routing returns the routing in force, once a quorum has confirmed that none
-// newer was accepted. Errors are those of Declare.
+// Routing returns the routing in force once a quorum has confirmed that no newer
+// one was accepted. Its errors are the same as those of Declare.
 func (c *ControlProcess) Routing(ctx context.Context) (routing.InForce, error) {
 	if err := c.replica.Confirm(ctx); err != nil {
 		return routing.InForce{}, err
@@ -46,7 +47,7 @@
 	return current, nil
 }
 
-// LeaderIP is the IP of the control VM that leads, empty if none is known.
+// LeaderIP returns the IP of the control VM that leads, empty if none is known.
 func (c *ControlProcess) LeaderIP() string {
 	_, address := c.replica.Leader()
 	return hostOf(address)
@@ -58,19 +59,19 @@
 	return name == c.process.self()
 }
 
-// replaced reports whether another control VM is known to lead.
+// otherLeads reports whether another control VM is known to lead.
 func (c *ControlProcess) otherLeads() bool {
 	name, _ := c.replica.Leader()
 	return name != "" && name != c.process.self()
 }
 
-// Announce takes an announcement of a backend server.
+// Announce applies an announcement of a backend server.
 func (c *ControlProcess) Announce(ctx context.Context, server message.BackendServer) error {
 	return c.routes.Announce(ctx, server)
 }
 
-// AnnounceTo is the IP of the control VM that an instance had better announce itself to
-// from now on; empty means this one.
+// AnnounceTo returns the IP of the control VM to which an instance should send its
+// announcements from now on; empty means this one.
 func (c *ControlProcess) AnnounceTo(instance string) string {
 	return hostOf(c.routes.AnnounceTo(instance))
 }
@@ -78,31 +79,33 @@
 // Backends lists the backend servers that announced themselves to this VM.
 func (c *ControlProcess) Backends() []message.BackendServer { return c.routes.Servers() }
 
-// Withdraw takes the last word of a backend server.
+// Withdraw removes a backend server that leaves. incarnation is zero if the server
+// did not report it.
 func (c *ControlProcess) Withdraw(ctx context.Context, instance string, incarnation uint64) error {
 	return c.routes.Withdraw(ctx, instance, incarnation)
 }
 
-// Unreadable counts an announcement that names no server to use.
+// Unreadable counts an announcement that names no usable server.
 func (c *ControlProcess) Unreadable(reason oriolebend.Reason) { c.process.countUnreadable(reason) }
 
-// Reload takes up settings that changed while the process runs: the control VMs
-// that are known from the start.
+// Reload applies the settings that may change while the process runs, which are
+// the seeds of the control VMs.
 func (c *ControlProcess) Reload(s settings.Settings) {
 	if c.joiner != nil {
 		c.joiner.SetSeeds(Process{Settings: s}.seeds())
 	}
 }
 
-// Done is closed once the agreed log has ended.
+// Done returns a channel that is closed once the replicated log has stopped.
 func (c *ControlProcess) Done() <-chan struct{} { return c.done }
 
-// Ended tells why the agreed log has ended; nil after a graceful stop.
+// Ended returns the error that stopped the replicated log, nil after a graceful
+// stop.
 func (c *ControlProcess) Ended() error { return c.runErr }
 
-// observe has this VM follow what all control VMs know of backend servers, to
-// give places and to divide model engines between prefill and decode while it
-// leads.
+// buildObserver sets up the watch through which this VM follows the state of
+// backend servers that all control VMs know. While it leads, it allocates
+// placements and divides model engines between prefill and decode by that state.
 func (c *ControlProcess) buildObserver(name string) {
 	p := c.process
 	c.places = &places.Giver{Leads: c.Leads, Replaced: c.otherLeads, Logger: p.Logger}
@@ -127,7 +130,8 @@
 	}
 }
 
-// newJoiner keeps this VM a member of a group that is found through seeds.
+// newJoiner returns the Joiner that keeps this VM a member of a group that is
+// found through seeds.
 func (c *ControlProcess) newJoiner(name string) *Joiner {
 	p := c.process
 	return &Joiner{
@@ -139,15 +143,15 @@
 	}
 }
 
-// join serves a control VM that asks to join; a group whose members are all
-// listed in the settings takes nobody in.
+// serveJoin serves a control VM that requests to join. A group whose members are
+// all listed in the settings admits none.
 func (c *ControlProcess) serveJoin(ctx context.Context, s peer.Stream) {
 	if c.joiner != nil {
 		c.joiner.Serve(ctx, s)
 	}
 }
 
-// controls lists the peer addresses of the members.
+// memberAddresses lists the peer addresses of the members.
 func (c *ControlProcess) memberAddresses() []string {
 	var addresses []string
 	for _, m := range c.replica.Status().Members {
--- a/internal/role/dev.go
+++ b/internal/role/dev.go
@@ -24,24 +24,24 @@
 )
 
 const (
-	// loopback lets the system choose a port on loopback.
+	// loopback is a loopback address whose port the system chooses.
 	loopback = "127.0.0.1:0"
-	// readyEvery is how often Dev looks whether its entries can route.
+	// readyPollInterval is how often Dev checks whether its entries can route.
 	readyPollInterval = 10 * time.Millisecond
-	// devStopDelay replaces the wait for a balancer, which dev has none of.
+	// devStopDelay replaces the wait for a load balancer, which Dev does not have.
 	devStopDelay = time.Millisecond
 )
 
-// Dev is every role and the stand-ins in one process, over real sockets on
-// loopback.
+// Dev runs all roles and the stand-ins for backend servers in one process. They
+// communicate over real sockets on loopback.
 type Dev struct {
 	settings  settings.Settings
 	logger    *slog.Logger
 	authority *peer.Authority
 	folder    string
 	standins  []*standin.Server
-	// failing is held while a failure begins or ends, and mends waits for
-	// those that go on.
+	// failureMutex is held while a failure begins or ends. failures waits for the
+	// failures in progress.
 	failureMutex sync.Mutex
 	failures     sync.WaitGroup
 	stopping     chan struct{}
@@ -49,19 +49,19 @@
 
 	Engines  map[string]*standin.Engine
 	Services map[string]*standin.Service
-	// Ledgers counts the executions of each service over all its stand-ins.
+	// Ledgers counts the executions of each service across all its stand-ins.
 	Ledgers  map[string]*standin.Ledger
 	Controls []*ControlProcess
 	Sidecars map[string]*SidecarProcess
 	Entries  []*EntryProcess
 }
 
-// startTries bounds the starts of dev after another process took a port that was
-// chosen as free and not yet listened on.
+// maxStartTries bounds how often Dev is started again after another process took a
+// port that Dev had chosen as free and not yet opened.
 const maxStartTries = 3
 
-// StartDev starts everything that the settings' dev table describes; Stop
-// ends it and removes what it wrote.
+// StartDev starts the roles and stand-ins that the dev table of the settings
+// describes; Stop ends them and removes the files that they wrote.
 func StartDev(s settings.Settings, logger *slog.Logger) (*Dev, error) {
 	for try := 1; ; try++ {
 		d, err := startDevOnce(s, logger)
@@ -144,10 +144,10 @@
 	return nil
 }
 
-// MetricsAddress is where the metrics of all roles are served.
+// MetricsAddress returns the address at which the metrics of all roles are served.
 func (d *Dev) MetricsAddress() string { return d.metrics.address() }
 
-// process makes the settings and credentials of one role's process.
+// process returns the settings and credentials of one role's process.
 func (d *Dev) process(role, name, failureDomain string) (Process, error) {
 	material, err := d.authority.Issue(peer.Identity{Role: role, Name: name})
 	if err != nil {
@@ -156,14 +156,15 @@
 	s := d.settings
 	s.Node = settings.Node{Name: name, Region: s.Node.Region, FailureDomain: failureDomain}
 	s.Peer.Listen = loopback
-	s.Metrics.Listen = "" // one port serves the metrics of all
+	s.Metrics.Listen = "" // one port serves the metrics of all roles
 	s.Control.Members = slices.Clone(d.settings.Control.Members)
 	return Process{Settings: s, Credentials: peer.Fixed(material), Logger: d.logger.With("node", name)}, nil
 }
 
-// startControls starts the control VMs' processes. Each needs the addresses of
-// all, so their ports are opened before the first one starts, and kept open: a
-// free port that is only looked up may be taken by another process until then.
+// startControls starts the processes of the control VMs. Each needs the addresses of
+// all of them, so all ports are opened before the first process starts. They are
+// kept open, because another process might take a port that was only found to be
+// free.
 func (d *Dev) startControls() error {
 	count := max(1, d.settings.Dev.Controls)
 	domains := failureDomains(d.settings.Dev.Servers)
@@ -188,14 +189,14 @@
 	return nil
 }
 
-// controlPorts are the open ports of a control VM's process that is to start.
+// controlPorts holds the open ports for the process of one control VM.
 type controlPorts struct {
 	peers     net.PacketConn
 	operators net.Listener
 }
 
-// openPorts opens the ports of a control VM; the first listens for operators
-// where the settings say.
+// openPorts opens the ports of a control VM. The first VM listens for operators at
+// the address in the settings.
 func (d *Dev) openPorts(n int) (controlPorts, error) {
 	address := loopback
 	if n == 0 {
@@ -212,9 +213,9 @@
 	return controlPorts{peers: peers, operators: operators}, nil
 }
 
-// member describes the control VM with these ports. The others are told its
-// address for operators: an order that meets one which does not lead could not
-// be redirected otherwise.
+// member returns the settings of the control VM with these ports. They include its
+// address for operators, because a control VM that does not lead redirects
+// operators' orders to the leader's.
 func (c controlPorts) member(n int) settings.Member {
 	return settings.Member{
 		Name:            fmt.Sprintf("control-%d", n+1),
@@ -223,7 +224,7 @@
 	}
 }
 
-// startControl starts one control VM's process.
+// startControl starts the process of one control VM.
 func (d *Dev) startControl(n int, ports controlPorts) error {
 	m := d.settings.Control.Members[n]
 	p, err := d.process("control", m.Name, m.FailureDomain)
@@ -255,7 +256,7 @@
 	return domains
 }
 
-// startServer starts one stand-in with its sidecar.
+// startServer starts one stand-in and its sidecar.
 func (d *Dev) startServer(group settings.DevServer, n int) error {
 	name := fmt.Sprintf("%s%d", group.NamePrefix, n+1)
 	domain := ""
@@ -301,8 +302,8 @@
 	return nil
 }
 
-// ledger is what all stand-ins of one service share, so that a call that two
-// of them executed shows, and each knows the outcome of the others' calls.
+// ledger returns the ledger that all stand-ins of one service share. It shows calls
+// that two of them executed, and gives each the outcome of the others' calls.
 func (d *Dev) ledger(service string) *standin.Ledger {
 	if d.Ledgers[service] == nil {
 		d.Ledgers[service] = standin.NewLedger()
@@ -323,7 +324,7 @@
 	}
 }
 
-// startEntry starts one entry; the first listens where the settings say.
+// startEntry starts one entry; the first listens at the address in the settings.
 func (d *Dev) startEntry(n int) error {
 	p, err := d.process("entry", fmt.Sprintf("entry-%d", n+1), "")
 	if err != nil {
@@ -341,7 +342,7 @@
 	return nil
 }
 
-// Ready waits until every entry can route to every server.
+// Ready waits until every entry can route requests to every server.
 func (d *Dev) Ready(ctx context.Context) error {
 	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
@@ -366,8 +367,8 @@
 	return true
 }
 
-// Stop ends everything gracefully, entries first, and removes the temporary
-// folder.
+// Stop ends all roles and stand-ins gracefully, entries first, and removes the
+// temporary folder.
 func (d *Dev) Stop(ctx context.Context) error {
 	errs := []error{d.metrics.close()}
 	close(d.stopping)
@@ -385,7 +386,7 @@
 	return errors.Join(errs...)
 }
 
-// stopAll stops processes of one role side by side.
+// stopAll stops the processes of one role concurrently.
 func stopAll[P any](ctx context.Context, processes []P, stop func(P, context.Context) error) error {
 	errs := make([]error, len(processes))
 	var all sync.WaitGroup
--- a/internal/role/dev_failure.go
+++ b/internal/role/dev_failure.go
@@ -13,10 +13,10 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// FailureName names something that Dev can make fail.
+// FailureName names a failure that Dev can inject.
 type FailureName string
 
-// Failures that Dev brings about on its own stand-ins and roles.
+// Failures that Dev injects into its own stand-ins and roles.
 const (
 	FailKillEngine   FailureName = "killEngine"
 	FailFreezeEngine FailureName = "freezeEngine"
@@ -32,13 +32,13 @@
 )
 
 const (
-	// failFor is how long a failure lasts that names no time.
+	// defaultFailureDuration is the duration of a failure that sets none.
 	defaultFailureDuration = 2 * time.Second
-	// slowFactor is how much longer the steps of a slow engine take.
+	// slowFactor is the factor by which the steps of a slow engine take longer.
 	slowFactor = 5
-	// failureBody bounds the description of a failure.
+	// maxFailureBody bounds the size of a failure's description in bytes.
 	maxFailureBody = 4 << 10
-	// failureStop bounds a graceful stop that is part of a failure.
+	// failureStopTimeout bounds a graceful stop that is part of a failure.
 	failureStopTimeout = time.Minute
 )
 
@@ -49,16 +49,16 @@
 	For    oriolebend.Duration `json:"for,omitempty"`
 }
 
-// FailureError is a failure that can't be brought about.
+// FailureError reports a failure that can't be injected.
 type FailureError struct{ Detail string }
 
 // Error implements error.
 func (e *FailureError) Error() string { return e.Detail }
 
-// strike brings a failure about and returns what ends it.
-type injector func(d *Dev, target string) (mend func() error, err error)
+// injector injects a failure and returns the function that ends it.
+type injector func(d *Dev, target string) (end func() error, err error)
 
-// strikes holds how each failure is brought about; a new failure is a new row.
+// injectors holds the injector of each failure.
 var injectors = map[FailureName]injector{
 	FailKillEngine: onEngine(func(e *standin.Engine) func() { e.Kill(); return e.Restart }),
 	FailFreezeEngine: onEngine(func(e *standin.Engine) func() {
@@ -82,16 +82,16 @@
 	FailStopControl: onControl(gracefully((*ControlProcess).Stop)),
 }
 
-// Fail brings a failure about and has it end after its time. It returns a
-// *FailureError for one that Dev does not know.
+// Fail injects a failure and ends it after its duration. It returns a *FailureError
+// for a failure or target that Dev does not know.
 func (d *Dev) Fail(f Failure) error {
-	bring, known := injectors[f.Do]
+	inject, known := injectors[f.Do]
 	if !known {
 		return &FailureError{Detail: fmt.Sprintf("no failure %q; there are %v", f.Do, slices.Sorted(maps.Keys(injectors)))}
 	}
-	d.logger.Info("a failure is brought about", "do", f.Do, "target", f.Target, "for", f.For)
+	d.logger.Info("failure injected", "do", f.Do, "target", f.Target, "for", f.For)
 	d.failureMutex.Lock()
-	mend, err := bring(d, f.Target)
+	end, err := inject(d, f.Target)
 	d.failureMutex.Unlock()
 	if err != nil {
 		return err
@@ -100,15 +100,15 @@
 		d.waitForFailureEnd(f.For.Or(defaultFailureDuration))
 		d.failureMutex.Lock()
 		defer d.failureMutex.Unlock()
-		if err := mend(); err != nil {
-			d.logger.Error("a failure did not end", "do", f.Do, "target", f.Target, "error", err)
+		if err := end(); err != nil {
+			d.logger.Error("failure could not be ended", "do", f.Do, "target", f.Target, "error", err)
 		}
 	})
 	return nil
 }
 
-// waitToMend waits for the end of a failure. A Dev that stops ends it at once:
-// requests in progress must be able to end.
+// waitForFailureEnd waits until a failure must end. A stop of Dev ends it at once,
+// as requests in progress must be able to end.
 func (d *Dev) waitForFailureEnd(lasts time.Duration) {
 	timer := time.NewTimer(lasts)
 	defer timer.Stop()
@@ -118,7 +118,7 @@
 	}
 }
 
-// serveFailures takes failures over HTTP, one as JSON in each request.
+// serveFailures injects failures over HTTP; each request describes one in JSON.
 func (d *Dev) serveFailures(w http.ResponseWriter, r *http.Request) {
 	var f Failure
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxFailureBody))
@@ -133,14 +133,14 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-func onEngine(bring func(*standin.Engine) (mend func())) injector {
+func onEngine(inject func(*standin.Engine) (end func())) injector {
 	return func(d *Dev, target string) (func() error, error) {
 		e := d.Engines[target]
 		if e == nil {
 			return nil, unknownTarget("engine", target)
 		}
-		mend := bring(e)
-		return func() error { mend(); return nil }, nil
+		end := inject(e)
+		return func() error { end(); return nil }, nil
 	}
 }
 
@@ -153,24 +153,24 @@
 	return func() error { return nil }, nil
 }
 
-func onSidecar(end func(*SidecarProcess) error) injector {
+func onSidecar(stop func(*SidecarProcess) error) injector {
 	return func(d *Dev, target string) (func() error, error) {
 		s := d.Sidecars[target]
 		if s == nil {
 			return nil, unknownTarget("server", target)
 		}
 		return func() error {
-			again, err := StartSidecar(s.process)
+			started, err := StartSidecar(s.process)
 			if err != nil {
 				return err
 			}
-			d.Sidecars[target] = again
+			d.Sidecars[target] = started
 			return nil
-		}, end(s)
+		}, stop(s)
 	}
 }
 
-func onEntry(end func(*EntryProcess) error) injector {
+func onEntry(stop func(*EntryProcess) error) injector {
 	return func(d *Dev, target string) (func() error, error) {
 		n := slices.IndexFunc(d.Entries, func(e *EntryProcess) bool { return e.process.Settings.Node.Name == target })
 		if n < 0 {
@@ -179,17 +179,17 @@
 		p := d.Entries[n].process
 		p.Settings.Caller.Listen = d.Entries[n].Address()
 		return func() error {
-			again, err := StartEntry(p)
+			started, err := StartEntry(p)
 			if err != nil {
 				return err
 			}
-			d.Entries[n] = again
+			d.Entries[n] = started
 			return nil
-		}, end(d.Entries[n])
+		}, stop(d.Entries[n])
 	}
 }
 
-func onControl(end func(*ControlProcess) error) injector {
+func onControl(stop func(*ControlProcess) error) injector {
 	return func(d *Dev, target string) (func() error, error) {
 		n := slices.IndexFunc(d.Controls, func(c *ControlProcess) bool { return c.process.Settings.Node.Name == target })
 		if n < 0 {
@@ -198,13 +198,13 @@
 		p := d.Controls[n].process
 		p.Socket, p.Operators = nil, nil
 		return func() error {
-			again, err := StartControl(p)
+			started, err := StartControl(p)
 			if err != nil {
 				return err
 			}
-			d.Controls[n] = again
+			d.Controls[n] = started
 			return nil
-		}, end(d.Controls[n])
+		}, stop(d.Controls[n])
 	}
 }
 
@@ -212,7 +212,7 @@
 	return &FailureError{Detail: fmt.Sprintf("no %s %q here", kind, target)}
 }
 
-// gracefully makes a graceful stop one that takes no context.
+// gracefully returns a function that stops a process gracefully without a context.
 func gracefully[P any](stop func(P, context.Context) error) func(P) error {
 	return func(p P) error {
 		ctx, cancel := context.WithTimeout(context.Background(), failureStopTimeout)
--- a/internal/role/dispatch.go
+++ b/internal/role/dispatch.go
@@ -10,7 +10,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Dispatch serves each session by the kind of its first message.
+// Dispatch passes each session to the handler for the kind of its first message.
 type Dispatch struct {
 	Logger   *slog.Logger
 	Handlers map[message.Kind]peer.Handler
@@ -33,13 +33,13 @@
 	handler, ok := d.Handlers[first.Kind()]
 	if !ok {
 		d.Observer.Count("peer.unserved", "", "")
-		d.Logger.Warn("a peer opened a session that this role does not serve", "peer", s.Peer(), "kind", first.Kind())
+		d.Logger.Warn("session refused: this role does not serve its kind", "peer", s.Peer(), "kind", first.Kind())
 		return
 	}
 	handler(ctx, &replayed{Stream: s, first: first})
 }
 
-// replayed gives the first message of a stream back to its handler.
+// replayed is a stream that returns the message that was already received first.
 type replayed struct {
 	peer.Stream
 	once  sync.Once
--- a/internal/role/doc.go
+++ b/internal/role/doc.go
@@ -1,5 +1,5 @@
-// Package role runs the roles of the program: it joins each role's reducer to
-// the adapters that speak to its peers. A role owns one loop; every event of
-// the role passes through it in turn, and the effects are carried out by
-// goroutines that post their outcome back as events.
+// Package role runs the roles of the program: it connects each role's reducer
+// to the network, the disk and the clock. A role owns one loop that reduces the
+// role's events one at a time. Goroutines perform the effects and post their
+// outcome back to the loop as events.
 package role
--- a/internal/role/engine_watch.go
+++ b/internal/role/engine_watch.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// watchEvery is how often the sidecar asks its engine for load and cache
-	// events; both are hints only.
+	// enginePollInterval is how often the sidecar queries its engine for load and
+	// cache events; both are hints only.
 	enginePollInterval = 250 * time.Millisecond
-	// watchWithin bounds one question to the engine.
+	// engineQueryTimeout bounds one round of queries to the engine.
 	engineQueryTimeout = 2 * time.Second
-	// lostAfter is how many questions in a row may fail before the engine
-	// counts as lost; one lost answer is not yet a dead engine.
+	// maxFailedPolls is the number of failed polls in a row after which the engine
+	// counts as lost. A single lost answer does not mean that the engine crashed.
 	maxFailedPolls = 3
 )
 
-// engineWatch asks the engine what it is, its load and its cache events.
+// engineWatch polls the engine for its description, its load and its cache events.
 type engineWatch struct {
 	engine    engine.Engine
 	post      func(reducer.Event)
@@ -31,7 +31,7 @@
 	lastEvent uint64
 }
 
-// watchEngine follows the engine until ctx ends.
+// watchEngine polls the engine until ctx ends.
 func (s *Sidecar) watchEngine(ctx context.Context) {
 	w := &engineWatch{engine: s.config.Engine, post: s.loop.Post, onInfo: s.applyEngineInfo}
 	ticker := time.NewTicker(enginePollInterval)
@@ -46,9 +46,10 @@
 	}
 }
 
-// engineKnown fills what the engine told into the announcement, and has it told
-// at once if the server was announced before: entries route by it, and a
-// rollout goes on to the next server only when this one shows its new version.
+// applyEngineInfo copies the engine's description into the announcement. If the
+// server was announced before, it announces the change at once: entries route by
+// it, and a rollout proceeds to the next server only when this one announces its
+// new version.
 func (s *Sidecar) applyEngineInfo(info engine.Info) {
 	s.mu.Lock()
 	s.server.Role = info.Role
@@ -82,11 +83,12 @@
 	w.post(gate.CacheChanged{At: time.Now(), Events: events})
 }
 
-// know tells of an engine that is new, changed, restarted or back.
+// applyInfo posts the description of an engine that is new, has changed, has
+// restarted or is reachable again.
 func (w *engineWatch) applyInfo(info engine.Info) {
-	back := w.failures >= maxFailedPolls
+	recovered := w.failures >= maxFailedPolls
 	w.failures = 0
-	if reflect.DeepEqual(info, w.info) && !back {
+	if reflect.DeepEqual(info, w.info) && !recovered {
 		return
 	}
 	if info.Incarnation != w.info.Incarnation {
--- a/internal/role/engine_work.go
+++ b/internal/role/engine_work.go
@@ -14,21 +14,21 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// cancelWithin bounds one cancel call; the gate asks again if it fails.
+// cancelTimeout bounds one cancel call; the gate repeats it if it fails.
 const cancelTimeout = 2 * time.Second
 
-// listWithin bounds one reading of the engine's work. One that fails is asked
-// for again and ends no work: only the watch decides that an engine is lost.
+// listTimeout bounds one query for the engine's work. A failed query is repeated and
+// ends no work: only engineWatch decides that an engine is lost.
 const listTimeout = 2 * time.Second
 
-// workKey names one piece of work in progress.
+// workKey identifies one piece of work in progress.
 type workKey struct {
 	attempt message.Attempt
 	phase   message.Phase
 }
 
-// engineWork carries the gate's effects out against its engine or service,
-// and posts their outcome.
+// engineWork performs the gate's effects on its engine or service and posts their
+// outcome.
 type engineWork struct {
 	engine  engine.Engine
 	service service.Service
@@ -62,7 +62,7 @@
 	}
 }
 
-// start runs work in a goroutine under a context that cancel can end.
+// start runs work in a goroutine under a context that cancel ends.
 func (w *engineWork) start(key workKey, run func(context.Context)) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	w.mu.Lock()
@@ -97,8 +97,8 @@
 }
 
 // call runs a call of a plain service. The gate cancels only calls that may be
-// repeated: one that may run at most once can't be taken back by hanging up,
-// and runs to its end also when the caller left.
+// repeated. A call that may run at most once can't be undone by closing the
+// connection, so it runs to its end even if the caller has disconnected.
 func (w *engineWork) call(ctx context.Context, c message.Call) {
 	answer, err := w.service.Call(ctx, c)
 	if err != nil {
@@ -135,9 +135,10 @@
 	w.post(gate.Cancelled{At: time.Now(), Attempt: a, Failed: err != nil})
 }
 
-// listWork asks for the engine's work. Whether the engine is lost is for the
-// watch to say: one lost answer would otherwise end every request of a gate,
-// and nothing would tell it that the engine still answers. The gate asks again.
+// listWork queries the engine for its work. Only engineWatch decides whether the
+// engine is lost. Otherwise one lost answer would end every request of the gate,
+// and no event would report that the engine still answers. The gate repeats a
+// failed query.
 func (w *engineWork) listWork() {
 	ctx, cancel := context.WithTimeout(w.ctx, listTimeout)
 	defer cancel()
@@ -153,7 +154,7 @@
 	w.post(gate.CacheListed{At: time.Now(), Index: index})
 }
 
-// failed posts the end of work without its result.
+// postFailure posts that work has ended without a result.
 func (w *engineWork) postFailure(a message.Attempt, phase message.Phase, err error) {
 	event := gate.WorkFailed{At: time.Now(), Attempt: a, Phase: phase, Reason: oriolebend.ReasonEngineFailed, Ran: oriolebend.RanUnknown, Detail: err.Error()}
 	var engineError *engine.Error
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -19,7 +19,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Records is the entry's view of the request records on the control VMs.
+// Records gives the entry access to the request records on the control VMs.
 // Errors are *oriolebend.Problem values, whose Ran is truthful.
 type Records interface {
 	Claim(ctx context.Context, c message.Claim) (message.ClaimAnswer, error)
@@ -27,20 +27,19 @@
 	Query(ctx context.Context, q message.Query) (message.ClaimAnswer, error)
 }
 
-// Observer is told of counts and measures; metrics implement it.
+// Observer receives counts and measurements; package metrics implements it.
 type Observer interface {
 	// Count adds one to a counter.
 	Count(what string, reason oriolebend.Reason, organisation string)
-	// Observe records a measure of one request.
+	// Observe records a measurement of one request.
 	Observe(what string, urgency oriolebend.Urgency, value float64)
 }
 
-// recordWithin bounds one call to the control VMs. It is longer than an
-// election takes, so that a leader change delays a request and does not fail
-// it.
+// recordTimeout bounds one call to the control VMs. It is longer than an election
+// takes, so that a leader change delays a request but does not fail it.
 const recordTimeout = 5 * time.Second
 
-// EntryConfig sets up an Entry.
+// EntryConfig configures an Entry.
 type EntryConfig struct {
 	Reducer  entry.Config
 	Follow   follow.Config
@@ -50,14 +49,14 @@
 	Logger   *slog.Logger
 }
 
-// Entry is the role that takes callers' requests; it implements
+// Entry is the role that receives callers' requests; it implements
 // caller.Router.
 type Entry struct {
 	config   EntryConfig
 	loop     *Loop
 	follower *Follower
 	ctx      context.Context
-	// drained is closed once a stopping entry has no request left.
+	// drained is closed once a stopping entry has no requests left.
 	drained     chan struct{}
 	drainedOnce sync.Once
 
@@ -66,8 +65,8 @@
 	sessions map[entry.SessionKey]*entrySession
 	servers  map[string]oriolebend.Server
 	stopping bool
-	// served is when a server that answers requests, and not only reads their
-	// prompts, first took new work; zero if none has.
+	// firstServing is when a server that answers requests, not only a prefill
+	// server, first accepted new work; zero if none has.
 	firstServing time.Time
 }
 
@@ -101,8 +100,8 @@
 	e.loop.Run(ctx)
 }
 
-// Stop refuses new requests and returns once those in progress have ended, or
-// ctx has.
+// Stop refuses new requests and returns once the requests in progress have ended
+// or ctx ends.
 func (e *Entry) Stop(ctx context.Context) error {
 	e.mu.Lock()
 	e.stopping = true
@@ -117,27 +116,27 @@
 }
 
 // Ready implements caller.Router. An entry becomes ready with the first server
-// that can answer. It stays so when all of them go, since its refusals then
-// tell callers more than a balancer without entries would.
+// that can answer. It stays ready when all servers are lost, since its refusals
+// are more informative to callers than those of a load balancer without entries.
 func (e *Entry) Ready() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.stopping && !e.firstServing.IsZero()
 }
 
-// settleAfter is how long the first announcements of a fleet take: two periods of
-// a sidecar's announcements.
+// announcementsSettleDelay is how long the first announcements of a fleet take: two
+// intervals of a sidecar's announcements.
 const announcementsSettleDelay = 2 * announceInterval
 
 // Settled implements caller.Router. Servers announce themselves one after the
-// other; a model that none has announced yet must not be told as unknown.
+// other; a model that none has announced yet must not be reported as unknown.
 func (e *Entry) Settled() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.firstServing.IsZero() && time.Since(e.firstServing) >= announcementsSettleDelay
 }
 
-// serving counts the servers that take new work.
+// serving counts the servers that accept new work.
 func (e *Entry) serving() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -150,10 +149,11 @@
 	return count
 }
 
-// Servers tells the entry of servers that are new, changed or gone.
-func (e *Entry) ApplyServers(servers []oriolebend.Server, whole bool) {
+// ApplyServers applies servers that are new, changed or lost. If complete is true,
+// they replace all servers.
+func (e *Entry) ApplyServers(servers []oriolebend.Server, complete bool) {
 	e.mu.Lock()
-	if whole {
+	if complete {
 		clear(e.servers)
 	}
 	for _, s := range servers {
@@ -167,7 +167,7 @@
 		}
 	}
 	e.mu.Unlock()
-	e.loop.Post(entry.ServersChanged{At: time.Now(), Servers: servers, Complete: whole})
+	e.loop.Post(entry.ServersChanged{At: time.Now(), Servers: servers, Complete: complete})
 }
 
 // Models implements caller.Router.
@@ -196,8 +196,8 @@
 	return out
 }
 
-// deliver hands the chunks of an answer to its caller, until the last one or
-// until the caller left.
+// deliver sends the chunks of an answer to its caller, until the last one or until
+// the caller disconnects.
 func (e *Entry) deliver(ctx context.Context, log *answerLog, out chan<- caller.Chunk) {
 	defer close(out)
 	e.read(ctx, log, func(c caller.Chunk) {
@@ -208,8 +208,9 @@
 	})
 }
 
-// forget drops an answer that nobody reads, unless its request goes on. A
-// reader that found it just before is told so; it would wait for ever else.
+// dropAnswer drops an answer without readers, unless its request continues. A
+// reader that found the answer just before receives a problem; otherwise it would
+// wait for ever.
 func (e *Entry) dropAnswer(requestID string, log *answerLog) {
 	if log.keepRunning {
 		return
@@ -220,8 +221,8 @@
 	delete(e.answers, requestID)
 }
 
-// answer adds a chunk to the answer of a request. The last one takes the
-// answer out of reach of others, who then find it in the record.
+// appendChunk adds a chunk to the answer of a request. The last chunk removes the
+// answer from the map; later callers find it in the record.
 func (e *Entry) appendChunk(requestID string, chunk caller.Chunk) {
 	e.mu.Lock()
 	log := e.answers[requestID]
@@ -234,7 +235,7 @@
 	}
 }
 
-// perform carries one effect of the reducer out.
+// perform performs one effect of the reducer.
 func (e *Entry) perform(effect reducer.Effect) {
 	switch f := effect.(type) {
 	case entry.Effect:
@@ -244,7 +245,7 @@
 	}
 }
 
-// performEntry carries an effect towards control VMs and gates out.
+// performEntry performs an effect that concerns control VMs or gates.
 func (e *Entry) performEntry(effect entry.Effect) {
 	switch f := effect.(type) {
 	case entry.SendClaim:
@@ -269,8 +270,8 @@
 	}
 }
 
-// log writes what happened to an attempt; what ends a request is logged
-// towards its caller.
+// logCount logs an event of an attempt. The end of a request is logged where its
+// caller is answered.
 func (e *Entry) logCount(f entry.Count) {
 	level := slog.LevelDebug
 	if f.Name == "retry" || f.Name == "outcomeLost" {
@@ -279,7 +280,7 @@
 	e.config.Logger.Log(e.ctx, level, f.Name, logging.Attempt(f.Attempt), logging.Reason(f.Reason))
 }
 
-// performAnswer carries the effects towards callers out.
+// performAnswer performs an effect that concerns callers.
 func (e *Entry) performAnswer(effect entry.Effect) {
 	switch f := effect.(type) {
 	case entry.AnswerPart:
@@ -291,8 +292,8 @@
 	case entry.AnswerReplay:
 		e.appendChunk(f.RequestID, caller.Chunk{RequestID: f.Record, Replay: &f.Answer})
 	case entry.AnswerProblem:
-		// The callers' side logs the line that operators read.
-		e.config.Logger.Debug("request ends without an answer", logging.Problem(f.Problem), "detail", f.Problem.Detail)
+		// Package caller logs the line that operators read.
+		e.config.Logger.Debug("request failed", logging.Problem(f.Problem), "detail", f.Problem.Detail)
 		e.appendChunk(f.RequestID, caller.Chunk{Problem: f.Problem})
 	case entry.AnswerAttach:
 		go e.attachCaller(f)
--- a/internal/role/entry_follow.go
+++ b/internal/role/entry_follow.go
@@ -15,8 +15,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// pollEvery is how often the record of a request is looked up while its owner
-// can't be followed.
+// recordPollInterval is how often the record of a request is queried while its
+// owner can't be followed.
 const recordPollInterval = 500 * time.Millisecond
 
 // Attach implements caller.Router.
@@ -34,8 +34,8 @@
 	return out
 }
 
-// attach has a caller whose key is in use elsewhere follow the request that
-// uses it.
+// attachCaller lets a caller whose key is in use by another request follow that
+// request.
 func (e *Entry) attachCaller(f entry.AnswerAttach) {
 	e.mu.Lock()
 	log := e.answers[f.RequestID]
@@ -47,8 +47,8 @@
 		organisation: log.organisation,
 		requestID:    f.Record,
 		ownerAddress: f.OwnerAddress,
-		// The caller of this entry still waits and its request is whole: if
-		// the owner died before any output, this entry claims it anew.
+		// The caller still waits at this entry, which has its complete request:
+		// if the owner crashed before any output, this entry claims it again.
 		resubmit: func() { e.resubmit(f.RequestID, log) },
 	}
 	e.follow(e.ctx, w, func(c caller.Chunk) {
@@ -57,8 +57,8 @@
 	})
 }
 
-// submitAgain has this entry run a request whose owner died. It gets a new id:
-// the record holds an id for the outcome that it was given first.
+// resubmit runs a request whose owner crashed at this entry. The request gets a new
+// id, because the record keeps the outcome of the previous one under its id.
 func (e *Entry) resubmit(requestID string, log *answerLog) {
 	r := log.request
 	r.ID = uuid.Must(uuid.NewV7()).String()
@@ -71,19 +71,19 @@
 	e.loop.Post(entry.Arrived{At: time.Now(), Request: r})
 }
 
-// following is a request that is followed, and where.
+// followedRequest is a request that is followed, and the place where it runs.
 type followedRequest struct {
 	organisation string
 	requestID    string
-	// ownerAddress is where the request's owner is reached, empty if unknown.
+	// ownerAddress is the address of the request's owner, empty if unknown.
 	ownerAddress string
-	// claimAgain has the request run by this entry; it is nil for those who
-	// only look on.
+	// resubmit runs the request at this entry; it is nil for a caller that only
+	// follows.
 	resubmit func()
 }
 
-// attachTo follows a request here, at its owner, or in its record, until its
-// last chunk went to put or it was claimed anew.
+// follow follows a request at this entry, at its owner, or in its record, until its
+// last chunk was passed to put or the request was claimed again.
 func (e *Entry) follow(ctx context.Context, w followedRequest, put func(caller.Chunk)) {
 	delivered := 0
 	once := func(c caller.Chunk) {
@@ -118,10 +118,11 @@
 	}
 }
 
-// notFollowed is what a caller is told whose request has a record that can't be read
-// now. The error is about the reading, which was not done; the request itself was
-// claimed by somebody and may have run. Passed on as it is, "not run" would be told of
-// a request that ran, and a payment would be made a second time.
+// unreadRecordProblem returns the problem for a caller whose request has a record that
+// can't be read now. The error describes the query for the record, which was not run. The
+// request itself was claimed by another entry and may have run. If the error were returned
+// unchanged, the caller would receive "not run" for a request that ran, and might make a
+// payment twice.
 func unreadRecordProblem(err error, requestID string) *oriolebend.Problem {
 	p := *asProblem(err, requestID)
 	if p.Reason != oriolebend.ReasonUnknownRequest {
@@ -130,15 +131,16 @@
 	return &p
 }
 
-// orphaned reports whether a request's owner is gone and another entry may run
-// it: the caller that follows it would otherwise get the end of a process that
-// died in place of its answer.
+// ownerLost reports whether a request's owner is lost and another entry may run the
+// request. Otherwise the caller that follows it would receive the failure of the
+// crashed process in place of an answer.
 func ownerLost(a message.ClaimAnswer) bool {
 	return a.State == message.RecordFailed && a.Answer != nil && a.Answer.Reason == oriolebend.ReasonLeaseEnded ||
 		a.State == message.RecordFailed && a.Reason == oriolebend.ReasonLeaseEnded
 }
 
-// followHere reads the answer of a request that this entry owns.
+// followLocal reads the answer of a request that this entry owns. It reports false
+// if the entry does not run the request or ctx ended first.
 func (e *Entry) followLocal(ctx context.Context, organisation, requestID string, put func(caller.Chunk)) bool {
 	e.mu.Lock()
 	log := e.answers[requestID]
@@ -149,20 +151,20 @@
 	return e.read(ctx, log, put)
 }
 
-// read hands every chunk of an answer to put; it returns false if ctx ended
-// first. The last reader that leaves before the end cancels the request: no
-// caller is left that could take its answer.
+// read passes every chunk of an answer to put; it reports false if ctx ended first.
+// The last reader that disconnects before the end cancels the request, because no
+// caller is left to receive its answer.
 func (e *Entry) read(ctx context.Context, log *answerLog, put func(caller.Chunk)) bool {
 	log.addReader()
-	whole := readLog(ctx, log, put)
-	if log.removeReader() && !whole {
+	complete := readLog(ctx, log, put)
+	if log.removeReader() && !complete {
 		e.loop.Post(entry.CallerLeft{At: time.Now(), RequestID: log.id()})
 		e.dropAnswer(log.id(), log)
 	}
-	return whole
+	return complete
 }
 
-// readLog hands every chunk to put; it returns false if ctx ended first.
+// readLog passes every chunk to put; it reports false if ctx ended first.
 func readLog(ctx context.Context, log *answerLog, put func(caller.Chunk)) bool {
 	read := 0
 	for {
@@ -182,9 +184,9 @@
 	}
 }
 
-// followOwner reads the answer from the entry that owns the request. It
-// returns false if that entry can't be reached, does not know the request, or
-// is lost before the end.
+// followOwner reads the answer from the entry that owns the request. It reports
+// false if that entry is unreachable, does not know the request, or is lost before
+// the end.
 func (e *Entry) followOwner(ctx context.Context, w followedRequest, put func(caller.Chunk)) bool {
 	s, err := e.openFollow(ctx, w.ownerAddress, message.Follow{RequestID: w.requestID, Organisation: w.organisation})
 	if err != nil {
@@ -222,8 +224,8 @@
 	return s, nil
 }
 
-// ServeFollow is the peer.Handler for entries whose callers sent a key that
-// this entry runs.
+// ServeFollow is the peer.Handler for entries whose callers sent the key of a
+// request that this entry runs.
 func (e *Entry) ServeFollow(ctx context.Context, s peer.Stream) {
 	first, err := s.Receive()
 	if err != nil {
@@ -275,10 +277,10 @@
 	}
 }
 
-// finalChunk returns how an answer ends whose record is settled. If the
-// caller already has a part of the output the rest can't be told from the
-// stored whole without its token bounds, so the stream breaks off and a retry
-// replays it.
+// finalChunk returns the last chunk of an answer whose record is settled. The stored
+// answer has no token bounds, so the rest can't be separated from output that the
+// caller has already received. In this case the stream breaks off and a retry
+// replays the stored answer.
 func finalChunk(a message.ClaimAnswer, requestID string, delivered int) (caller.Chunk, bool) {
 	switch a.State {
 	case message.RecordAnswered:
@@ -300,7 +302,7 @@
 	}
 }
 
-// failureOf returns why a request failed, by its record.
+// failureOf returns the reason in its record for which a request failed.
 func failureOf(a message.ClaimAnswer) oriolebend.Reason {
 	if a.Answer == nil || a.Answer.Reason == "" {
 		return oriolebend.ReasonServerLost
@@ -312,8 +314,8 @@
 	return caller.Chunk{Problem: &oriolebend.Problem{Reason: reason, Ran: ran, RequestID: requestID, Detail: detail}}
 }
 
-// comeBackAfter is when a caller that followed a request is told to send its
-// key again: the record is open to a new run, or holds the answer, by then.
+// followRetryAfter is the retry delay for a caller that followed a request. By then
+// the record allows a new run or holds the answer.
 const followRetryAfter = time.Second
 
 func retryChunk(requestID string, reason oriolebend.Reason, ran oriolebend.Ran, detail string) caller.Chunk {
@@ -322,5 +324,5 @@
 	return c
 }
 
-// wait waits where the end of ctx is looked at elsewhere.
+// wait waits until a time has passed or ctx ends. The caller checks ctx itself.
 func wait(ctx context.Context, d time.Duration) { pause.For(ctx, d) }
--- a/internal/role/entry_process.go
+++ b/internal/role/entry_process.go
@@ -18,11 +18,11 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// defaultStopDelay is how long a stopping entry fails its balancer check
-// before it refuses connections.
+// defaultStopDelay is how long a stopping entry fails the load balancer's health
+// check before it refuses connections.
 const defaultStopDelay = 3 * time.Second
 
-// EntryProcess is a running entry with its ports.
+// EntryProcess is the running process of an entry with its ports.
 type EntryProcess struct {
 	process  Process
 	entry    *Entry
@@ -84,8 +84,8 @@
 		cancel()
 		return nil, errors.Join(err, endpoint.Close())
 	}
-	p.metrics.Gauge("servers_serving", "Backend servers that take new work, as this entry knows.", func() float64 { return float64(e.serving()) })
-	p.metrics.Gauge("events_waiting", "Events that wait for the reducer.", func() float64 { return float64(e.loop.Waiting()) })
+	p.metrics.Gauge("servers_serving", "Backend servers that accept new work, as far as this entry knows.", func() float64 { return float64(e.serving()) })
+	p.metrics.Gauge("events_waiting", "Events in the queue of the reducer.", func() float64 { return float64(e.loop.Waiting()) })
 	p.metrics.Gauge("declared_age_seconds", "Time since the declared state in force was known to be the newest.", func() float64 { return e.follower.Age().Seconds() })
 	var running sync.WaitGroup
 	running.Go(func() { e.Run(ctx) })
@@ -131,15 +131,15 @@
 	}
 }
 
-// Address is where callers reach the entry.
+// Address returns the address at which callers reach the entry.
 func (p *EntryProcess) Address() string { return p.callers.address() }
 
-// Ready reports whether the entry can route.
+// Ready reports whether the entry can route requests.
 func (p *EntryProcess) Ready() bool { return p.entry.Ready() }
 
-// Stop ends the entry gracefully: the balancer looks away first, then the
-// requests in progress end, then the ports close. It returns when all is
-// ended, or with an error when ctx ends first.
+// Stop ends the entry gracefully. It first waits until the load balancer has removed
+// the entry, then until the requests in progress have ended, and then closes the
+// ports. It returns an error if ctx ends first.
 func (p *EntryProcess) Stop(ctx context.Context) error {
 	delay := p.process.Settings.Caller.StopDelay.Or(defaultStopDelay)
 	drained := p.entry.Stop(ctx)
@@ -153,9 +153,10 @@
 	return p.process.stopError(drained, closed, closeEndpoint(p.endpoint), p.metrics.close())
 }
 
-// Kill ends the entry at once, as a process that dies: nothing is handed over.
+// Kill ends the entry at once, as a crash would; it hands over nothing.
 func (p *EntryProcess) Kill() error {
-	// The endpoint goes first: what the roles do when they end must not get out.
+	// The endpoint is closed first: messages that the entry sends while it ends
+	// must not reach its peers.
 	closed := errors.Join(p.endpoint.Close(), p.callers.close(), p.metrics.close())
 	p.cancel()
 	<-p.done
--- a/internal/role/entry_session.go
+++ b/internal/role/entry_session.go
@@ -12,21 +12,21 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/entry"
 )
 
-// openWithin bounds the time to open a session with a gate. A gate that does
-// not answer by then is treated as lost for this attempt; without the bound a
-// request would wait for a VM that is gone until QUIC's own handshake limit.
+// openTimeout bounds the time to open a session with a gate. A gate that does not
+// answer by then is treated as lost for this attempt. Without the bound a request
+// would wait for a lost VM until QUIC's own handshake timeout.
 const openTimeout = time.Second
 
-// entrySession is one session of an entry with a gate. Its writer sends what
-// the reducer queues, its reader posts what the gate sends.
+// entrySession is one session of an entry with a gate. Its writer sends the messages
+// that the reducer queues; its reader posts the messages that the gate sends.
 type entrySession struct {
 	key  entry.SessionKey
 	out  *mailbox.Mailbox[message.Message]
 	post func(reducer.Event)
 
 	mu sync.Mutex
-	// closing is set once the reducer closed the session; what comes from the
-	// gate after that is not posted.
+	// closing is set once the reducer has closed the session. Messages that
+	// arrive from the gate after that are not posted.
 	closing bool
 }
 
@@ -95,9 +95,9 @@
 	}
 }
 
-// read posts what the gate sends. The end of a session behind its last word is
-// no loss: the reducer may have opened another one under the same key by then,
-// and would take that for lost.
+// read posts the messages of the gate. The end of a session after its last message
+// is not posted as a loss: the reducer may already have opened another session
+// under the same key, which it would then treat as lost.
 func (s *entrySession) read(stream peer.Stream) {
 	last := false
 	for {
@@ -114,7 +114,7 @@
 	}
 }
 
-// isLast reports whether a gate ends its session after a message.
+// endsSession reports whether a gate ends its session after a message.
 func endsSession(m message.Message) bool {
 	switch m := m.(type) {
 	case message.Refusal, message.CallAnswer:
@@ -126,6 +126,8 @@
 	}
 }
 
+// postLost posts the loss of the session unless the reducer has closed it; opened
+// is true if the session had been opened.
 func (s *entrySession) postLost(opened bool) {
 	if s.isClosing() {
 		return
--- a/internal/role/fingerprint.go
+++ b/internal/role/fingerprint.go
@@ -5,8 +5,9 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/record"
 )
 
-// commandHeaders are the headers that change what a call of a plain service
-// does; the others that a service sees change how it answers.
+// commandHeaders are the headers that change the effect of a call of a plain
+// service. The other headers that a service receives only change the form of its
+// answer.
 var commandHeaders = []string{"Content-Encoding", "Content-Type", "If-Match", "If-None-Match"}
 
 // fingerprintOf returns the fingerprint of a validated request.
--- a/internal/role/follower.go
+++ b/internal/role/follower.go
@@ -13,19 +13,18 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/follow"
 )
 
-// FollowerConfig sets up a Follower.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
 	Reducer follow.Config
 	Dialer  peer.Dialer
-	// Apply takes each state that is in force from then on. It is called in
-	// the loop of the process, and must not keep view: a copy for each change
-	// would cost each follower the whole state's size.
+	// Apply is called with each new state in force. It is called in the loop of
+	// the process and must not retain view: a copy for each change would cost
+	// each follower memory of the size of the complete state.
 	Apply    func(view declared.View, changed follow.Changed)
 	Observer Observer
 }
 
-// Follower keeps a process up to date with the declared state and the
-// membership.
+// Follower keeps the declared state and the membership in a process up to date.
 type Follower struct {
 	// State is the follower's part of the reducer's state.
 	State *follow.State
@@ -44,13 +43,15 @@
 	return &Follower{config: c, State: follow.New(c.Reducer), links: map[follow.Link]*followLink{}}
 }
 
-// Start begins to follow until ctx ends; post feeds the loop of the process.
+// Start follows the state until ctx ends; post adds events to the loop of the
+// process.
 func (f *Follower) Start(ctx context.Context, post func(reducer.Event)) {
 	f.ctx, f.post = ctx, post
 	post(follow.Started{At: time.Now()})
 }
 
-// Tick passes time to the follower, in the loop of the process.
+// Tick returns the Tick that triggers the follower's timers in the loop of the
+// process.
 func (f *Follower) Tick() Tick {
 	return Tick{
 		Every: follow.TickEvery,
@@ -61,15 +62,15 @@
 	}
 }
 
-// Age tells how long ago the state in force was known to be the newest, as of
-// the last tick.
+// Age returns how long before the last tick the state in force was known to be
+// the newest.
 func (f *Follower) Age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.age
 }
 
-// note keeps the age for readers outside of the loop.
+// updateAge stores the age for readers outside of the loop.
 func (f *Follower) updateAge(at time.Time) {
 	age := f.State.Age(at)
 	f.mu.Lock()
@@ -77,7 +78,7 @@
 	f.age = age
 }
 
-// Perform carries an effect out, in the loop of the process.
+// Perform performs an effect; it is called in the loop of the process.
 func (f *Follower) Perform(effect follow.Effect) {
 	switch e := effect.(type) {
 	case follow.Open:
@@ -98,8 +99,8 @@
 	}
 }
 
-// followLink is one watch of one control VM. Messages may be put before it is
-// open.
+// followLink is one watch of one control VM. Messages may be queued before the
+// watch is open.
 type followLink struct {
 	cancel context.CancelFunc
 	queue  *mailbox.Mailbox[message.Message]
@@ -121,7 +122,7 @@
 	}()
 }
 
-// watch carries one watch until either side ends it.
+// runWatch runs one watch until either side ends it.
 func (f *Follower) runWatch(ctx context.Context, e follow.Open, l *followLink) {
 	opening, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
--- a/internal/role/forwarder_process.go
+++ b/internal/role/forwarder_process.go
@@ -23,16 +23,17 @@
 )
 
 const (
-	// defaultForwardStopDelay is how long a balancer that asks every second
-	// takes to look away, with a margin.
+	// defaultForwardStopDelay is how long a load balancer with a health check
+	// every second takes to remove a forwarder, with a margin.
 	defaultForwardStopDelay = 3 * time.Second
-	// defaultForwardStopWithin is longer than streams take.
+	// defaultForwardStopWithin bounds a graceful stop; it is longer than streams
+	// take.
 	defaultForwardStopWithin = 30 * time.Second
-	// stopMargin is left of a stop for closing the ports.
+	// stopMargin is the part of a stop that is reserved for closing the ports.
 	stopMargin = 800 * time.Millisecond
 )
 
-// ForwarderProcess is a running forwarder with its ports.
+// ForwarderProcess is the running process of a forwarder with its ports.
 type ForwarderProcess struct {
 	process       Process
 	endpoint      *peer.Endpoint
@@ -50,7 +51,7 @@
 	done          chan struct{}
 }
 
-// StartForwarder starts a forwarder that speaks the dialect with callers and
+// StartForwarder starts a forwarder that uses a dialect towards callers and
 // backend servers; Stop ends it.
 func StartForwarder(p Process, dialect forwarder.Dialect) (*ForwarderProcess, error) {
 	p = p.withMetrics(peer.RoleForwarder)
@@ -157,30 +158,31 @@
 	return nil
 }
 
-// refused takes in a request that was not read.
+// recordRefusal counts and logs a request that was refused before it was read.
 func (p *ForwarderProcess) recordRefusal(r http1.Refusal) {
 	p.process.observer().Count("refusal", r.Reason, "")
 	p.process.Logger.Info("request not read", "status", r.Status, "reason", r.Reason, "detail", r.Detail)
 }
 
+// registerMetrics registers the gauges of the forwarder.
 func (p *ForwarderProcess) registerMetrics() {
 	gauge := p.process.metrics.Gauge
 	gauge("routing_version", "Version of the routing in force.", func() float64 { return float64(p.forwarder.Version()) })
-	gauge("control_links", "Control VMs that are watched.", func() float64 { return float64(p.follower.Links()) })
-	gauge("requests_in_progress", "Requests that are read and not answered.", func() float64 { return float64(p.callers.Active()) })
+	gauge("control_links", "Control VMs that this forwarder watches.", func() float64 { return float64(p.follower.Links()) })
+	gauge("requests_in_progress", "Requests that are read and not yet answered.", func() float64 { return float64(p.callers.Active()) })
 	gauge("caller_connections", "Open connections of callers.", func() float64 { return float64(p.callers.Connections()) })
-	gauge("requests_crash_reported", "Requests under which servers ended, as far as known here.", func() float64 {
+	gauge("requests_crash_reported", "Requests during which servers crashed, as far as this forwarder knows.", func() float64 {
 		reported, _ := p.crashes.Reported()
 		return float64(reported)
 	})
-	gauge("requests_held", "Requests that are not sent to servers, as several ended under them.", func() float64 {
+	gauge("requests_held", "Requests that are quarantined, as several servers crashed during them.", func() float64 {
 		_, held := p.crashes.Reported()
 		return float64(held)
 	})
 	gauge("server_connections_opened", "Connections to backend servers opened so far.", func() float64 { return float64(p.forwarder.Dialled()) })
 }
 
-// Ready reports whether the balancer should send callers here.
+// Ready reports whether the load balancer should send callers to this forwarder.
 func (p *ForwarderProcess) Ready() bool {
 	select {
 	case <-p.stopping:
@@ -190,17 +192,18 @@
 	}
 }
 
-// Reload takes up settings that changed while the process runs: the control VMs
-// that are known from the start.
+// Reload applies the settings that may change while the process runs, which are
+// the addresses of the control VMs.
 func (p *ForwarderProcess) Reload(s settings.Settings) {
 	p.follower.SetSeeds(Process{Settings: s}.controlAddresses())
 }
 
-// Address is where callers reach the forwarder.
+// Address returns the address at which callers reach the forwarder.
 func (p *ForwarderProcess) Address() string { return p.callers.Address() }
 
-// Stop ends the forwarder gracefully: the balancer looks away first, then the
-// requests in progress end, then the ports close.
+// Stop ends the forwarder gracefully. It first waits until the load balancer has
+// removed the forwarder, then until the requests in progress have ended, and then
+// closes the ports.
 func (p *ForwarderProcess) Stop(ctx context.Context) error {
 	close(p.stopping)
 	p.callers.Drain()
@@ -217,7 +220,7 @@
 	return p.process.stopError(closeEndpoint(p.endpoint), p.metrics.close())
 }
 
-// Kill ends the forwarder at once, as a process that dies.
+// Kill ends the forwarder at once, as a crash would.
 func (p *ForwarderProcess) Kill() error {
 	closed := errors.Join(p.endpoint.Close(), p.metrics.close())
 	p.callers.Close()
--- a/internal/role/gate_status.go
+++ b/internal/role/gate_status.go
@@ -9,20 +9,21 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// statusWithin bounds one question to a gate; the resolver asks again later.
+// statusTimeout bounds one query to a gate; the resolver repeats it later.
 const statusTimeout = 8 * time.Second
 
-// statusGates asks gates for the outcome of lost calls on behalf of a control
-// VM. It implements the Gates of package control.
+// gateStatusClient queries gates for the outcome of lost calls on behalf of a
+// control VM. It implements the Gates interface of package control.
 type gateStatusClient struct {
 	dialer peer.Dialer
-	// members lists the servers that are announced now.
+	// members lists the servers that are currently announced.
 	members func() []oriolebend.Server
 }
 
-// AskStatus asks the gate of the server that had the call, or else any gate of
-// the service. The word of another gate that the attempt did not run is worth
-// nothing, for it never had it; it is passed on as unknown.
+// AskStatus queries the gate of the server to which the call was sent or, if that
+// server is not announced, any gate of the service. A refusal by another gate is
+// returned with Ran unknown: that gate never received the attempt, so its "not
+// run" proves nothing.
 func (g gateStatusClient) AskStatus(ctx context.Context, server, service string, q message.StatusQuery) (message.Message, error) {
 	target, found := g.selectServer(server, service)
 	if !found {
@@ -39,6 +40,8 @@
 	return answer, nil
 }
 
+// selectServer returns the named server if it is announced, or else another server
+// of the service.
 func (g gateStatusClient) selectServer(server, service string) (oriolebend.Server, bool) {
 	var other oriolebend.Server
 	for _, s := range g.members() {
--- a/internal/role/joiner.go
+++ b/internal/role/joiner.go
@@ -16,35 +16,38 @@
 )
 
 const (
-	// joinEvery is how often a control VM looks whether it still is a member.
+	// membershipCheckInterval is how often a control VM checks whether it is still a
+	// member.
 	membershipCheckInterval = 500 * time.Millisecond
-	// joinAfter is how long a control VM without a leader waits before it asks
-	// to be taken in: elections take a second at most.
+	// joinDelay is how long a control VM without a leader waits before it requests to
+	// join: elections take a second at most.
 	joinDelay = 2 * time.Second
-	// joinWithin bounds one question.
+	// joinTimeout bounds one request to join, to add a member or to remove one.
 	joinTimeout = 2 * time.Second
-	// removeAfter is how long a member may be away before the leader removes it
-	// from a group that is large enough without it: several times a restart and
-	// longer than partitions of a few seconds. A member that returns later asks
-	// to join again.
+	// removeAfter is how long a member may be unreachable before the leader
+	// removes it from a group that is large enough without it. It is several
+	// times as long as a restart and longer than a partition of a few seconds. A
+	// member that returns later requests to join again.
 	removeAfter = 8 * time.Second
-	// replacedAfter is the same while a VM that joined a short time ago takes the
-	// place of one that is gone: until then the group counts one more than it has,
-	// and the next loss would leave no quorum. It is longer than a restart takes.
+	// removeReplacedAfter applies in place of removeAfter while a VM that joined a
+	// short time ago replaces a lost one. Until the lost VM is removed it counts towards the
+	// quorum, and the next loss would leave the group without one. It is longer
+	// than a restart takes.
 	removeReplacedAfter = 2500 * time.Millisecond
-	// replacingFor is how long after a join a member that is away counts as
+	// replacementWindow is how long after a join an unreachable member counts as
 	// replaced.
 	replacementWindow = 30 * time.Second
-	// joinHops bounds the way to the leader.
+	// maxJoinRedirects bounds how often a request to join is redirected to the
+	// leader.
 	maxJoinRedirects = 3
 )
 
-// Joiner keeps a control VM that knows only some others a member of their
-// group: it asks to be taken in, and as the leader it takes others in and
-// removes those that are gone for good.
+// Joiner keeps a control VM that knows only the seeds a member of their group. It
+// requests to join. On the leader it also admits other VMs and removes members
+// that stay unreachable.
 //
-// A VM that is replaced by an empty one at another address would otherwise be
-// missed by the group for ever, and the next loss would leave no quorum.
+// Otherwise a VM that is replaced by an empty one at another address would count
+// as a missing member for ever, and the next loss would leave no quorum.
 type Joiner struct {
 	Self    message.Member
 	Seeds   []string
@@ -54,15 +57,15 @@
 
 	mutex      sync.Mutex // guards Seeds once Run has begun
 	lastMember time.Time
-	// away is since when members have not answered this leader.
+	// unreachableSince is when each member stopped answering this leader.
 	unreachableSince map[string]time.Time
 	nextTarget       int
-	// joined is when this VM last took another one in, nil if it never did. It
-	// keeps the steady clock: the time of day may jump.
+	// lastAdmission is when this VM last admitted another one, nil if it never
+	// did. It keeps its monotonic clock reading, as the wall clock may jump.
 	lastAdmission atomic.Pointer[time.Time]
 }
 
-// Run joins and removes until ctx ends.
+// Run requests to join and removes unreachable members until ctx ends.
 func (j *Joiner) Run(ctx context.Context) {
 	j.lastMember, j.unreachableSince = time.Now(), map[string]time.Time{}
 	for wait(ctx, membershipCheckInterval); ctx.Err() == nil; wait(ctx, membershipCheckInterval) {
@@ -83,7 +86,7 @@
 	}
 }
 
-// SetSeeds replaces the control VMs that are known from the start.
+// SetSeeds replaces the seeds.
 func (j *Joiner) SetSeeds(seeds []string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -98,8 +101,8 @@
 	return slices.ContainsFunc(members, func(m message.Member) bool { return m.Name == name && m.Voter })
 }
 
-// ask asks one control VM after the other for the leader, and the leader to
-// take this one in.
+// requestJoin sends a request to join to the next control VM in turn, and follows
+// its redirects to the leader.
 func (j *Joiner) requestJoin(ctx context.Context, status replica.Status) {
 	j.mutex.Lock()
 	targets := slices.Clone(j.Seeds)
@@ -149,7 +152,7 @@
 	return joined, nil
 }
 
-// Serve is the peer.Handler for control VMs that ask to join.
+// Serve is the peer.Handler for control VMs that request to join.
 func (j *Joiner) Serve(ctx context.Context, s peer.Stream) {
 	m, err := s.Receive()
 	join, ok := m.(message.Join)
@@ -157,11 +160,13 @@
 		return
 	}
 	answer := j.admit(ctx, join.Member)
-	// The asker asks again if the answer is lost.
+	// The joining VM repeats its request if the answer is lost.
 	_ = s.Send(answer)
 	<-s.Done()
 }
 
+// admit adds a control VM to the group, or returns the leader's address if this
+// VM doesn't lead.
 func (j *Joiner) admit(ctx context.Context, m message.Member) message.Joined {
 	name, address := j.Replica.Leader()
 	if name != j.Self.Name {
@@ -181,7 +186,7 @@
 	return message.Joined{}
 }
 
-// removeAway removes one member that has been away for long.
+// removeUnreachable removes one member that has been unreachable for too long.
 func (j *Joiner) removeUnreachable(ctx context.Context, status replica.Status) {
 	voters := 0
 	for _, p := range status.Peers {
@@ -190,29 +195,29 @@
 		}
 		if p.Active {
 			delete(j.unreachableSince, p.Name)
-		} else if _, noted := j.unreachableSince[p.Name]; !noted {
+		} else if _, known := j.unreachableSince[p.Name]; !known {
 			j.unreachableSince[p.Name] = time.Now()
 		}
 	}
-	allowed := removeAfter
+	limit := removeAfter
 	if joined := j.lastAdmission.Load(); joined != nil && time.Since(*joined) < replacementWindow {
-		allowed = removeReplacedAfter
+		limit = removeReplacedAfter
 	}
 	for _, p := range status.Peers {
-		since, away := j.unreachableSince[p.Name]
-		if !away || time.Since(since) < allowed || (p.Voter && voters <= agreement.MinVoters) {
+		lost, unreachable := j.unreachableSince[p.Name]
+		if !unreachable || time.Since(lost) < limit || (p.Voter && voters <= agreement.MinVoters) {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 		err := j.Replica.RemoveMember(ctx, p.Name)
 		cancel()
-		j.Logger.Info("control VM removed", "member", p.Name, "awayMs", time.Since(since).Milliseconds(), "error", err)
+		j.Logger.Info("control VM removed", "member", p.Name, "awayMs", time.Since(lost).Milliseconds(), "error", err)
 		return
 	}
 }
 
-// membersFromSeeds are the members that seeds found a group of: each is named by
-// its IP, which is all that is known of it.
+// membersFromSeeds returns the members of a group that is founded by seeds. Each
+// is named by its IP, the only thing that is known of it.
 func membersFromSeeds(seeds []string) []message.Member {
 	var members []message.Member
 	for _, seed := range seeds {
@@ -221,7 +226,8 @@
 	return members
 }
 
-// hostOf is the IP of an address, empty if that is empty.
+// hostOf returns the IP of an address, or the address itself if it is not an IP
+// and a port.
 func hostOf(address string) string {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/role/loop.go
+++ b/internal/role/loop.go
@@ -8,24 +8,24 @@
 	"github.com/oriolebend/oriolebend/internal/reducer"
 )
 
-// Loop feeds the events of one process to the reducer, one at a time, and has
-// the effects carried out in order.
+// Loop passes the events of one process to the reducer, one at a time, and performs
+// the effects in order.
 type Loop struct {
-	// State holds the parts that the process runs.
+	// State holds the state of the reducers that the process runs.
 	State *reducer.State
-	// Perform carries an effect out; it must not block.
+	// Perform performs an effect; it must not block.
 	Perform func(reducer.Effect)
-	// Ticks are the events that pass time.
+	// Ticks are the periodic events.
 	Ticks []Tick
 
 	events *mailbox.Mailbox[reducer.Event]
 }
 
-// Tick passes time to one part.
+// Tick posts a periodic event to one reducer.
 type Tick struct {
 	// Every is the time between two events.
 	Every time.Duration
-	// Event makes the event.
+	// Event returns the event for a time.
 	Event func(at time.Time) reducer.Event
 
 	due time.Time
@@ -68,7 +68,7 @@
 	}
 }
 
-// shortest is the time between the ticks of the part that needs most.
+// shortestInterval returns the shortest interval of the ticks, at most one second.
 func (l *Loop) shortestInterval() time.Duration {
 	shortest := time.Second
 	for _, t := range l.Ticks {
@@ -83,7 +83,8 @@
 		if at.Before(t.due) {
 			continue
 		}
-		// A little early, for a ticker's ticks are not evenly spaced.
+		// The next event is due half the shortest interval early, as the ticks
+		// of a time.Ticker are not evenly spaced.
 		t.due = at.Add(t.Every - l.shortestInterval()/2)
 		l.reduce(t.Event(at))
 	}
--- a/internal/role/member_leader.go
+++ b/internal/role/member_leader.go
@@ -20,13 +20,14 @@
 )
 
 const (
-	// leadEvery is how often a control VM looks whether it leads.
+	// leadershipCheckInterval is how often a control VM checks whether it leads.
 	leadershipCheckInterval = 50 * time.Millisecond
-	// proposeWithin bounds one change of the membership.
+	// proposeTimeout bounds one proposal that changes the membership.
 	proposeTimeout = 5 * time.Second
 )
 
-// MemberLeader holds the membership leases while its control VM leads.
+// MemberLeader grants and renews the membership leases of backend servers while
+// its control VM leads.
 type MemberLeader struct {
 	Self     string
 	Log      control.Log
@@ -45,7 +46,7 @@
 	ctx       context.Context
 }
 
-// Prepare makes the leader ready for Serve; it must be called before Run.
+// Prepare initializes the MemberLeader for Serve; it must be called before Run.
 func (m *MemberLeader) Prepare() {
 	m.openSessions = map[member.SessionID]*peer.Outbox{}
 	m.announced = map[string]message.Announce{}
@@ -55,15 +56,15 @@
 	})
 }
 
-// Run holds leases until ctx ends.
+// Run serves leases until ctx ends.
 func (m *MemberLeader) Run(ctx context.Context) {
 	m.ctx = ctx
 	go m.watchLeadership(ctx)
 	m.loop.Run(ctx)
 }
 
-// watchLeadership tells the reducer when this control VM begins and ends to
-// lead, and of every change of the state in between.
+// watchLeadership posts an event when this control VM gains or loses the
+// leadership, and one for every change of the declared state while it leads.
 func (m *MemberLeader) watchLeadership(ctx context.Context) {
 	ticker := time.NewTicker(leadershipCheckInterval)
 	defer ticker.Stop()
@@ -106,8 +107,8 @@
 	m.loop.Post(member.LeadershipGained{At: time.Now(), View: m.Store.View()})
 }
 
-// Serve is the peer.Handler for sidecars that announce their server and ask
-// for permits.
+// Serve is the peer.Handler for sidecars that announce their server and request
+// permits.
 func (m *MemberLeader) Serve(_ context.Context, s peer.Stream) {
 	id := member.SessionID(fmt.Sprintf("%s/%d", s.Peer(), m.lastSession.Add(1)))
 	out := peer.NewOutbox(s)
@@ -142,15 +143,16 @@
 	}
 }
 
-// note keeps an announcement for operators who ask how far a server is.
+// recordAnnouncement stores an announcement for operators who query the progress
+// of a server.
 func (m *MemberLeader) recordAnnouncement(a message.Announce) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.announced[a.Server.Name] = a
 }
 
-// Announcements returns the latest announcement of each server, nil on a
-// control VM that does not lead and so hears none.
+// Announcements returns the latest announcement of each server. It returns nil on
+// a control VM that does not lead, as only the leader receives announcements.
 func (m *MemberLeader) Announcements() map[string]message.Announce {
 	if !m.leads.Load() {
 		return nil
@@ -179,9 +181,9 @@
 func (m *MemberLeader) propose(members declared.Members) {
 	err := m.commit(members)
 	if err != nil {
-		m.Logger.Warn("a change of the membership was not accepted", "error", err)
+		m.Logger.Warn("membership change not accepted", "error", err)
 	}
-	// The change itself must reach the reducer before its outcome does.
+	// The reducer must receive the change before the outcome of the proposal.
 	m.loop.Post(member.Committed{At: time.Now(), View: m.Store.View()})
 	m.loop.Post(member.Proposed{At: time.Now(), Failed: err != nil})
 }
--- a/internal/role/memory.go
+++ b/internal/role/memory.go
@@ -12,15 +12,17 @@
 )
 
 const (
-	// memoryShare leaves room for the program itself, the stacks of threads and the buffers of
-	// the kernel, which the collector does not count.
+	// memoryShare is the share of the VM's memory that the Go heap may use. The rest is for
+	// the program itself, the stacks of threads and the kernel's buffers, which the garbage
+	// collector does not count.
 	memoryShare = 0.6
-	// garbageTarget is how much garbage there may be for what is in use, in percent.
+	// garbageTarget is the garbage collection target in percent of the memory in use.
 	garbageTarget = 50
 )
 
-// BoundMemory has garbage collected long before the process takes the memory that it was
-// given: a VM ends a process that goes over it. Without memoryMB nothing is changed.
+// BoundMemory sets the garbage collector's limits well below the memory that the process
+// was given, because a VM ends a process that exceeds it. Without memoryMB it changes
+// nothing.
 func BoundMemory(n settings.Node) {
 	if n.MemoryMB == 0 {
 		return
@@ -29,26 +31,28 @@
 	debug.SetMemoryLimit(int64(memoryShare * float64(int64(n.MemoryMB)<<20)))
 }
 
-// publishHeld shows how many bytes of bodies are held.
+// registerHeldBytes registers gauges of the bytes of bodies that are held in memory.
 func (p Process) registerHeldBytes() {
 	gauge := p.metrics.Gauge
 	gauge("held_bytes_limit", "Bytes of bodies that may be held for callers and servers.", func() float64 { return float64(p.Held.Limit()) })
 	for _, kind := range heldbytes.Kinds() {
 		name := string(kind)
-		gauge(name+"_bytes_held", "Bytes of bodies that are held, by what they are of.", func() float64 { return float64(p.Held.Held(kind)) })
-		gauge(name+"_bytes_refused", "How often there was no room for bytes of a body so far.", func() float64 { return float64(p.Held.Refused(kind)) })
+		gauge(name+"_bytes_held", "Bytes of bodies of this kind that are held.", func() float64 { return float64(p.Held.Held(kind)) })
+		gauge(name+"_bytes_refused", "How often bytes of a body were refused for lack of memory so far.", func() float64 { return float64(p.Held.Refused(kind)) })
 	}
 }
 
 const (
-	// guardedWithin is the time in which the body of a call to a control VM has to come: a
-	// whole routing over a thin link.
+	// guardedBodyTimeout bounds the time in which the body of a call to a control VM must
+	// arrive. It is enough for a complete routing over a slow link.
 	guardedBodyTimeout = 15 * time.Second
-	// retryGuarded is when a call may come again whose body there was no room for.
+	// guardedRetryAfter is the Retry-After of a call whose body was refused for lack of
+	// memory.
 	guardedRetryAfter = time.Second
 )
 
-// Guard bounds the bodies of the calls that a handler of this process reads.
+// Guard returns a handler that bounds the memory and time for the bodies that next
+// reads.
 func (p Process) Guard(next http.Handler) http.Handler {
 	return heldbytes.Guard{Account: p.Held, Within: guardedBodyTimeout, Refuse: p.refuseBody}.Handler(next)
 }
--- a/internal/role/models.go
+++ b/internal/role/models.go
@@ -8,8 +8,9 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// uniqueModels lists each model version that decode servers hold once, with
-// every adapter that one of them holds, sorted by model and version.
+// uniqueModels lists each model version that a decode server has loaded once, with
+// every adapter that at least one of these servers has loaded, sorted by model and
+// version.
 func uniqueModels(servers map[string]oriolebend.Server) []oriolebend.LoadedModel {
 	type key struct{ model, version string }
 	found := map[key]map[string]bool{}
--- a/internal/role/orders.go
+++ b/internal/role/orders.go
@@ -13,15 +13,15 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// orderWithin bounds one order; a load waits for the weight store.
+// orderTimeout bounds one order; loading a model waits for the weight store.
 const orderTimeout = 10 * time.Minute
 
-// Orders has a backend server's engine become what is declared for it.
+// Orders sends orders to a backend server's engine until it is as declared.
 type Orders struct {
-	// Engine is nil beside a plain service, which takes no orders.
+	// Engine is nil for a plain service, which accepts no orders.
 	Engine    engine.Engine
 	Announcer *Announcer
-	// SetState tells the gate whether to take new work.
+	// SetState sets whether the gate accepts new work.
 	SetState func(oriolebend.ServerState)
 	// Left is called when a server that is declared stopping has no work left.
 	Left     func()
@@ -31,19 +31,19 @@
 	ctx  context.Context
 }
 
-// Start begins to give orders until ctx ends; post feeds the loop of the
-// process.
+// Start sends orders until ctx ends; post adds events to the loop of the process.
 func (o *Orders) Start(ctx context.Context, post func(reducer.Event)) {
 	o.ctx, o.post = ctx, post
 	post(order.Started{At: time.Now()})
 }
 
-// Tick passes time to the orders, in the loop of the process.
+// Tick returns the Tick that triggers the timers of orders in the loop of the
+// process.
 func (o *Orders) Tick() Tick {
 	return Tick{Every: order.TickEvery, Event: func(at time.Time) reducer.Event { return order.Ticked{At: at} }}
 }
 
-// Declared tells of the declared state in force.
+// ApplyDeclared posts the declared state in force.
 func (o *Orders) ApplyDeclared(view declared.View, server oriolebend.Server) {
 	event := order.Declared{At: time.Now(), Revision: view.Revision, Target: view.TargetOf(server)}
 	if self, ok := view.Servers[server.Name]; ok {
@@ -52,22 +52,22 @@
 	o.post(event)
 }
 
-// Clean tells that no order of an earlier start can be on its way.
+// Clean posts that no order of an earlier incarnation can still be in flight.
 func (o *Orders) Clean() {
 	o.post(order.Clean{At: time.Now()})
 }
 
-// WorkEnded tells that the gate has no work left.
+// WorkEnded posts that the gate has no work left.
 func (o *Orders) WorkEnded() {
 	o.post(order.WorkEnded{At: time.Now()})
 }
 
-// Stopping tells that the sidecar was asked to stop.
+// Stopping posts that the sidecar was requested to stop.
 func (o *Orders) Stopping() {
 	o.post(order.Stopping{At: time.Now()})
 }
 
-// Perform carries an effect out, in the loop of the process.
+// Perform performs an effect; it is called in the loop of the process.
 func (o *Orders) Perform(effect order.Effect) {
 	switch f := effect.(type) {
 	case order.SetState:
--- a/internal/role/permission.go
+++ b/internal/role/permission.go
@@ -8,7 +8,8 @@
 	"github.com/oriolebend/oriolebend/internal/peer"
 )
 
-// DeniedError tells that a certificate's role may not open such a session.
+// DeniedError reports a session that the role in the peer's certificate may not
+// open.
 type DeniedError struct {
 	Peer peer.Identity
 	Kind message.Kind
@@ -23,10 +24,10 @@
 	return fmt.Sprintf("%s (%s in its certificate) may not open a session of kind %q", e.Peer.Name, role, e.Kind)
 }
 
-// openers lists, for each kind that begins a session, the roles that may send
-// it. A process that someone took over is thereby kept to its own part: a
-// sidecar's certificate can't claim or settle requests, and an entry's can't
-// vote in the control VMs' elections.
+// openers lists, for each kind of message that begins a session, the roles that
+// may send it. It limits a compromised process to the sessions of its own role: a
+// sidecar's certificate can't claim or settle requests, and an entry's can't vote
+// in the control VMs' elections.
 var openers = func() map[message.Kind][]string {
 	allowed := map[message.Kind][]string{
 		message.KindReserve:      {peer.RoleEntry},
@@ -53,8 +54,8 @@
 	return allowed
 }()
 
-// Permitted checks that the peer may open a session with a message of the
-// kind. The error is a *DeniedError.
+// Permitted checks that a peer may open a session with a message of a kind. The
+// error is a *DeniedError.
 func Permitted(i peer.Identity, kind message.Kind) error {
 	if slices.Contains(openers[kind], i.Role) {
 		return nil
--- a/internal/role/pool_controller.go
+++ b/internal/role/pool_controller.go
@@ -20,46 +20,48 @@
 )
 
 const (
-	// judgeEvery is how often the pools are judged.
+	// evaluateInterval is how often the pools are evaluated.
 	evaluateInterval = time.Second
-	// roleOrderWithin bounds one order.
+	// roleOrderTimeout bounds the announcement and sending of one order.
 	roleOrderTimeout = 2 * time.Second
 )
 
-// EngineOrders gives orders to model engines.
+// EngineOrders sends orders to model engines.
 type EngineOrders interface {
-	// ChangeRole asks an engine to change its role. accepted is false if it
-	// refused; an error other than a NotOrderedError means that the order may
-	// still be carried out.
+	// ChangeRole orders an engine to change its role. accepted is false if the
+	// engine refused. An error other than a NotOrderedError means that the engine
+	// may still execute the order.
 	ChangeRole(ctx context.Context, o pools.Order, holder string) (accepted bool, err error)
 }
 
-// NotOrderedError means that an order was not sent.
+// NotOrderedError reports an order that was not sent.
 type NotOrderedError struct {
 	Cause error
-	// Rest is for how long the engine wants to be left alone; zero means that it does not say.
+	// Rest is the backoff period that the engine reported; zero means that it reported
+	// none.
 	Rest time.Duration
 }
 
 // Error implements error.
 func (e *NotOrderedError) Error() string { return fmt.Sprintf("order not sent: %v", e.Cause) }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *NotOrderedError) Unwrap() error { return e.Cause }
 
 // PoolKeeper divides model engines between prefill and decode while its control
-// VM leads. It follows what all control VMs know of the engines.
+// VM leads. It follows the state of the engines that all control VMs know.
 type PoolController struct {
 	Self   string
 	Orders EngineOrders
-	// Announce tells forwarders that an engine is about to change its role.
+	// Announce notifies forwarders that an engine is about to change its role and
+	// accepts no work for a time.
 	Announce func(ctx context.Context, engine message.BackendServer, away time.Duration) error
-	// Status tells whether this control VM leads as of its last tick, Leads
-	// whether its lease runs at this moment.
+	// Status reports whether this control VM led at its last tick, Leads whether
+	// its lease runs at this moment.
 	Status func() replica.Status
 	Leads  func() bool
-	// Limited reports whether an engine has named a limit: for as long it does the work of
-	// no engine, and the others have to do.
+	// Limited reports whether an engine has reported a limit. A limited engine does not
+	// count towards its pool.
 	Limited func(message.BackendServer) bool
 	Logger  *slog.Logger
 
@@ -71,31 +73,31 @@
 
 var _ routewatch.Sink = (*PoolController)(nil)
 
-// Prepare makes the keeper ready; it must be called before all else.
-func (k *PoolController) Prepare() {
-	k.state = &reducer.State{Pools: pools.New()}
-	k.servers = registry.Servers{}
+// Prepare initializes the PoolController; it must be called before any other method.
+func (c *PoolController) Prepare() {
+	c.state = &reducer.State{Pools: pools.New()}
+	c.servers = registry.Servers{}
 }
 
-// Run judges the pools until ctx ends.
-func (k *PoolController) Run(ctx context.Context) {
+// Run evaluates the pools until ctx ends.
+func (c *PoolController) Run(ctx context.Context) {
 	for wait(ctx, evaluateInterval); ctx.Err() == nil; wait(ctx, evaluateInterval) {
-		status := k.Status()
-		k.updateEngines()
-		k.reduce(pools.Leads{At: time.Now(), Term: status.Term, Lead: status.Role == agreement.Leader})
-		var giving sync.WaitGroup
-		for _, order := range k.reduce(pools.Ticked{At: time.Now()}) {
-			giving.Go(func() { k.issue(ctx, order) })
+		status := c.Status()
+		c.updateEngines()
+		c.reduce(pools.Leads{At: time.Now(), Term: status.Term, Lead: status.Role == agreement.Leader})
+		var issuing sync.WaitGroup
+		for _, order := range c.reduce(pools.Ticked{At: time.Now()}) {
+			issuing.Go(func() { c.issue(ctx, order) })
 		}
-		giving.Wait()
+		issuing.Wait()
 	}
 }
 
-func (k *PoolController) reduce(e pools.Event) []pools.Order {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+func (c *PoolController) reduce(e pools.Event) []pools.Order {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	var orders []pools.Order
-	for _, effect := range reducer.Reduce(k.state, e) {
+	for _, effect := range reducer.Reduce(c.state, e) {
 		if order, ok := effect.(pools.Order); ok {
 			orders = append(orders, order)
 		}
@@ -103,11 +105,12 @@
 	return orders
 }
 
-func (k *PoolController) issue(ctx context.Context, o pools.Order) {
+// issue sends an order, logs it and reports its outcome to the reducer.
+func (c *PoolController) issue(ctx context.Context, o pools.Order) {
 	ctx, cancel := context.WithTimeout(ctx, roleOrderTimeout)
 	defer cancel()
-	accepted, err := k.send(ctx, o)
-	k.Logger.Info("engine ordered to change its role", "instance", o.Engine.Instance, "address", o.Engine.Address,
+	accepted, err := c.send(ctx, o)
+	c.Logger.Info("engine ordered to change its role", "instance", o.Engine.Instance, "address", o.Engine.Address,
 		"role", o.Role, "fencing", o.Fencing, "accepted", accepted, "error", err,
 		"prefillEngines", o.Grounds.PrefillEngines, "decodeEngines", o.Grounds.DecodeEngines,
 		"prefillWork", o.Grounds.PrefillWork, "decodeWork", o.Grounds.DecodeWork, "wantedPrefill", o.Grounds.Wanted)
@@ -117,60 +120,60 @@
 		answered.Rest = notSent.Rest
 	}
 	answered.Unsure = err != nil && !known
-	k.reduce(answered)
+	c.reduce(answered)
 }
 
-// order announces an order and sends it, unless another control VM may lead by
-// then: a process that was paused in between would otherwise send it among the
-// orders of its successor.
-func (k *PoolController) send(ctx context.Context, o pools.Order) (bool, error) {
-	if err := k.Announce(ctx, o.Engine, o.Away); err != nil {
+// send announces an order and sends it, unless another control VM may lead by
+// then. Otherwise a process that was paused in between would send its order after
+// its successor has begun to send orders.
+func (c *PoolController) send(ctx context.Context, o pools.Order) (bool, error) {
+	if err := c.Announce(ctx, o.Engine, o.Away); err != nil {
 		return false, &NotOrderedError{Cause: err}
 	}
-	if !k.Leads() {
+	if !c.Leads() {
 		return false, &NotOrderedError{Cause: &oriolebend.Problem{Reason: oriolebend.ReasonNotLeader, Ran: oriolebend.RanNo}}
 	}
-	return k.Orders.ChangeRole(ctx, o, k.Self)
+	return c.Orders.ChangeRole(ctx, o, c.Self)
 }
 
-// Heard takes what a forwarder did.
-func (k *PoolController) ApplyLoads(loads []message.ServiceLoad) { k.reduce(pools.Heard{Loads: loads}) }
+// ApplyLoads applies the loads that a forwarder reported.
+func (c *PoolController) ApplyLoads(loads []message.ServiceLoad) { c.reduce(pools.Heard{Loads: loads}) }
 
 // SetRouting implements routewatch.Sink.
-func (k *PoolController) SetRouting(r oriolebend.Routing) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if r.Version > k.routing.Version {
-		k.routing = r
+func (c *PoolController) SetRouting(r oriolebend.Routing) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if r.Version > c.routing.Version {
+		c.routing = r
 	}
 }
 
 // ChangeServers implements routewatch.Sink.
-func (k *PoolController) ChangeServers(changes registry.Changes, _ int) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.servers.Apply(changes)
+func (c *PoolController) ChangeServers(changes registry.Changes, _ int) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.servers.Apply(changes)
 }
 
-// tell tells the reducer of all engines. It is called before each judgement, and not
-// for each change: while hundreds of engines start, each of them is one.
-func (k *PoolController) updateEngines() {
-	k.mutex.Lock()
-	known := pools.Engines{Services: k.routing.Services, Servers: k.servers.List()}
-	k.mutex.Unlock()
-	known.Servers = slices.DeleteFunc(known.Servers, k.Limited)
-	k.reduce(known)
+// updateEngines passes the state of all engines to the reducer. It is called before
+// each evaluation and not for each change, as hundreds of engines may start at once.
+func (c *PoolController) updateEngines() {
+	c.mutex.Lock()
+	known := pools.Engines{Services: c.routing.Services, Servers: c.servers.List()}
+	c.mutex.Unlock()
+	known.Servers = slices.DeleteFunc(known.Servers, c.Limited)
+	c.reduce(known)
 }
 
 // Version implements routewatch.Sink.
-func (k *PoolController) Version() uint64 {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.routing.Version
+func (c *PoolController) Version() uint64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.routing.Version
 }
 
-// Loads implements routewatch.Sink; a control VM puts no load on engines.
-func (k *PoolController) Loads() []message.ServiceLoad { return nil }
+// Loads implements routewatch.Sink; a control VM sends no requests to engines.
+func (c *PoolController) Loads() []message.ServiceLoad { return nil }
 
 // Expire implements routewatch.Sink.
-func (k *PoolController) Expire() {}
+func (c *PoolController) Expire() {}
--- a/internal/role/process.go
+++ b/internal/role/process.go
@@ -19,33 +19,33 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Process is what every role needs to start.
+// Process holds the settings and resources that every role needs to start.
 type Process struct {
 	Settings    settings.Settings
 	Credentials peer.Credentials
 	Logger      *slog.Logger
 	// Socket is an open UDP socket to use in place of peer.listen; the process
-	// closes it. Nil opens one.
+	// closes it. If nil, the process opens one.
 	Socket net.PacketConn
-	// Operators is an open port to use in place of operator.listen; the
-	// process closes it. Nil opens one.
+	// Operators is an open listener to use in place of operator.listen; the
+	// process closes it. If nil, the process opens one.
 	Operators net.Listener
-	// Observer takes counts and measures in place of the role's metrics; nil
-	// means those.
+	// Observer receives counts and measurements in place of the role's metrics;
+	// nil means the role's metrics.
 	Observer Observer
-	// Held counts the bytes of bodies that the process holds; nil has it count them with the
-	// bound of its settings.
+	// Held accounts for the bytes of bodies that the process holds in memory. If nil, the
+	// process creates an account with the limit of its settings.
 	Held *heldbytes.Account
-	// Orders gives orders to the model engines of routes; nil leaves them as
-	// they are. Only control VMs use it.
+	// Orders sends orders to the model engines of routes; if nil, no engine is
+	// ordered to change its role. Only control VMs use it.
 	Orders EngineOrders
 
-	// metrics holds the metrics of one start of the role.
+	// metrics holds the metrics of one incarnation of the role.
 	metrics *metrics.Metrics
 }
 
-// withMetrics makes the metrics of one start: a process that is started again
-// from the same Process registers everything anew.
+// withMetrics returns p with new metrics for one incarnation. A role that is
+// started again from the same Process must register all its metrics again.
 func (p Process) withMetrics(role string) Process {
 	node := p.Settings.Node.Name
 	if role == peer.RoleSidecar {
@@ -70,12 +70,12 @@
 	return p.Observer
 }
 
-// countUnreadable counts an announcement that names no server to use.
+// countUnreadable counts an announcement that names no usable server.
 func (p Process) countUnreadable(reason oriolebend.Reason) {
 	p.observer().Count("announcementRefused", reason, "")
 }
 
-// serveMetrics serves the role's metrics and health where the settings say.
+// serveMetrics serves the role's metrics and health at the address in the settings.
 func (p Process) serveMetrics(ready func() bool) (*httpServer, error) {
 	server := metrics.Server(metrics.HandlerConfig{Metrics: []*metrics.Metrics{p.metrics}, Ready: ready})
 	listening, err := serveHTTP(p.Settings.Metrics.Listen, server, p.Logger)
@@ -85,8 +85,7 @@
 	return listening, nil
 }
 
-// controlAddresses lists the peer addresses of the control VMs that the
-// settings name.
+// controlAddresses lists the peer addresses of the control VMs in the settings.
 func (p Process) controlAddresses() []string {
 	if len(p.Settings.Control.Seeds) > 0 {
 		return p.seeds()
@@ -98,8 +97,8 @@
 	return addresses
 }
 
-// seeds lists the peer addresses of the control VMs that are known from the
-// start.
+// seeds lists the peer addresses of the control VMs that the settings name as
+// seeds.
 func (p Process) seeds() []string {
 	seeds := make([]string, 0, len(p.Settings.Control.Seeds))
 	for _, seed := range p.Settings.Control.Seeds {
@@ -115,9 +114,9 @@
 // self is the name of this control VM among the members.
 func (p Process) self() string { return MemberName(p.Settings) }
 
-// MemberName is the name under which a process with these settings is known to
-// the control VMs. Where they are found through seeds, nothing but an IP is
-// known of a control VM beforehand, and that is its name.
+// MemberName returns the name under which the control VMs know a process with
+// these settings. A control VM that is found through seeds is named by its IP,
+// because nothing else is known of it beforehand.
 func MemberName(s settings.Settings) string {
 	if s.Operator.Listen != "" && len(s.Control.Seeds) > 0 {
 		return hostOf(s.Peer.Listen)
@@ -125,7 +124,7 @@
 	return s.Node.Name
 }
 
-// initialMembers lists the members that the settings name.
+// initialMembers lists the members in the settings.
 func (p Process) initialMembers() []message.Member {
 	if len(p.Settings.Control.Seeds) > 0 {
 		return membersFromSeeds(p.seeds())
@@ -133,8 +132,9 @@
 	return membersFromSettings(p.Settings.Control.Members)
 }
 
-// addressOf finds the peer address of a control VM by its name where control
-// VMs are found through seeds: they are named by their IP and share a port.
+// addressOf returns a function that maps the name of a control VM to its peer
+// address, or nil unless control VMs are found through seeds. Such VMs are named
+// by their IP and listen on the same port.
 func (p Process) addressOf() func(string) string {
 	own, err := netip.ParseAddrPort(p.Settings.Peer.Listen)
 	if len(p.Settings.Control.Seeds) == 0 || err != nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-// followConfig sets up the process's follower of the declared state.
+// followConfig configures the process's follower of the declared state.
 func (p Process) followConfig(role string) follow.Config {
 	var controls []follow.Control
 	for _, m := range p.Settings.Control.Members {
@@ -163,7 +163,7 @@
 	}
 }
 
-// listen opens the process's endpoint towards its peers.
+// listen opens the endpoint at which the process's peers reach it.
 func (p Process) listen(handlers map[message.Kind]peer.Handler) (*peer.Endpoint, error) {
 	dispatch := Dispatch{Logger: p.Logger, Handlers: handlers, Observer: p.observer()}
 	counts := peer.NewMetrics()
@@ -181,12 +181,13 @@
 	})
 }
 
-// seededIdleTimeout is how long a peer may say nothing where control VMs are found
-// through seeds: changes have to reach every process within two seconds, also
-// if a connection has gone silent just before.
+// seededIdleTimeout is how long a connection to a peer may receive nothing where
+// control VMs are found through seeds. Changes must reach every process within two
+// seconds, even if a connection was lost just before.
 const seededIdleTimeout = 1500 * time.Millisecond
 
-// idleTimeout is the bound for peers' idleTimeout; zero means the default.
+// idleTimeout returns how long a connection to a peer may receive nothing; zero
+// means the default.
 func (p Process) idleTimeout() time.Duration {
 	if len(p.Settings.Control.Seeds) > 0 {
 		return seededIdleTimeout
@@ -194,8 +195,8 @@
 	return 0
 }
 
-// stopError joins what went wrong while a process stopError under its name, nil if
-// nothing did.
+// stopError joins the errors of a stop under the name of the process. It returns
+// nil if there are none.
 func (p Process) stopError(errs ...error) error {
 	if err := errors.Join(errs...); err != nil {
 		return fmt.Errorf("stop %s: %w", p.Settings.Node.Name, err)
@@ -203,12 +204,12 @@
 	return nil
 }
 
-// closeTimeout bounds the wait for sessions that peers still hold when a role
-// has drained: what they carry then are watches and renewals, which their
-// peers open anew elsewhere.
+// closeTimeout bounds the wait for the sessions that peers still hold when a role has
+// drained. These are watches and renewals, which the peers open again at another
+// process.
 const closeTimeout = time.Second
 
-// closeEndpoint ends a process's endpoint once its role has drained.
+// closeEndpoint stops a process's endpoint once its role has drained.
 func closeEndpoint(e *peer.Endpoint) error {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -241,13 +242,14 @@
 func serveOn(listener net.Listener, server *http.Server, logger *slog.Logger) *httpServer {
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			logger.Error("an HTTP server ended", "address", listener.Addr().String(), "error", err)
+			logger.Error("HTTP server failed", "address", listener.Addr().String(), "error", err)
 		}
 	}()
 	return &httpServer{server: server, listener: listener}
 }
 
-// address is where the server listens, empty if there is none.
+// address returns the address at which the server listens, empty if there is no
+// server.
 func (h *httpServer) address() string {
 	if h == nil {
 		return ""
@@ -255,7 +257,7 @@
 	return h.listener.Addr().String()
 }
 
-// stop lets the requests in progress end, until ctx does.
+// stop waits until the requests in progress have ended or ctx ends.
 func (h *httpServer) stop(ctx context.Context) error {
 	if h == nil {
 		return nil
@@ -263,8 +265,8 @@
 	return h.server.Shutdown(ctx)
 }
 
-// close ends the server and cuts what is in progress; watches of operators
-// never end by themselves, and are resumed elsewhere.
+// close ends the server and interrupts the requests in progress. Operators'
+// watches never end by themselves and are resumed at another control VM.
 func (h *httpServer) close() error {
 	if h == nil {
 		return nil
@@ -272,13 +274,14 @@
 	return h.server.Close()
 }
 
-// newIncarnation numbers a start of a process: a later start has a higher
-// number as long as the VM's clock does not go back between them.
+// newIncarnation returns the number of an incarnation of a process. A later
+// incarnation has a higher number as long as the VM's clock does not go back
+// between them.
 func newIncarnation() uint64 {
 	return uint64(time.Now().UnixNano())
 }
 
-// shares maps organisations to their weight in queues.
+// shares maps the name of each organisation with a share to its weight in queues.
 func shares(organisations []settings.Organisation) map[string]float64 {
 	weights := map[string]float64{}
 	for _, o := range organisations {
--- a/internal/role/relay_process.go
+++ b/internal/role/relay_process.go
@@ -17,9 +17,9 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// RelayProcess is a control VM without a disk. It holds no part of the agreed
-// log and never votes: what it had accepted would be gone with its process. It
-// takes announcements of backend servers and knows the leader.
+// RelayProcess is a control VM without a disk. It stores no part of the replicated
+// log and never votes, as a restart would lose the entries that it had accepted. It
+// receives announcements of backend servers and knows the leader.
 type RelayProcess struct {
 	process  Process
 	endpoint *peer.Endpoint
@@ -78,7 +78,7 @@
 	return r, nil
 }
 
-// relaySink keeps nothing: forwarders learn routings from the members.
+// relaySink discards everything: forwarders receive routings from the members.
 type relaySink struct{}
 
 // SetRouting implements routewatch.Sink.
@@ -87,7 +87,8 @@
 // ChangeServers implements routewatch.Sink.
 func (relaySink) ChangeServers(registry.Changes, int) {}
 
-// Version implements routewatch.Sink; it is the highest, so that no routing is sent.
+// Version implements routewatch.Sink. It returns the highest version, so that no
+// routing is sent to the relay.
 func (relaySink) Version() uint64 { return ^uint64(0) }
 
 // Loads implements routewatch.Sink.
@@ -98,12 +99,12 @@
 
 func (r *RelayProcess) leader() string { return r.follower.Leader() }
 
-// Declare tells that a relay does not lead.
+// Declare fails with reason notLeader, as a relay never leads.
 func (r *RelayProcess) Declare(context.Context, oriolebend.Routing, []byte) (routing.Replaced, error) {
 	return routing.Replaced{}, notLeaderError()
 }
 
-// Routing tells that a relay does not lead.
+// Routing fails with reason notLeader, as a relay never leads.
 func (r *RelayProcess) Routing(context.Context) (routing.InForce, error) {
 	return routing.InForce{}, notLeaderError()
 }
@@ -117,26 +118,28 @@
 // Leads is always false.
 func (r *RelayProcess) Leads() bool { return false }
 
-// LeaderIP is the IP of the control VM that leads, empty if none is known.
+// LeaderIP returns the IP of the control VM that leads, empty if none is known.
 func (r *RelayProcess) LeaderIP() string { return hostOf(r.leader()) }
 
-// Announce takes an announcement of a backend server.
+// Announce applies an announcement of a backend server.
 func (r *RelayProcess) Announce(ctx context.Context, server message.BackendServer) error {
 	return r.routes.Announce(ctx, server)
 }
 
-// AnnounceTo is the IP of the control VM that an instance had better announce itself to
-// from now on; empty means this one.
+// AnnounceTo returns the IP of the control VM to which an instance should send its
+// announcements from now on; empty means this one.
 func (r *RelayProcess) AnnounceTo(instance string) string {
 	return hostOf(r.routes.AnnounceTo(instance))
 }
 
-// Withdraw takes the last word of a backend server.
+// Withdraw removes a backend server that leaves. incarnation is zero if the server
+// did not report it.
 func (r *RelayProcess) Withdraw(ctx context.Context, instance string, incarnation uint64) error {
 	return r.routes.Withdraw(ctx, instance, incarnation)
 }
 
-// Reload takes up settings that changed while the process runs.
+// Reload applies the settings that may change while the process runs, which are
+// the seeds of the control VMs.
 func (r *RelayProcess) Reload(s settings.Settings) {
 	r.follower.SetSeeds(Process{Settings: s}.seeds())
 }
@@ -148,5 +151,5 @@
 	return r.process.stopError(closeEndpoint(r.endpoint), r.metrics.close())
 }
 
-// Unreadable counts an announcement that names no server to use.
+// Unreadable counts an announcement that names no usable server.
 func (r *RelayProcess) Unreadable(reason oriolebend.Reason) { r.process.countUnreadable(reason) }
--- a/internal/role/sidecar.go
+++ b/internal/role/sidecar.go
@@ -19,21 +19,21 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// SidecarConfig sets up a Sidecar.
+// SidecarConfig configures a Sidecar.
 type SidecarConfig struct {
 	Reducer gate.Config
-	// Server is what the sidecar announces; its role, models and memory are
-	// filled in from the engine.
+	// Server is the server that the sidecar announces; its role, models and memory
+	// are filled in from the engine.
 	Server oriolebend.Server
-	// Engine is what stands behind the gate; nil for a plain service.
+	// Engine is the engine behind the gate; nil for a plain service.
 	Engine engine.Engine
-	// Service is what stands behind the gate; nil for an engine.
+	// Service is the plain service behind the gate; nil for an engine.
 	Service service.Service
-	// Announcer carries the server's state to the control VMs.
+	// Announcer announces the server's state to the control VMs.
 	Announcer *Announcer
-	// Orders sets up the orders to the engine.
+	// Orders configures the orders to the engine.
 	Orders order.Config
-	// Follow sets up the follower of the declared state, and Dialer opens its
+	// Follow configures the follower of the declared state, and Dialer opens its
 	// watches.
 	Follow follow.Config
 	Dialer peer.Dialer
@@ -43,7 +43,7 @@
 	Logger   *slog.Logger
 }
 
-// Sidecar is the role beside one backend server: its gate.
+// Sidecar is the role that runs the gate in front of one backend server.
 type Sidecar struct {
 	config      SidecarConfig
 	loop        *Loop
@@ -62,9 +62,9 @@
 	stopping bool
 }
 
-// renewEvery is how often the sidecar renews the leases of sessions whose
-// connection lives. The connection's own idle timeout ends sessions of a peer
-// that is gone, so no message is spent on renewal.
+// sessionRenewInterval is how often the sidecar renews the leases of sessions with an
+// open connection. The idle timeout of the connection ends the sessions of a lost
+// peer, so that renewals need no messages.
 const sessionRenewInterval = 500 * time.Millisecond
 
 // NewSidecar returns a sidecar; Run starts it.
@@ -111,7 +111,7 @@
 	s.loop.Run(ctx)
 }
 
-// Declared tells of the declared state in force.
+// ApplyDeclared applies the declared state in force.
 func (s *Sidecar) ApplyDeclared(view declared.View) {
 	s.config.Announcer.SetReached(view.Revision)
 	s.mu.Lock()
@@ -120,12 +120,12 @@
 	s.orders.ApplyDeclared(view, server)
 }
 
-// declare tells the gate whether to take new work.
+// setGateState sets whether the gate accepts new work.
 func (s *Sidecar) setGateState(state oriolebend.ServerState) {
 	s.loop.Post(gate.Declared{At: time.Now(), State: state})
 }
 
-// workEnded tells those who wait for it that the gate has no work left.
+// workEnded notifies Stop, or else the orders, that the gate has no work left.
 func (s *Sidecar) workEnded() {
 	s.mu.Lock()
 	stopping := s.stopping
@@ -137,8 +137,7 @@
 	s.orders.WorkEnded()
 }
 
-// Stop refuses new work and returns once the work in progress has ended, or
-// ctx has.
+// Stop refuses new work and returns once the work in progress has ended or ctx ends.
 func (s *Sidecar) Stop(ctx context.Context) error {
 	s.mu.Lock()
 	s.stopping = true
@@ -153,14 +152,14 @@
 	}
 }
 
-// Ready reports whether the server takes new work.
+// Ready reports whether the server accepts new work.
 func (s *Sidecar) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.stopping && s.server.State == oriolebend.ServerServing
 }
 
-// sessionsOpen counts the sessions of entries.
+// sessionsOpen counts the open sessions of entries.
 func (s *Sidecar) sessionsOpen() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,7 +188,7 @@
 	session.End()
 }
 
-// renew renews the lease of every session whose connection lives.
+// renewSessions renews the lease of every session with an open connection.
 func (s *Sidecar) renewSessions(ctx context.Context) {
 	ticker := time.NewTicker(sessionRenewInterval)
 	defer ticker.Stop()
@@ -207,7 +206,7 @@
 	}
 }
 
-// announce tells the control VMs of the server in a state.
+// announce announces the server with a new state to the control VMs.
 func (s *Sidecar) announce(state oriolebend.ServerState) {
 	s.mu.Lock()
 	s.server.State = state
@@ -216,10 +215,10 @@
 	s.config.Announcer.SetServer(server)
 }
 
-// gateTickEvery is how often time passes for the gate.
+// gateTickInterval is the interval of the gate's ticks.
 const gateTickInterval = 50 * time.Millisecond
 
-// perform carries one effect of the reducer out.
+// perform performs one effect of the reducer.
 func (s *Sidecar) perform(effect reducer.Effect) {
 	switch f := effect.(type) {
 	case gate.Effect:
--- a/internal/role/sidecar_process.go
+++ b/internal/role/sidecar_process.go
@@ -15,7 +15,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// SidecarProcess is a running sidecar with its ports.
+// SidecarProcess is the running process of a sidecar with its ports.
 type SidecarProcess struct {
 	process  Process
 	sidecar  *Sidecar
@@ -50,8 +50,8 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	process.cancel = cancel
-	p.metrics.Gauge("sessions_open", "Sessions of entries that are open.", func() float64 { return float64(process.sidecar.sessionsOpen()) })
-	p.metrics.Gauge("events_waiting", "Events that wait for the reducer.", func() float64 { return float64(process.sidecar.loop.Waiting()) })
+	p.metrics.Gauge("sessions_open", "Open sessions of entries.", func() float64 { return float64(process.sidecar.sessionsOpen()) })
+	p.metrics.Gauge("events_waiting", "Events in the queue of the reducer.", func() float64 { return float64(process.sidecar.loop.Waiting()) })
 	p.metrics.Gauge("declared_age_seconds", "Time since the declared state in force was known to be the newest.", func() float64 { return process.sidecar.follower.Age().Seconds() })
 	go announcer.Run(ctx)
 	go func() {
@@ -61,8 +61,8 @@
 	return process, nil
 }
 
-// declaredWithin is how long a new sidecar waits to learn what is declared for
-// its server before it takes work without.
+// declaredTimeout is how long a new sidecar waits for the declared state of its
+// server before it accepts work without it.
 const declaredTimeout = 5 * time.Second
 
 func (p Process) sidecarConfig(endpoint *peer.Endpoint, announcer *Announcer) SidecarConfig {
@@ -74,8 +74,9 @@
 			BetweenWithin: s.Policy.BetweenWithin.Or(0),
 			Concurrency:   s.Sidecar.Concurrency,
 			Shares:        shares(s.Organisations),
-			// A restarted sidecar of a leaving server would take new work until it
-			// knows that; control that is away must not keep it out for long.
+			// Without the wait a restarted sidecar of a leaving server would accept
+			// new work until it knows that the server leaves. The wait is bounded, as
+			// unreachable control VMs must not keep the server out for long.
 			DeclaredWithin: declaredTimeout,
 		},
 		Orders: order.Config{
@@ -95,7 +96,7 @@
 		Follow:    p.followConfig("sidecar"),
 		Dialer:    endpoint,
 		Announcer: announcer,
-		Left:      func() { p.Logger.Info("the server has left; this process may end") },
+		Left:      func() { p.Logger.Info("server has left, this process may be stopped") },
 		Observer:  p.observer(),
 		Logger:    p.Logger,
 	}
@@ -111,11 +112,11 @@
 	return config
 }
 
-// Ready reports whether the server behind the gate takes new work.
+// Ready reports whether the server behind the gate accepts new work.
 func (p *SidecarProcess) Ready() bool { return p.sidecar.Ready() }
 
-// Stop ends the sidecar gracefully: no new work, then the work in progress
-// ends, then the port closes.
+// Stop ends the sidecar gracefully. It refuses new work, waits until the work in
+// progress has ended, and then closes the port.
 func (p *SidecarProcess) Stop(ctx context.Context) error {
 	drained := p.sidecar.Stop(ctx)
 	p.cancel()
@@ -123,7 +124,7 @@
 	return p.process.stopError(drained, closeEndpoint(p.endpoint), p.metrics.close())
 }
 
-// Kill ends the sidecar at once, as a process that dies.
+// Kill ends the sidecar at once, as a crash would.
 func (p *SidecarProcess) Kill() error {
 	closed := errors.Join(p.endpoint.Close(), p.metrics.close())
 	p.cancel()
--- a/internal/role/watch_server.go
+++ b/internal/role/watch_server.go
@@ -11,11 +11,13 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/declared"
 )
 
-// freshEvery is how often a follower is told that its state is still the
-// newest; an update that carries changes tells it as well.
+// freshnessInterval is how often a follower is sent an update without changes, which
+// confirms that its state is still the newest. An update with changes confirms it
+// too.
 const freshnessInterval = 2 * time.Second
 
-// WatchServer feeds the followers of one control VM.
+// WatchServer sends updates of the declared state to the followers of one control
+// VM.
 type WatchServer struct {
 	Store     *operator.Store
 	Confirmer *Confirmer
@@ -37,7 +39,8 @@
 	w.sendUpdates(ctx, s, watch)
 }
 
-// hear takes the follower's word of what it has in force.
+// receiveReports records the reports of the follower on the state that it has in
+// force.
 func (w *WatchServer) receiveReports(s peer.Stream) {
 	for {
 		m, err := s.Receive()
@@ -50,24 +53,26 @@
 	}
 }
 
+// sendUpdates sends each change of the state and each confirmation until the
+// session ends.
 func (w *WatchServer) sendUpdates(ctx context.Context, s peer.Stream, watch message.Watch) {
-	from, came := watch.From, time.Now()
+	from, opened := watch.From, time.Now()
 	w.Confirmer.Trigger()
 	for {
-		// The confirmation is read before the state: a later one could vouch
-		// for a state that was read before it.
+		// The confirmation must be read before the state: a later one would
+		// count for a state that was read before it.
 		last, confirmed := w.Confirmer.Last()
 		var update message.Update
 		var err error
 		changed := w.Store.Read(func(d *declared.State) { update, err = d.Update(from) })
 		if err != nil {
-			// The follower has seen a later revision than this control VM: it
-			// must not be fed, for its state would go back.
-			w.Logger.Warn("a follower is ahead of this control VM", "follower", watch.Node, "error", err)
+			// The follower has a later revision than this control VM. It must
+			// not be sent an update, as its state would revert.
+			w.Logger.Warn("follower has a later revision than this control VM", "follower", watch.Node, "error", err)
 			return
 		}
 		update.Age, update.Confirmed = time.Since(last), !last.IsZero()
-		update.Fresh = last.After(came)
+		update.Fresh = last.After(opened)
 		if err := s.Send(update); err != nil {
 			return
 		}
@@ -83,8 +88,8 @@
 	}
 }
 
-// sleep waits for a change, a confirmation that the follower still lacks, or
-// the time to tell of freshness; it is false once the session ended.
+// waitNext waits for a change, a confirmation that the follower has not received
+// yet, or the end of freshnessInterval. It reports false once the session has ended.
 func (w *WatchServer) waitNext(ctx context.Context, s peer.Stream, changed, confirmed <-chan struct{}) bool {
 	timer := time.NewTimer(freshnessInterval)
 	defer timer.Stop()
