--- a/internal/role/announcer_test.go
+++ b/internal/role/announcer_test.go
@@ -6,16 +6,16 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a sidecar with a wrong certificate cost the control VMs two cores.
-// Sequence: every control VM refuses it, again and again.
-// Cause: the wait between two tries never grew.
-func TestRefusedAnnouncerWaitsLonger(t *testing.T) {
+// Guards against a sidecar with a wrong certificate that costs the control VMs two
+// cores: every control VM refuses it, and without a growing delay it tries again
+// several times a second.
+func TestAnnouncerBacksOffWhenRefused(t *testing.T) {
 	is := is.New(t)
 	a := &Announcer{Control: []string{"one", "two", "three"}}
-	is.True(a.retryDelay(1) <= maxReconnectDelay) // one round of all control VMs is quick
-	is.True(a.retryDelay(3) <= maxReconnectDelay) // also when it is over
+	is.True(a.retryDelay(1) <= maxReconnectDelay) // the first round of all control VMs has no backoff
+	is.True(a.retryDelay(3) <= maxReconnectDelay) // nor has its end
 	longest := a.retryDelay(9)
-	for range 100 { // then the wait grows: four times what it was after one round
+	for range 100 { // then the delay grows: four times as long as in the first round
 		wait := a.retryDelay(9)
 		is.True(wait >= 4*minReconnectDelay)
 		is.True(wait <= 4*maxReconnectDelay)
--- a/internal/role/answer_log_test.go
+++ b/internal/role/answer_log_test.go
@@ -9,11 +9,10 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/entry"
 )
 
-// Symptom: a retry with the same key got the answer from the middle on.
-// Sequence: first caller reads; a second attaches while output comes; both
-// must see every chunk in order.
-// Cause guarded against: one queue shared by two readers.
-func TestAnswerLogGivesEachReaderAll(t *testing.T) {
+// Guards against a retry with the same key that receives only the end of the
+// answer: a second caller attaches while the first one reads, and both would share
+// one queue. Each reader must get every chunk in order.
+func TestAnswerLogReadersGetAllChunks(t *testing.T) {
 	is := is.New(t)
 	a := newAnswerLog(entry.Request{})
 	a.append(caller.Chunk{Text: "one", Tokens: 1})
@@ -28,7 +27,7 @@
 	is.Equal(len(late), 3)
 }
 
-func TestAnswerLogTakesNothingBehindTheEnd(t *testing.T) {
+func TestAnswerLogDropsChunksAfterTheEnd(t *testing.T) {
 	is := is.New(t)
 	a := newAnswerLog(entry.Request{})
 	a.append(caller.Chunk{End: &caller.End{}})
--- a/internal/role/bench_test.go
+++ b/internal/role/bench_test.go
@@ -19,9 +19,9 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// BenchmarkAddedDelay compares a whole answer of one token through an entry
-// with the same prefill and decode asked of the stand-in engines directly, one
-// request at a time, the two ways in turn. It reports medians.
+// BenchmarkAddedDelay compares a complete answer of one token through an entry with
+// the same prefill and decode sent directly to stand-in engines. It sends one
+// request at a time, alternating between the two paths, and reports medians.
 func BenchmarkAddedDelay(b *testing.B) {
 	d := benchDev(b)
 	prefill, decode := standinOf(b, d, oriolebend.Prefill), standinOf(b, d, oriolebend.Decode)
@@ -29,10 +29,10 @@
 		b.Run(fmt.Sprintf("promptTokens=%d", tokens), func(b *testing.B) {
 			var direct, through []time.Duration
 			for i := range b.N {
-				direct = append(direct, timed(func() { askDirectly(b, prefill, decode, promptOf(tokens, "direct", i), i) }))
-				through = append(through, timed(func() { askThrough(b, d.Entries[0].Address(), promptOf(tokens, "through", i)) }))
+				direct = append(direct, timed(func() { completeDirectly(b, prefill, decode, promptOf(tokens, "direct", i), i) }))
+				through = append(through, timed(func() { completeThroughEntry(b, d.Entries[0].Address(), promptOf(tokens, "through", i)) }))
 			}
-			report(b, direct, through)
+			reportMedians(b, direct, through)
 		})
 	}
 }
@@ -59,8 +59,8 @@
 	return d
 }
 
-// standinOf starts one more stand-in of dev's kind, without a gate: gates cancel
-// work that they did not start.
+// standinOf starts another stand-in engine with the configuration of dev's. It has no
+// gate, because gates cancel work that they did not start.
 func standinOf(b *testing.B, d *Dev, role oriolebend.PoolRole) engine.Engine {
 	b.Helper()
 	groups := d.settings.Dev.Servers
@@ -79,8 +79,8 @@
 	return engine.NewClient(engine.Config{BaseURL: server.URL()})
 }
 
-// promptOf makes a prompt whose first words are its own, so that no prefix is
-// cached.
+// promptOf returns a prompt that begins with unique words, so that no prefix of it
+// is cached.
 func promptOf(tokens int, way string, i int) string {
 	prompt := fmt.Sprintf("%s %d %d.", way, i, time.Now().UnixNano())
 	return prompt + strings.Repeat(" corridor", max(0, tokens-prefix.CountTokens(prompt)))
@@ -92,7 +92,7 @@
 	return time.Since(started)
 }
 
-func askDirectly(b *testing.B, prefill, decode engine.Engine, prompt string, i int) {
+func completeDirectly(b *testing.B, prefill, decode engine.Engine, prompt string, i int) {
 	b.Helper()
 	attempt := message.Attempt{RequestID: fmt.Sprintf("direct-%d-%d", i, time.Now().UnixNano()), Number: 1}
 	result, err := prefill.Prefill(b.Context(), engine.PrefillRequest{
@@ -110,7 +110,7 @@
 	}
 }
 
-func askThrough(b *testing.B, address, prompt string) {
+func completeThroughEntry(b *testing.B, address, prompt string) {
 	b.Helper()
 	body := fmt.Sprintf(`{"model": "planner-lm", "prompt": %q, "max_tokens": 1}`, prompt)
 	response, err := http.Post("http://"+address+"/v1/completions", "application/json", strings.NewReader(body))
@@ -124,7 +124,7 @@
 	}
 }
 
-func report(b *testing.B, direct, through []time.Duration) {
+func reportMedians(b *testing.B, direct, through []time.Duration) {
 	b.Helper()
 	median := func(all []time.Duration) float64 {
 		slices.Sort(all)
--- a/internal/role/burst_test.go
+++ b/internal/role/burst_test.go
@@ -14,11 +14,10 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Symptom: of 64 requests at once half got no answer within 40 s, beside a
-// decode server that was idle.
-// Sequence: the burst meets full slots; gates refuse decodes of prefills that
-// are done; each refusal spends the retry budget, far below zero.
-// Cause: lack of room was paid for like failed work, and debt had no bound.
+// Guards against a burst of 64 requests of which half get no answer within 40 s
+// while a decode server is idle. All slots are full, so gates refuse the decodes of
+// completed prefills. If each refusal spent the retry budget like failed work, and
+// the budget had no lower bound, it would fall far below zero.
 func TestBurstEnds(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -39,17 +38,17 @@
 	var all sync.WaitGroup
 	for n := range burst {
 		all.Go(func() {
-			statuses[n], _ = post(t, d.Entries[0].Address(), "/v1/completions", fmt.Sprintf("burst-%d", n), brief)
+			statuses[n], _ = post(t, d.Entries[0].Address(), "/v1/completions", fmt.Sprintf("burst-%d", n), shortCompletion)
 		})
 	}
 	done := make(chan struct{})
 	go func() { all.Wait(); close(done) }()
-	waiting, cancel := context.WithTimeout(t.Context(), eventually)
+	waiting, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	select {
 	case <-done:
 	case <-waiting.Done():
-		t.Fatal("requests of a burst got no end")
+		t.Fatal("requests of a burst were not answered")
 	}
 	for _, status := range statuses {
 		is.Equal(status, http.StatusOK)
--- a/internal/role/claims_bench_test.go
+++ b/internal/role/claims_bench_test.go
@@ -17,13 +17,13 @@
 	"github.com/oriolebend/oriolebend/internal/peer"
 )
 
-// claimEntries is how many entries the claims come from.
+// claimEntries is the number of entries that send claims.
 const claimEntries = 32
 
-// claimsFor is how long each number of callers claims.
-const claimsFor = 4 * time.Second
+// claimDuration is how long each number of callers sends claims.
+const claimDuration = 4 * time.Second
 
-// claimsReport is what a child tells about the requests that it claimed and
+// claimsReport is the report of a child process on the requests that it claimed and
 // settled.
 type claimsReport struct {
 	Requests int
@@ -34,8 +34,8 @@
 	Wire     int64
 }
 
-// runClaims is a child process whose entries claim and settle, for each line
-// with a number of callers.
+// runClaims runs a child process whose entries claim and settle requests. Each input
+// line starts a round with that number of callers.
 func runClaims(c followersConfig, credentials peer.Credentials, in io.Reader, out io.Writer) error {
 	count := &wire{}
 	var clients []*controlpeer.Client
@@ -77,7 +77,7 @@
 		all.Go(func() {
 			var took []time.Duration
 			failed := 0
-			for n := 0; time.Since(from) < claimsFor; n++ {
+			for n := 0; time.Since(from) < claimDuration; n++ {
 				id := fmt.Sprintf("01981f5e-7f0a-7c31-%04d-%04d%08d", round, caller, n)
 				d, err := claimOne(clients[caller%len(clients)], id)
 				if err != nil {
@@ -100,8 +100,8 @@
 	return report
 }
 
-// claimOne claims and settles one request that may be repeated, and returns
-// how long the claim took.
+// claimOne claims and settles one repeatable request and returns the duration of the
+// claim.
 func claimOne(client *controlpeer.Client, id string) (time.Duration, error) {
 	ctx := context.Background()
 	scope := message.Scope{Organisation: "organisation-17", Operation: "completions", Key: id}
@@ -120,16 +120,16 @@
 	return took, err
 }
 
-// BenchmarkClaims measures claims through clients, over QUIC, at three control
-// VMs that sync to this machine's disk. The control VMs are this process, the
-// entries another. Run with -benchtime=1x.
+// BenchmarkClaims measures claims that clients send over QUIC to three control VMs,
+// which sync to this machine's disk. The control VMs run in this process, the
+// entries in a child process. Run with -benchtime=1x.
 func BenchmarkClaims(b *testing.B) {
 	x := newBenchFleet(b, followersConfig{Claims: true})
 	for _, callers := range []int{1, 1, 16, 128, 1024} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
 			index, cpu, folder := x.controls[x.leader()].replica.Status().Applied, processorTime(), x.folderBytes()
 			var r claimsReport
-			x.ask(&r, callers)
+			x.queryChild(&r, callers)
 			n := float64(r.Requests)
 			cpu, index = processorTime()-cpu, x.controls[x.leader()].replica.Status().Applied-index
 			b.ReportMetric(n/r.Seconds, "requests/s")
@@ -145,7 +145,7 @@
 	}
 }
 
-// folderBytes is the size of all data folders.
+// folderBytes returns the size of all data folders in bytes.
 func (x *benchFleet) folderBytes() int64 {
 	var bytes int64
 	for _, c := range x.controls {
--- a/internal/role/cluster_test.go
+++ b/internal/role/cluster_test.go
@@ -25,26 +25,26 @@
 )
 
 const (
-	// eventually bounds each wait for a condition; no test depends on how much
-	// of it is used.
-	eventually = 30 * time.Second
-	lookEvery  = 5 * time.Millisecond
-	testModel  = "planner-lm"
+	// waitTimeout bounds each wait for a condition. No test depends on how long the
+	// wait actually takes.
+	waitTimeout  = 30 * time.Second
+	pollInterval = 5 * time.Millisecond
+	testModel    = "planner-lm"
 )
 
-// cluster is a Dev whose parts a test breaks.
+// cluster is a Dev in which a test injects failures.
 type cluster struct {
 	*Dev
 	t       *testing.T
 	stopped bool
 }
 
-// clusters bounds how many run at a time: more would starve one another of
-// processor time until leases end that should not.
+// clusters bounds how many clusters run at a time. More would starve one another of
+// processor time until leases expire that should not.
 var clusters = make(chan struct{}, 6)
 
-// startCluster runs two prefill, three decode and two service stand-ins with
-// three entries and three control VMs. change may set it up otherwise.
+// startCluster starts two prefill, three decode and two service stand-ins with three
+// entries and three control VMs. change may modify the settings; it may be nil.
 func startCluster(t *testing.T, change func(*settings.Settings)) *cluster {
 	t.Helper()
 	is := is.New(t)
@@ -66,7 +66,7 @@
 	return c
 }
 
-// testLog shows a process's log with its test.
+// testLog writes a process's log to the log of its test.
 type testLog struct{ t *testing.T }
 
 // Write implements io.Writer.
@@ -77,7 +77,7 @@
 	return len(line), nil
 }
 
-// stop kills what the test left; the graceful stop of every role takes seconds
+// stop kills the processes that still run. A graceful stop of every role takes seconds
 // and has tests of its own.
 func (c *cluster) stop() {
 	if c.stopped {
@@ -93,62 +93,62 @@
 		_ = p.Kill()
 	}
 	c.Entries, c.Sidecars, c.Controls = nil, nil, nil
-	c.stopWhole()
+	c.stopGracefully()
 }
 
-// stopWhole stops everything gracefully.
-func (c *cluster) stopWhole() {
+// stopGracefully stops all processes gracefully.
+func (c *cluster) stopGracefully() {
 	c.t.Helper()
 	c.stopped = true
-	ctx, cancel := context.WithTimeout(context.Background(), eventually)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if err := c.Stop(ctx); err != nil {
-		c.t.Errorf("the cluster did not stop: %v", err)
+		c.t.Errorf("stop the cluster: %v", err)
 	}
 }
 
 func (c *cluster) ready() {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(c.t.Context(), eventually)
+	ctx, cancel := context.WithTimeout(c.t.Context(), waitTimeout)
 	defer cancel()
 	if err := c.Ready(ctx); err != nil {
-		c.t.Fatal("the entries never saw every server")
+		c.t.Fatal("the entries did not see every server")
 	}
 }
 
-// until waits for a condition.
-func (c *cluster) until(what string, holds func() bool) {
+// waitFor waits for a condition.
+func (c *cluster) waitFor(what string, holds func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(eventually); !holds(); time.Sleep(lookEvery) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			c.t.Fatalf("never met: %s", what)
+			c.t.Fatalf("condition not met: %s", what)
 		}
 	}
 }
 
-// call is one request on its way, as its caller sees it.
+// call is one request in progress, as its caller sees it.
 type call struct {
 	prompt string
 	tokens int
 	cancel context.CancelFunc
 	done   chan struct{}
 
-	mu      sync.Mutex
-	text    strings.Builder
-	status  int
-	body    string
-	whole   bool
-	err     error
-	problem caller.Document
+	mu       sync.Mutex
+	text     strings.Builder
+	status   int
+	body     string
+	complete bool
+	err      error
+	problem  caller.Document
 }
 
-// ask sends a model request and reads its answer in the background.
-func (c *cluster) ask(e *EntryProcess, key string, options ...string) *call {
+// send sends a model request and reads its answer in the background.
+func (c *cluster) send(e *EntryProcess, key string, options ...string) *call {
 	r := &call{prompt: "Plan the corridor of " + key + ".", tokens: 60, done: make(chan struct{})}
 	stream, operation, deadline := true, "", ""
 	for _, o := range options {
 		switch name, value, _ := strings.Cut(o, "="); name {
-		case "whole":
+		case "buffered":
 			stream = false
 		case "kept":
 			operation = "kept"
@@ -172,14 +172,15 @@
 	return r
 }
 
-// ping sends a call of the service that runs at most once.
+// ping sends a service call that may run at most once.
 func (c *cluster) ping(e *EntryProcess, key string) *call {
 	r := &call{done: make(chan struct{})}
 	c.start(r, e, "/services/dispatch-api/arrivals", keyed(key), pingBody(key))
 	return r
 }
 
-// keyed returns the header with a key; an empty one leaves it to the entry.
+// keyed returns a header with an idempotency key; without one the entry creates a
+// key.
 func keyed(key string) http.Header {
 	if key == "" {
 		return http.Header{}
@@ -205,7 +206,7 @@
 }
 
 func (r *call) read(request *http.Request) {
-	// A connection of its own: what another request does to it can't show here.
+	// Each request uses its own connection, so that other requests can't affect it.
 	transport := &http.Transport{DisableKeepAlives: true}
 	response, err := (&http.Client{Transport: transport}).Do(request)
 	if err != nil {
@@ -226,8 +227,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.body, r.err = string(body), err
-	r.whole = err == nil && response.StatusCode == http.StatusOK
-	r.take(body)
+	r.complete = err == nil && response.StatusCode == http.StatusOK
+	r.parse(body)
 }
 
 func (r *call) readStream(body io.Reader) {
@@ -239,9 +240,9 @@
 		}
 		r.mu.Lock()
 		if data == "[DONE]" {
-			r.whole = true
+			r.complete = true
 		} else {
-			r.take([]byte(data))
+			r.parse([]byte(data))
 		}
 		r.mu.Unlock()
 	}
@@ -250,8 +251,8 @@
 	r.err = lines.Err()
 }
 
-// take reads one answer or one part of it.
-func (r *call) take(data []byte) {
+// parse parses one answer or one part of it.
+func (r *call) parse(data []byte) {
 	var part struct {
 		Choices []struct{ Text string }
 	}
@@ -264,62 +265,63 @@
 	}
 }
 
-// got returns how much output has come.
-func (r *call) got() int {
+// outputLength returns how many bytes of output have been received.
+func (r *call) outputLength() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.text.Len()
 }
 
-// end waits until the caller has nothing more to expect.
-func (c *cluster) end(r *call) {
+// waitEnd waits until the response has ended.
+func (c *cluster) waitEnd(r *call) {
 	c.t.Helper()
 	select {
 	case <-r.done:
-	case <-time.After(eventually):
-		c.t.Fatalf("a caller got no end of its answer: %s", r.prompt)
+	case <-time.After(waitTimeout):
+		c.t.Fatalf("the response did not end: %s", r.prompt)
 	}
 }
 
-// wholeAnswer waits for the end and checks that nothing lacks or repeats.
-func (c *cluster) wholeAnswer(r *call) {
+// checkAnswer waits for the end of the answer and checks that no token is missing or
+// repeated.
+func (c *cluster) checkAnswer(r *call) {
 	c.t.Helper()
-	c.end(r)
-	if !r.whole {
-		c.t.Fatalf("%s: not whole: status %d, problem %+v, body %s, error %v", r.prompt, r.status, r.problem, r.body, r.err)
+	c.waitEnd(r)
+	if !r.complete {
+		c.t.Fatalf("%s: incomplete answer: status %d, problem %+v, body %s, error %v", r.prompt, r.status, r.problem, r.body, r.err)
 	}
 	if err := answer.Check(testModel, "", r.prompt, r.tokens, r.text.String()); err != nil {
 		c.t.Fatalf("%s: %v", r.prompt, err)
 	}
 }
 
-// streaming waits until a part of the answer came.
-func (c *cluster) streaming(r *call) {
+// waitForOutput waits until a part of the answer has been received.
+func (c *cluster) waitForOutput(r *call) {
 	c.t.Helper()
-	c.until("output of "+r.prompt, func() bool {
+	c.waitFor("output of "+r.prompt, func() bool {
 		select {
 		case <-r.done:
-			if r.got() == 0 {
+			if r.outputLength() == 0 {
 				c.t.Fatalf("%s: ended without output: status %d, problem %+v, error %v", r.prompt, r.status, r.problem, r.err)
 			}
 		default:
 		}
-		return r.got() > 0
+		return r.outputLength() > 0
 	})
 }
 
-// decoding waits until an engine decodes, and returns its name.
-func (c *cluster) decoding() string { return c.working(oriolebend.Decode) }
+// waitForDecode waits until an engine decodes, and returns its name.
+func (c *cluster) waitForDecode() string { return c.waitForWork(oriolebend.Decode) }
 
-// prefilling waits until an engine prefills, and returns its name.
-func (c *cluster) prefilling() string { return c.working(oriolebend.Prefill) }
+// waitForPrefill waits until an engine prefills, and returns its name.
+func (c *cluster) waitForPrefill() string { return c.waitForWork(oriolebend.Prefill) }
 
-func (c *cluster) working(role oriolebend.PoolRole) string {
+func (c *cluster) waitForWork(role oriolebend.PoolRole) string {
 	c.t.Helper()
 	var found string
-	c.until("work of role "+string(role), func() bool {
+	c.waitFor("work of role "+string(role), func() bool {
 		for name := range c.Engines {
-			if strings.HasPrefix(name, string(role)) && c.held(name) > 0 {
+			if strings.HasPrefix(name, string(role)) && c.workCount(name) > 0 {
 				found = name
 			}
 		}
@@ -328,15 +330,15 @@
 	return found
 }
 
-// slowBy makes every engine take so many times as long; 1 is the usual speed.
+// slowBy slows every engine down by a factor; 1 is the usual speed.
 func (c *cluster) slowBy(factor float64) {
 	for _, e := range c.Engines {
 		e.SlowBy(factor)
 	}
 }
 
-// held counts the work that an engine holds memory for.
-func (c *cluster) held(name string) int {
+// workCount counts the requests for which an engine holds memory.
+func (c *cluster) workCount(name string) int {
 	work, err := c.Engines[name].Work(c.t.Context())
 	if err != nil {
 		return 0
@@ -344,12 +346,12 @@
 	return len(work)
 }
 
-// free waits until no engine holds memory for a request.
-func (c *cluster) free() {
+// waitUntilIdle waits until no engine holds memory for a request.
+func (c *cluster) waitUntilIdle() {
 	c.t.Helper()
-	c.until("every engine's memory is free", func() bool {
+	c.waitFor("every engine's memory is free", func() bool {
 		for name := range c.Engines {
-			if c.held(name) > 0 {
+			if c.workCount(name) > 0 {
 				return false
 			}
 		}
@@ -357,7 +359,8 @@
 	})
 }
 
-// executions counts how often the servers of the service together ran a ping.
+// executions counts how often the servers of the service ran a ping, over all of
+// them.
 func (c *cluster) executions(key string) int {
 	count := 0
 	for _, ledger := range c.Ledgers {
@@ -383,40 +386,41 @@
 	}
 }
 
-// anew makes the setup of a process that starts again: it opens its own ports.
-func anew(p Process) Process {
+// withoutOpenPorts returns the configuration for a restart of a process, which opens
+// its own ports.
+func withoutOpenPorts(p Process) Process {
 	p.Socket, p.Operators = nil, nil
 	return p
 }
 
-// restartSidecar starts the sidecar of a server anew, as a process that
-// remembers nothing.
+// restartSidecar starts a new sidecar for a server. It has no state of the previous
+// one.
 func (c *cluster) restartSidecar(name string) {
 	c.t.Helper()
-	s, err := StartSidecar(anew(c.Sidecars[name].process))
+	s, err := StartSidecar(withoutOpenPorts(c.Sidecars[name].process))
 	c.must(err)
 	c.Sidecars[name] = s
 }
 
-// restartControl starts a control VM's process anew over its data folder.
+// restartControl starts a control VM's process again with its data folder.
 func (c *cluster) restartControl(n int) {
 	c.t.Helper()
-	// While it was down its port was free for every process of the machine that
-	// asks for any port.
-	c.until("the operators' port is free", func() bool {
+	// While it was down, another process of this machine may have been given its
+	// port.
+	c.waitFor("the operators' port is free", func() bool {
 		l, err := net.Listen("tcp", c.Controls[n].process.Settings.Operator.Listen)
 		return err == nil && l.Close() == nil
 	})
-	p, err := StartControl(anew(c.Controls[n].process))
+	p, err := StartControl(withoutOpenPorts(c.Controls[n].process))
 	c.must(err)
 	c.Controls[n] = p
 }
 
-// leader waits for a leader and returns its number.
+// leader waits for a leader and returns its index.
 func (c *cluster) leader() int {
 	c.t.Helper()
 	leader := -1
-	c.until("a control VM leads", func() bool {
+	c.waitFor("a control VM leads", func() bool {
 		for n, p := range c.Controls {
 			if name, _ := p.replica.Leader(); name == c.settings.Control.Members[n].Name {
 				leader = n
@@ -427,7 +431,7 @@
 	return leader
 }
 
-// operators returns a client of every control VM.
+// operators returns a client that uses all control VMs.
 func (c *cluster) operators() *client.Client {
 	c.t.Helper()
 	var urls []string
@@ -437,7 +441,7 @@
 	return client.New(client.Config{Addresses: urls})
 }
 
-// killEntry ends an entry as one that dies.
+// killEntry ends an entry at once, as a crash would.
 func (c *cluster) killEntry(e *EntryProcess) {
 	c.t.Helper()
 	c.Entries = slices.DeleteFunc(c.Entries, func(other *EntryProcess) bool { return other == e })
--- a/internal/role/control_bench_test.go
+++ b/internal/role/control_bench_test.go
@@ -24,7 +24,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TestMain runs the child process of the benchmark of followers, or the tests.
+// TestMain runs the tests, or the child process of a benchmark if the environment
+// variable followersVariable is set.
 func TestMain(m *testing.M) {
 	if config := os.Getenv(followersVariable); config != "" {
 		if err := runFollowers(config, os.Stdin, os.Stdout); err != nil {
@@ -40,15 +41,15 @@
 	benchControls = 3
 	benchModels   = 34
 	benchServers  = 1100
-	// settleFor lets QUIC's search for the packet size end before what a
-	// follower costs at rest is measured.
-	settleFor = 8 * time.Second
-	restFor   = 8 * time.Second
-	// reachWithin bounds the wait until all followers have a revision.
-	reachWithin = 20 * time.Second
+	// mtuDiscoveryTime is the time for QUIC's path MTU discovery to end before the idle
+	// cost of a follower is measured.
+	mtuDiscoveryTime = 8 * time.Second
+	idleTime         = 8 * time.Second
+	// reachTimeout bounds the wait until all followers have a revision in force.
+	reachTimeout = 20 * time.Second
 )
 
-// benchFleet is three control VMs in this process, and followers in another.
+// benchFleet runs three control VMs in this process and followers in a child process.
 type benchFleet struct {
 	b        *testing.B
 	controls []*ControlProcess
@@ -141,16 +142,16 @@
 	}
 }
 
-// report waits until the followers have a revision, and returns what they say.
+// report waits until the followers have a revision in force, and returns their report.
 func (x *benchFleet) report(revision uint64) followersReport {
 	x.b.Helper()
 	var r followersReport
-	x.ask(&r, revision, int64(reachWithin), false)
+	x.queryChild(&r, revision, int64(reachTimeout), false)
 	return r
 }
 
-// ask sends the child a line and reads its report.
-func (x *benchFleet) ask(report any, line ...any) {
+// queryChild sends a line to the child process and reads its report.
+func (x *benchFleet) queryChild(report any, line ...any) {
 	x.b.Helper()
 	_, err := fmt.Fprintln(x.in, line...)
 	x.must(err)
@@ -180,7 +181,7 @@
 	return 0
 }
 
-// apply has a resource applied by the leader and returns its revision.
+// apply applies a resource at the leader and returns its revision.
 func (x *benchFleet) apply(r oriolebend.Resource, id string) (uint64, error) {
 	command, err := control.Encode(control.PartDeclared, declared.Command{At: time.Now(), Order: &declared.Order{
 		Action: oriolebend.ActionApply, Kind: r.Kind, Name: r.Name, Resource: &r, Who: "ana", OrderID: id,
@@ -188,7 +189,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), reachWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), reachTimeout)
 	defer cancel()
 	reply, err := x.controls[x.leader()].replica.Propose(ctx, command)
 	if err != nil {
@@ -198,10 +199,10 @@
 	return result.Revision, err
 }
 
-// applyAgain applies a resource as often as it takes to be accepted; the order
-// id keeps it one order.
-func (x *benchFleet) applyAgain(r oriolebend.Resource, id string) uint64 {
-	limit := time.Now().Add(reachWithin)
+// applyUntilAccepted applies a resource repeatedly until it is accepted. The order id
+// makes the attempts a single order.
+func (x *benchFleet) applyUntilAccepted(r oriolebend.Resource, id string) uint64 {
+	limit := time.Now().Add(reachTimeout)
 	for {
 		revision, err := x.apply(r, id)
 		if err == nil {
@@ -214,14 +215,14 @@
 	}
 }
 
-// applyAll applies resources side by side and returns the highest revision.
+// applyAll applies resources concurrently and returns the highest revision.
 func (x *benchFleet) applyAll(resources []oriolebend.Resource) uint64 {
 	revisions := make([]uint64, len(resources))
 	var all sync.WaitGroup
 	for i, r := range resources {
 		id := fmt.Sprintf("01234567-89ab-cdef-0123-%012d", x.orders+i)
 		all.Go(func() {
-			revisions[i] = x.applyAgain(r, id)
+			revisions[i] = x.applyUntilAccepted(r, id)
 		})
 	}
 	all.Wait()
@@ -229,7 +230,7 @@
 	return slices.Max(revisions)
 }
 
-// declare declares the fleet of the size in view.
+// declare declares the resources of the fleet.
 func (x *benchFleet) declare() {
 	var models, versions, pools, servers []oriolebend.Resource
 	for i := range benchModels {
@@ -252,7 +253,7 @@
 	}
 }
 
-// benchChange is one operator's change of a server.
+// benchChange returns an operator's change of a server.
 func benchChange(i int, state oriolebend.ServerState) oriolebend.Resource {
 	i %= benchServers
 	role := []oriolebend.PoolRole{oriolebend.Prefill, oriolebend.Decode}[i%2]
@@ -262,13 +263,13 @@
 	}
 }
 
-// delays are the times from an instant until the followers had what came
-// after it; those that never had it count as the longest wait.
+// delays returns the times from an instant until the followers had a revision in
+// force. A follower that never had it counts as reachTimeout.
 func delays(from int64, times []int64) []time.Duration {
 	list := make([]time.Duration, 0, len(times))
 	for _, t := range times {
 		if t == 0 {
-			list = append(list, reachWithin)
+			list = append(list, reachTimeout)
 			continue
 		}
 		list = append(list, time.Duration(t-from))
@@ -284,9 +285,9 @@
 	b.ReportMetric(milliseconds(list[len(list)-1]), name+"-most-ms")
 }
 
-// BenchmarkFollowers measures what followers cost the control VMs and
-// themselves, and how long a change takes from its apply until it is in force
-// at each of them. The control VMs are this process, the followers another.
+// BenchmarkFollowers measures the cost of followers for the control VMs and for the
+// followers, and the time from the apply of a change until it is in force at each
+// follower. The control VMs run in this process, the followers in a child process.
 // Run with -benchtime=1x.
 func BenchmarkFollowers(b *testing.B) {
 	for _, size := range []struct{ entries, sidecars int }{
@@ -299,16 +300,16 @@
 			start := x.report(1)
 			b.ReportMetric(float64((processorTime()-cpu).Microseconds())/n, "start-control-cpu-µs")
 			b.ReportMetric(float64(start.Sent+start.Received)/n, "start-wire-B")
-			time.Sleep(settleFor)
-			x.measureRest(n)
+			time.Sleep(mtuDiscoveryTime)
+			x.measureIdle(n)
 			x.measureChanges(n)
 			x.measureBurst()
 		})
 	}
 }
 
-// BenchmarkLeaderChange measures how long a change takes from the instant at
-// which the leader hands over and stops, or falls silent. Run with
+// BenchmarkLeaderChange measures how long a change takes from the instant at which
+// the leader transfers the leadership and stops, or drops all its packets. Run with
 // -benchtime=1x.
 func BenchmarkLeaderChange(b *testing.B) {
 	for _, silent := range []bool{false, true} {
@@ -321,16 +322,16 @@
 	}
 }
 
-func (x *benchFleet) measureRest(n float64) {
+func (x *benchFleet) measureIdle(n float64) {
 	before, cpu := x.report(1), processorTime()
 	from := time.Now()
-	time.Sleep(restFor)
+	time.Sleep(idleTime)
 	after := x.report(1)
 	seconds := time.Since(from).Seconds()
 	cpu = processorTime() - cpu
 	used := usedMemory()
 	var settled followersReport
-	x.ask(&settled, 1, int64(reachWithin), true)
+	x.queryChild(&settled, 1, int64(reachTimeout), true)
 	b := x.b
 	b.ReportMetric(float64(cpu.Microseconds())/seconds, "rest-controls-cpu-µs/s")
 	b.ReportMetric(float64((after.CPU-before.CPU).Microseconds())/seconds/n, "rest-follower-cpu-µs/s")
@@ -369,22 +370,22 @@
 	reportDelays(x.b, "burst", delays(at, x.report(revision).Times))
 }
 
-// measureLeaderChange loses the leader and applies a change at the same
-// instant, as often as it takes to be accepted.
+// measureLeaderChange stops the leader, or has it drop all packets, and applies a
+// change at the same instant, repeatedly until it is accepted.
 func (x *benchFleet) measureLeaderChange(silent bool) {
 	i := x.leader()
 	lost := x.controls[i]
 	at := time.Now().UnixNano()
 	x.controls = slices.Delete(x.controls, i, i+1)
 	stopped := make(chan struct{})
-	x.wires[i].silent.Store(silent)
+	x.wires[i].dropping.Store(silent)
 	go func() {
 		defer close(stopped)
 		if !silent {
 			_ = lost.Stop(context.Background())
 		}
 	}()
-	revision := x.applyAgain(benchChange(300, oriolebend.ServerLeaving), "leader-change")
+	revision := x.applyUntilAccepted(benchChange(300, oriolebend.ServerLeaving), "leader-change")
 	x.b.ReportMetric(float64(time.Now().UnixNano()-at)/1e6, "accepted-ms")
 	reportDelays(x.b, "inForce", delays(at, x.report(revision).Times))
 	<-stopped
--- a/internal/role/crashing_test.go
+++ b/internal/role/crashing_test.go
@@ -20,65 +20,66 @@
 )
 
 const (
-	// crashLimit is under how many ends of servers a request is known to crash them, and
-	// how often it may be sent later than crashSettle after the last of these.
+	// crashLimit is the number of server crashes after which a request is known to crash
+	// servers, and the number of times it may be sent later than crashSettle after the
+	// last of these crashes.
 	crashLimit  = 3
 	crashSettle = 3 * time.Second
-	// crashKnown is how long after the third end every forwarder may take to know it: a
-	// third of crashSettle, so that the bound also holds where one telling is lost.
-	crashKnown = crashSettle / 3
-	// crashing is the body of the request that crashes servers.
-	crashing = "crashing"
-	// backAfter is how long a server is away that has crashed.
-	backAfter = 300 * time.Millisecond
+	// crashKnownAfter is how long after the third crash every forwarder may take to know
+	// it. It is a third of crashSettle, so that the bound also holds if one report is lost.
+	crashKnownAfter = crashSettle / 3
+	// crashingBody is the body of the request that crashes servers.
+	crashingBody = "crashing"
+	// restartDelay is how long a crashed server takes to start again.
+	restartDelay = 300 * time.Millisecond
 )
 
-// fragileFleet is a set of backend servers whose processes end as soon as they begin to
-// run one request, and are started again a moment later.
-type fragileFleet struct {
+// crashingFleet is a set of backend servers whose processes exit as soon as they begin to
+// run one particular request, and are started again a moment later.
+type crashingFleet struct {
 	t       *testing.T
 	site    *routeSite
-	servers []*fragileServer
+	servers []*crashingServer
 	group   sync.WaitGroup
 
 	mutex sync.Mutex
-	// crashes is when servers ended.
+	// crashes holds the times at which servers crashed.
 	crashes []time.Time
 }
 
-// fragileServer is one server of a fragileFleet.
-type fragileServer struct {
-	fleet       *fragileFleet
+// crashingServer is one server of a crashingFleet.
+type crashingServer struct {
+	fleet       *crashingFleet
 	name        string
 	address     string
 	incarnation atomic.Uint64
 	sequence    atomic.Uint64
 }
 
-func newFragileFleet(t *testing.T, s *routeSite, count int) *fragileFleet {
+func newCrashingFleet(t *testing.T, s *routeSite, count int) *crashingFleet {
 	t.Helper()
-	f := &fragileFleet{t: t, site: s}
+	f := &crashingFleet{t: t, site: s}
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		cancel()
 		f.group.Wait()
 	})
 	for i := range count {
-		v := &fragileServer{fleet: f, name: fmt.Sprintf("i-%d", i)}
-		// No connection goes out from this address, so that none takes the port while
-		// the server is away.
+		v := &crashingServer{fleet: f, name: fmt.Sprintf("i-%d", i)}
+		// No connection is opened from this address, so that none uses the port while the
+		// server is down.
 		listener, err := net.Listen("tcp", "127.0.1.100:0")
 		is.New(t).NoErr(err)
 		v.address = listener.Addr().String()
 		f.servers = append(f.servers, v)
-		f.group.Go(func() { v.live(ctx, listener) })
+		f.group.Go(func() { v.run(ctx, listener) })
 		f.group.Go(func() { v.announce(ctx) })
 	}
 	return f
 }
 
-// live runs one process after the other until ctx ends.
-func (v *fragileServer) live(ctx context.Context, listener net.Listener) {
+// run runs one incarnation after the other until ctx ends.
+func (v *crashingServer) run(ctx context.Context, listener net.Listener) {
 	for ctx.Err() == nil {
 		v.incarnation.Add(1)
 		v.sequence.Store(0)
@@ -88,23 +89,23 @@
 		_ = server.Serve(listener)
 		stop()
 		end()
-		wait(ctx, backAfter)
+		wait(ctx, restartDelay)
 		var err error
 		if listener, err = net.Listen("tcp", v.address); err != nil && ctx.Err() == nil {
-			v.fleet.t.Errorf("%s can't start again: %v", v.name, err)
+			v.fleet.t.Errorf("restart %s: %v", v.name, err)
 			return
 		}
 	}
 	_ = listener.Close()
 }
 
-// handler answers, or ends the process under the one request. A usual request takes long
-// enough to be there when that happens.
-func (v *fragileServer) handler(end func()) http.HandlerFunc {
+// handler answers requests, and ends the process at the request that crashes servers. A
+// usual request takes long enough to be in progress when that happens.
+func (v *crashingServer) handler(end func()) http.HandlerFunc {
 	const usual = 30 * time.Millisecond
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		if string(body) != crashing {
+		if string(body) != crashingBody {
 			time.Sleep(usual)
 			_, _ = io.WriteString(w, "answered")
 			return
@@ -117,15 +118,15 @@
 	}
 }
 
-// announce tells control VMs of the server, as long as there are any.
-func (v *fragileServer) announce(ctx context.Context) {
+// announce announces the server to a control VM repeatedly until ctx ends.
+func (v *crashingServer) announce(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		told := message.BackendServer{
+		announcement := message.BackendServer{
 			Instance: v.name, Service: "s", Address: v.address, Phase: message.PhaseReady, Slots: 8,
 			Sequence: v.sequence.Add(1), Incarnation: v.incarnation.Load(),
 		}
 		for _, c := range v.fleet.site.controls() {
-			if c.Announce(ctx, told) == nil {
+			if c.Announce(ctx, announcement) == nil {
 				break
 			}
 		}
@@ -133,8 +134,9 @@
 	}
 }
 
-// later counts the ends of servers, and those later than a time after the third.
-func (f *fragileFleet) later(than time.Duration) (all, later int) {
+// countCrashes counts the crashes of servers, and those later than a time after the
+// third one.
+func (f *crashingFleet) countCrashes(than time.Duration) (all, later int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for i, at := range f.crashes {
@@ -145,9 +147,9 @@
 	return len(f.crashes), later
 }
 
-// askBody sends a request with a body to a forwarder and returns the status, 0 without a
-// whole answer, and after how many seconds the caller may come back.
-func askBody(ctx context.Context, f *ForwarderProcess, id, body string) (int, float64) {
+// sendBody sends a request with a body to a forwarder. It returns the status, 0 without a
+// complete answer, and the Retry-After in seconds, 0 without one.
+func sendBody(ctx context.Context, f *ForwarderProcess, id, body string) (int, float64) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.Address()+"/x", strings.NewReader(body))
 	if err != nil {
 		return 0, 0
@@ -164,27 +166,28 @@
 	}
 	after, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil {
-		after = 0 // there is none
+		after = 0 // no Retry-After header
 	}
 	return response.StatusCode, after
 }
 
 // crashingLoad sends the request that crashes servers to one forwarder after the other,
-// beside callers whose requests are all different.
+// together with different requests of other callers.
 type crashingLoad struct {
-	// answered and lost count the others' requests; shutOut those that were told to stay
-	// away for longer than a server takes to start again.
-	answered, lost, shutOut atomic.Int32
+	// answered and lost count the requests of other callers, refusedLong those of them
+	// that were refused for longer than a server takes to start again.
+	answered, lost, refusedLong atomic.Int32
 }
 
-// run sends for a while; a try of the request comes four times a second.
+// run sends requests for a time; the request that crashes servers is sent four times a
+// second.
 func (l *crashingLoad) run(ctx context.Context, forwarders []*ForwarderProcess, length time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	var group sync.WaitGroup
 	for n := 0; ctx.Err() == nil; n++ {
 		f := forwarders[n%len(forwarders)]
-		group.Go(func() { _, _ = askBody(ctx, f, fmt.Sprintf("again-%d", n), crashing) })
+		group.Go(func() { _, _ = sendBody(ctx, f, fmt.Sprintf("again-%d", n), crashingBody) })
 		for i := range 5 {
 			group.Go(func() { l.other(ctx, f, fmt.Sprintf("other-%d-%d", n, i)) })
 			wait(ctx, 50*time.Millisecond)
@@ -194,19 +197,19 @@
 }
 
 func (l *crashingLoad) other(ctx context.Context, f *ForwarderProcess, id string) {
-	status, after := askBody(ctx, f, id, "body of "+id)
+	status, after := sendBody(ctx, f, id, "body of "+id)
 	switch {
 	case status == http.StatusOK:
 		l.answered.Add(1)
 	case after > 1:
-		l.shutOut.Add(1)
+		l.refusedLong.Add(1)
 	default:
 		l.lost.Add(1)
 	}
 }
 
-// startCrashSite starts control VMs, forwarders and servers that crash.
-func startCrashSite(t *testing.T, servers int) (*routeSite, *fragileFleet, []*ForwarderProcess) {
+// startCrashSite starts control VMs, forwarders and a crashingFleet.
+func startCrashSite(t *testing.T, servers int) (*routeSite, *crashingFleet, []*ForwarderProcess) {
 	t.Helper()
 	is := is.New(t)
 	s := newRouteSite(t)
@@ -221,31 +224,31 @@
 		t.Cleanup(func() { _ = f.Kill() })
 		forwarders = append(forwarders, f)
 	}
-	fleet := newFragileFleet(t, s, servers)
+	fleet := newCrashingFleet(t, s, servers)
 	for i, f := range forwarders {
-		s.eventually("the forwarder is ready", f.Ready)
-		s.eventually("requests are served", func() bool {
-			status, _ := askBody(t.Context(), f, "first", fmt.Sprintf("first of %d", i))
+		s.waitFor("the forwarder is ready", f.Ready)
+		s.waitFor("requests are served", func() bool {
+			status, _ := sendBody(t.Context(), f, "first", fmt.Sprintf("first of %d", i))
 			return status == http.StatusOK
 		})
 	}
 	return s, fleet, forwarders
 }
 
-// Symptom: ten model servers end within ten seconds, each with all that it was working
-// on, and nothing else is wrong with the site. Sequence: a request ends each server that
-// begins to run it. It is lost with the server, as far as its forwarder can tell; its
-// caller sends it again, with another id and to another forwarder, which knows nothing of
-// the first. Cause: what a request did to servers is remembered for one try, by one
-// forwarder. Proof: at each end the same method, path and body was the only work that
-// the server had not begun to answer, and no server without it ended.
+// Guards against one request that crashes ten model servers within ten seconds, each with
+// all its work, while nothing else is wrong with the site. The request crashes each server
+// that begins to run it, and its forwarder only sees a lost server. The caller sends the
+// request again with another id to another forwarder. If each forwarder remembered crashes
+// only for one attempt, no forwarder would find the request. It can be found: at each crash
+// the same method, path and body was the only work that the server had not begun to answer,
+// and no server without it crashed.
 func TestRequestThatCrashesServers(t *testing.T) {
 	_, fleet, forwarders := startCrashSite(t, 4)
 	checkCrashes(t, fleet, forwarders)
 }
 
-// The same while no control VM runs: what one forwarder learns reaches the others all
-// the same.
+// The same while no control VM runs: the crash reports of one forwarder must reach the
+// others directly.
 func TestRequestThatCrashesServersWithoutControl(t *testing.T) {
 	s, fleet, forwarders := startCrashSite(t, 4)
 	for _, ip := range seededControls {
@@ -254,9 +257,9 @@
 	checkCrashes(t, fleet, forwarders)
 }
 
-// Symptom: a request ends two servers by turns for as long as it comes. Sequence: no control VM
-// runs, and nobody tells of the new starts of the two. Cause: a server that starts again counts
-// as the start before, so that its further ends add nothing.
+// Guards against a request that crashes two servers in turn for as long as it is sent. No
+// control VM runs, so the forwarders receive no new incarnation of the servers. If a restarted
+// server counted as its previous incarnation, its further crashes would not be counted.
 func TestRequestThatCrashesTwoServersWithoutControl(t *testing.T) {
 	s, fleet, forwarders := startCrashSite(t, 2)
 	for _, ip := range seededControls {
@@ -265,15 +268,16 @@
 	checkCrashes(t, fleet, forwarders)
 }
 
-// Symptom: after a power loss of everything a request that was held ends servers again.
-// Sequence: all control VMs and forwarders end at one moment, and start again with what is
-// on disk; the request goes on coming. Cause: what is known of it is in memory alone.
-func TestHeldRequestStaysHeldAfterARestartOfEverything(t *testing.T) {
+// Guards against a quarantined request that crashes servers again after a power loss of the
+// whole site. All control VMs and forwarders end at the same time and start again from their
+// disks, while callers still send the request. Crash reports that are kept only in memory
+// would be lost.
+func TestQuarantineSurvivesARestartOfEverything(t *testing.T) {
 	is := is.New(t)
 	s, fleet, forwarders := startCrashSite(t, 4)
 	var load crashingLoad
 	load.run(t.Context(), forwarders, 2*time.Second)
-	before, _ := fleet.later(0)
+	before, _ := fleet.countCrashes(0)
 	is.True(before >= crashLimit)
 	for _, f := range forwarders {
 		is.NoErr(f.Kill())
@@ -287,27 +291,27 @@
 	f, err := StartForwarder(s.forwarderProcess("127.0.1.9"), forwarder.Own{})
 	is.NoErr(err)
 	t.Cleanup(func() { _ = f.Kill() })
-	s.eventually("the forwarder is ready", f.Ready)
-	s.eventually("requests are served", func() bool {
-		status, _ := askBody(t.Context(), f, "first", "first after the restart")
+	s.waitFor("the forwarder is ready", f.Ready)
+	s.waitFor("requests are served", func() bool {
+		status, _ := sendBody(t.Context(), f, "first", "first after the restart")
 		return status == http.StatusOK
 	})
 	load.run(t.Context(), []*ForwarderProcess{f}, 2*time.Second)
-	after, _ := fleet.later(0)
+	after, _ := fleet.countCrashes(0)
 	is.Equal(after, before)
 }
 
-func checkCrashes(t *testing.T, fleet *fragileFleet, forwarders []*ForwarderProcess) {
+func checkCrashes(t *testing.T, fleet *crashingFleet, forwarders []*ForwarderProcess) {
 	t.Helper()
 	is := is.New(t)
 	var load crashingLoad
 	load.run(t.Context(), forwarders, crashSettle+4*time.Second)
-	all, later := fleet.later(crashSettle)
-	_, unknown := fleet.later(crashKnown)
-	t.Logf("%d servers ended, %d of them late; of others' requests %d were answered, %d lost, %d shut out",
-		all, later, load.answered.Load(), load.lost.Load(), load.shutOut.Load())
-	is.True(all >= crashLimit)              // the request did end servers
-	is.True(later <= crashLimit)            // and was sent no more soon
-	is.Equal(unknown, 0)                    // all forwarders know it well before that
-	is.Equal(load.shutOut.Load(), int32(0)) // others are not shut out with it
+	all, later := fleet.countCrashes(crashSettle)
+	_, unknown := fleet.countCrashes(crashKnownAfter)
+	t.Logf("%d servers crashed, %d of them late; of other requests %d were answered, %d lost, %d refused for long",
+		all, later, load.answered.Load(), load.lost.Load(), load.refusedLong.Load())
+	is.True(all >= crashLimit)                  // the request did crash servers
+	is.True(later <= crashLimit)                // and was soon no longer sent
+	is.Equal(unknown, 0)                        // all forwarders know it well before that time
+	is.Equal(load.refusedLong.Load(), int32(0)) // other requests are not refused with it
 }
--- a/internal/role/dev_failure_test.go
+++ b/internal/role/dev_failure_test.go
@@ -14,7 +14,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// failureTargets names what each failure strikes in the default settings.
+// failureTargets holds the target of each failure in the default settings.
 var failureTargets = map[FailureName]string{
 	FailKillEngine:   "decode-1",
 	FailFreezeEngine: "decode-2",
@@ -29,9 +29,9 @@
 	FailStopControl:  "control-2",
 }
 
-// Symptom: a scheduled failure is never over, and the load after it fails.
-// Sequence: each failure in turn, its end, then a request that needs all roles.
-// Cause guarded against: a role that is started again on other ports or twice.
+// Guards against a scheduled failure that never ends, so that all later load fails:
+// a role might be started again on other ports, or twice. Each failure is injected
+// and ended in turn, followed by a request that needs all roles.
 func TestEveryFailureEnds(t *testing.T) {
 	is := is.New(t)
 	d := startDev(t)
@@ -39,7 +39,7 @@
 		is.NoErr(d.Fail(Failure{Do: name, Target: failureTargets[name], For: oriolebend.Duration(50 * time.Millisecond)}))
 		d.failures.Wait()
 		is.NoErr(d.Ready(t.Context()))
-		status, _ := post(t, d.Entries[1].Address(), "/v1/completions", string(name), brief)
+		status, _ := post(t, d.Entries[1].Address(), "/v1/completions", string(name), shortCompletion)
 		is.Equal(status, http.StatusOK) // answered after the failure
 	}
 }
--- a/internal/role/dev_test.go
+++ b/internal/role/dev_test.go
@@ -14,7 +14,7 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-// startDev runs the default settings on free ports.
+// startDev starts Dev with the default settings on free ports.
 func startDev(t *testing.T) *Dev {
 	t.Helper()
 	is := is.New(t)
@@ -43,14 +43,14 @@
 	return response.StatusCode, string(answer)
 }
 
-const brief = `{"model": "planner-lm", "prompt": "Plan the corridor from the depot to the camp.", "max_tokens": 12}`
+const shortCompletion = `{"model": "planner-lm", "prompt": "Plan the corridor from the depot to the camp.", "max_tokens": 12}`
 
 func TestDevAnswersOnceThroughAnyEntry(t *testing.T) {
 	is := is.New(t)
 	d := startDev(t)
-	status, first := post(t, d.Entries[0].Address(), "/v1/completions", "k1", brief)
+	status, first := post(t, d.Entries[0].Address(), "/v1/completions", "k1", shortCompletion)
 	is.Equal(status, http.StatusOK)
-	status, again := post(t, d.Entries[1].Address(), "/v1/completions", "k1", brief)
+	status, again := post(t, d.Entries[1].Address(), "/v1/completions", "k1", shortCompletion)
 	is.Equal(status, http.StatusOK)
 	is.Equal(again, first) // replayed through the other entry
 	ran := 0
@@ -66,7 +66,7 @@
 	answers := make(chan string, 2)
 	for _, e := range d.Entries {
 		go func() {
-			_, answer := post(t, e.Address(), "/v1/completions", "both", brief)
+			_, answer := post(t, e.Address(), "/v1/completions", "both", shortCompletion)
 			answers <- answer
 		}()
 	}
@@ -79,7 +79,7 @@
 		is.Equal(len(a.Choices), 1)
 		texts[a.Choices[0].Text] = true
 	}
-	is.Equal(len(texts), 1) // both got the same whole answer
+	is.Equal(len(texts), 1) // both got the same complete answer
 }
 
 func TestDevRunsACallOfAServiceOnce(t *testing.T) {
--- a/internal/role/entry_follow_test.go
+++ b/internal/role/entry_follow_test.go
@@ -11,26 +11,26 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// awayRecords are records that can't be read: no control VM leads.
-type awayRecords struct{ Records }
+// unreachableRecords are records that can't be read, because no control VM leads.
+type unreachableRecords struct{ Records }
 
-func (awayRecords) Query(context.Context, message.Query) (message.ClaimAnswer, error) {
+func (unreachableRecords) Query(context.Context, message.Query) (message.ClaimAnswer, error) {
 	return message.ClaimAnswer{}, &oriolebend.Problem{
 		Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanNo, Detail: "notLeader",
 	}
 }
 
-// Symptom: a caller is told that its call did not run, and it ran. Sequence: the entry
-// that runs the call dies; the caller sends it again to another entry, which learns who
-// claimed it and follows; its owner is gone, and no control VM leads at that moment, so
-// that the record can't be read. Cause: "not run" of the reading told as that of the
-// call.
-func TestRecordThatCannotBeReadTellsNothing(t *testing.T) {
+// Guards against a caller that receives "not run" for a call that ran. The entry that
+// runs the call crashes, and the caller sends it again to another entry, which learns who
+// claimed it and follows it. The owner is unreachable, and no control VM leads, so the
+// record can't be read. The "not run" of the query for the record must not be returned as
+// that of the call.
+func TestUnreadableRecordLeavesTheOutcomeUnknown(t *testing.T) {
 	is := is.New(t)
-	e := &Entry{config: EntryConfig{Records: awayRecords{}}, answers: map[string]*answerLog{}}
-	var told []caller.Chunk
-	e.follow(t.Context(), followedRequest{organisation: "o", requestID: "r"}, func(c caller.Chunk) { told = append(told, c) })
-	is.Equal(len(told), 1)
-	is.Equal(told[0].Problem.Reason, oriolebend.ReasonControlAway)
-	is.Equal(told[0].Problem.Ran, oriolebend.RanUnknown)
+	e := &Entry{config: EntryConfig{Records: unreachableRecords{}}, answers: map[string]*answerLog{}}
+	var chunks []caller.Chunk
+	e.follow(t.Context(), followedRequest{organisation: "o", requestID: "r"}, func(c caller.Chunk) { chunks = append(chunks, c) })
+	is.Equal(len(chunks), 1)
+	is.Equal(chunks[0].Problem.Reason, oriolebend.ReasonControlAway)
+	is.Equal(chunks[0].Problem.Ran, oriolebend.RanUnknown)
 }
--- a/internal/role/entry_ready_test.go
+++ b/internal/role/entry_ready_test.go
@@ -11,12 +11,11 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Symptom: right after an entry is ready it answers a request for an existing
-// model with 404. Sequence: a prefill server announces itself first, and a request
-// comes before the decode server's announcement. Cause: an entry that is ready
-// with any server, and takes a model that nobody has announced yet for one that
-// does not exist.
-func TestEntryKnowsTheFleetBeforeItSaysNo(t *testing.T) {
+// Guards against an entry that answers a request for an existing model with 404 right
+// after it has become ready. A prefill server announces itself first, and a request
+// arrives before the announcement of the decode server. The entry must not become
+// ready with any server, nor treat a model that is not announced yet as unknown.
+func TestEntryIsNotReadyOrSettledTooEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := NewEntry(EntryConfig{Logger: slog.New(slog.DiscardHandler)})
@@ -31,7 +30,7 @@
 		is.True(!e.Settled())
 		e.ApplyServers([]oriolebend.Server{server("decode-1", oriolebend.Decode)}, false)
 		is.True(e.Ready())
-		is.True(!e.Settled()) // others may be about to announce themselves
+		is.True(!e.Settled()) // other servers may still announce themselves
 		time.Sleep(announcementsSettleDelay)
 		is.True(e.Settled())
 	})
--- a/internal/role/failure_control_test.go
+++ b/internal/role/failure_control_test.go
@@ -14,8 +14,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend/client"
 )
 
-// The leader dies while requests are claimed: each is answered once, or told
-// truthfully that it did not run.
+// The leader crashes while requests are claimed. Each request must be answered once,
+// or its caller receives a truthful "not run".
 func TestLeaderDiesDuringClaims(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -32,85 +32,85 @@
 		calls[key] = c.ping(c.Entries[n%3], key)
 	}
 	for key, r := range calls {
-		c.end(r)
-		c.told(r, key)
+		c.waitEnd(r)
+		c.checkOutcome(r, key)
 	}
 	c.restartControl(leader)
 	for key := range calls {
-		again := c.retriedPing(key)
-		c.told(again, key)
+		again := c.pingUntilAnswered(key)
+		c.checkOutcome(again, key)
 		is.Equal(c.executions(key), 1)
 	}
 }
 
-// retriedPing sends a ping again until it is answered.
-func (c *cluster) retriedPing(key string) *call {
+// pingUntilAnswered sends a ping repeatedly until it is answered.
+func (c *cluster) pingUntilAnswered(key string) *call {
 	c.t.Helper()
 	var r *call
-	c.until("an answer of "+key, func() bool {
+	c.waitFor("an answer of "+key, func() bool {
 		r = c.ping(c.Entries[0], key)
-		c.end(r)
-		return r.whole
+		c.waitEnd(r)
+		return r.complete
 	})
 	return r
 }
 
-// One control VM of three is cut off: nobody notices. Two are: no quorum, so
-// that new requests are refused as not run, and running ones go on. When all
-// are back from their data folders, everything told before still holds.
+// The loss of one of three control VMs has no effect. After the loss of two there is no
+// quorum: new requests are refused as not run, and running ones continue. Once all have
+// restarted from their data folders, every earlier answer still holds.
 func TestQuorumLostAndBack(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, nil)
-	before := c.ask(c.Entries[0], "before", "tokens=10")
-	c.wholeAnswer(before)
+	before := c.send(c.Entries[0], "before", "tokens=10")
+	c.checkAnswer(before)
 	paid := c.ping(c.Entries[0], "paid")
-	c.end(paid)
-	is.True(paid.whole)
+	c.waitEnd(paid)
+	is.True(paid.complete)
 
 	follower := (c.leader() + 1) % 3
 	c.must(c.Controls[follower].Kill())
-	c.wholeAnswer(c.ask(c.Entries[1], "one-lost", "tokens=10"))
+	c.checkAnswer(c.send(c.Entries[1], "one-lost", "tokens=10"))
 
-	running := c.ask(c.Entries[0], "running", "tokens=200")
-	c.streaming(running)
+	running := c.send(c.Entries[0], "running", "tokens=200")
+	c.waitForOutput(running)
 	other := c.leader()
 	c.must(c.Controls[other].Kill())
-	// An earlier sending of a caller's own key may have run: only a quorum knows.
+	// An earlier send with a caller's own key may have run: only a quorum knows.
 	for key, ran := range map[string]oriolebend.Ran{"no-quorum": oriolebend.RanUnknown, "": oriolebend.RanNo} {
 		refused := c.ping(c.Entries[2], key)
-		c.end(refused)
-		is.True(!refused.whole)
+		c.waitEnd(refused)
+		is.True(!refused.complete)
 		is.Equal(refused.problem.Reason, oriolebend.ReasonControlAway)
 		is.Equal(refused.problem.Ran, ran)
-		is.True(refused.problem.RetryAfterMillis > 0) // told when to come back
+		is.True(refused.problem.RetryAfterMillis > 0) // with a retry delay
 	}
-	c.wholeAnswer(running) // and what ran ended whole
-	c.free()
+	c.checkAnswer(running) // and the running request was answered completely
+	c.waitUntilIdle()
 
 	c.restartControl(follower)
 	c.restartControl(other)
 	c.leader()
 	is.Equal(c.executions("no-quorum"), 0)
 	prefills := c.prefills()
-	again := c.retried("before", "tokens=10")
-	c.wholeAnswer(again)
+	again := c.sendUntilAnswered("before", "tokens=10")
+	c.checkAnswer(again)
 	is.Equal(again.text.String(), before.text.String())
 	is.Equal(c.prefills(), prefills) // replayed, not run again
-	c.retriedPing("paid")
+	c.pingUntilAnswered("paid")
 	is.Equal(c.executions("paid"), 1)
-	c.retriedPing("no-quorum")
+	c.pingUntilAnswered("no-quorum")
 	is.Equal(c.executions("no-quorum"), 1)
 }
 
-// All control VMs die at once, twice, and come back from their folders.
+// All control VMs crash at the same time, twice, and restart from their data folders.
 func TestAllControlsDieTwice(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, nil)
 	for n := range 2 {
 		key := fmt.Sprintf("all-%d", n)
-		c.retriedPing(key)
+		c.pingUntilAnswered(key)
 		for _, p := range c.Controls {
 			c.must(p.Kill())
 		}
@@ -118,19 +118,19 @@
 			c.restartControl(i)
 		}
 		c.leader()
-		c.retriedPing(key)
+		c.pingUntilAnswered(key)
 		is.Equal(c.executions(key), 1)
 	}
 }
 
-// Operators race with equal revisions through different control VMs: exactly
-// one wins, and the others are told what won.
+// Operators send changes with the same expected revision through different control VMs:
+// exactly one is accepted, and the others are refused with reason revisionRace.
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, nil)
 	var mu sync.Mutex
-	won, lost := 0, 0
+	accepted, refusals := 0, 0
 	var all sync.WaitGroup
 	none := uint64(0)
 	for n := range 8 {
@@ -142,21 +142,21 @@
 			var refused *client.Error
 			switch {
 			case err == nil:
-				won++
+				accepted++
 			case errors.As(err, &refused) && refused.Problem.Reason == oriolebend.ReasonRevisionRace:
-				lost++
+				refusals++
 			default:
-				t.Errorf("neither won nor lost: %v", err)
+				t.Errorf("neither accepted nor refused for its revision: %v", err)
 			}
 		})
 	}
 	all.Wait()
-	is.Equal(won, 1)
-	is.Equal(lost, 7)
+	is.Equal(accepted, 1)
+	is.Equal(refusals, 7)
 }
 
-// An operator lost the answer to an order, the leader changed, and the order
-// is sent again: it gets its first answer, not a conflict with itself.
+// An operator loses the answer to an order, the leader changes, and the order is sent
+// again. It must get its first answer, not a conflict with itself.
 func TestOrderResentAfterLeaderChange(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -176,8 +176,8 @@
 	is.True(again.Resent)
 }
 
-// A change that was accepted is in force on every entry and stays so, also on
-// one that starts anew while the control VM it asks first is behind.
+// An accepted change comes into force on every entry and stays in force. This includes an
+// entry that restarts while the control VM that it contacts first is behind.
 func TestAcceptedChangeNeverReverts(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -185,7 +185,7 @@
 	behind := (c.leader() + 1) % 3
 	stopped := c.Controls[behind]
 	c.must(stopped.Kill())
-	// Asked of the leader alone: the others send each order on after a pause.
+	// Orders are sent only to the leader, as the others forward each with a delay.
 	operator := client.New(client.Config{Addresses: []string{"http://" + c.Controls[c.leader()].OperatorAddress()}})
 	var revision uint64
 	for n := range 300 {
@@ -195,7 +195,7 @@
 		revision = result.Revision
 	}
 	c.restartControl(behind)
-	for range 3 { // the same one twice and more
+	for range 3 { // entries restart several times
 		e := c.Entries[0]
 		p := e.process
 		c.killEntry(e)
@@ -204,7 +204,7 @@
 		c.Entries = append(c.Entries, started)
 	}
 	c.ready()
-	c.until("the last change is in force on every follower", func() bool {
+	c.waitFor("the last change is in force on every follower", func() bool {
 		status, err := c.operators().Status(t.Context())
 		return err == nil && inForce(status, revision)
 	})
@@ -219,9 +219,9 @@
 	return s.Revision >= revision && s.InForce == s.Total && s.Total > 0
 }
 
-// Symptom: a control VM that restarts is refused its own port, and the test that
-// restarted it fails on a busy machine. Sequence: it dies, and another process is given
-// its port while it is down. It starts once the port is free again.
+// Guards against a restart of a control VM that fails on a busy machine because another
+// process was given the VM's port while it was down. The restart must wait until the port
+// is free again.
 func TestControlStartsOnceItsPortIsFree(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, nil)
@@ -231,5 +231,5 @@
 	c.must(err)
 	time.AfterFunc(300*time.Millisecond, func() { _ = taken.Close() })
 	c.restartControl(0)
-	c.wholeAnswer(c.ask(c.Entries[0], "after", "tokens=10"))
+	c.checkAnswer(c.send(c.Entries[0], "after", "tokens=10"))
 }
--- a/internal/role/failure_drain_test.go
+++ b/internal/role/failure_drain_test.go
@@ -12,26 +12,28 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend/client"
 )
 
-// Two servers are drained through the operators' API during load, at once: no new work reaches them once the drain is in force, and what they run
-// ends untouched.
+// Two servers are drained through the operators' API at the same time during load. Once
+// the drain is in force they receive no new work, and their running work is not
+// interrupted.
 func TestDrainDuringLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, nil)
 	var running []*call
 	for n := range 9 {
-		running = append(running, c.ask(c.Entries[n%3], fmt.Sprintf("drain-%d", n), "tokens=80"))
+		running = append(running, c.send(c.Entries[n%3], fmt.Sprintf("drain-%d", n), "tokens=80"))
 	}
-	// What was granted room before the drain may still start, so all start first.
+	// Requests with a reservation from before the drain may still start, so the test
+	// waits until all have started.
 	for _, r := range running {
-		c.streaming(r)
+		c.waitForOutput(r)
 	}
 	leaving := []string{"decode-1", "decode-2"}
 	for _, name := range leaving {
 		_, err := c.operators().Drain(t.Context(), name, client.Options{})
 		is.NoErr(err)
 	}
-	c.until("the entries know that the servers leave", func() bool {
+	c.waitFor("the entries know that the servers leave", func() bool {
 		for _, e := range c.Entries {
 			if e.entry.serving() > len(c.Sidecars)-len(leaving) {
 				return false
@@ -44,36 +46,36 @@
 		decodes[name] = c.Engines[name].Stats().Decodes
 	}
 	for n := range 9 {
-		running = append(running, c.ask(c.Entries[n%3], fmt.Sprintf("after-%d", n), "tokens=5"))
+		running = append(running, c.send(c.Entries[n%3], fmt.Sprintf("after-%d", n), "tokens=5"))
 	}
 	for _, r := range running {
-		c.wholeAnswer(r)
+		c.checkAnswer(r)
 	}
 	for _, name := range leaving {
 		is.Equal(c.Engines[name].Stats().Decodes, decodes[name]) // no new work
-		is.Equal(c.Engines[name].Stats().Cancelled, 0)           // nothing cut
+		is.Equal(c.Engines[name].Stats().Cancelled, 0)           // no work cancelled
 	}
-	c.free()
+	c.waitUntilIdle()
 }
 
-// A server leaves, and its engine dies while its last request runs: the
-// request goes on elsewhere and the server still gets to its end.
+// The engine of a draining server crashes while its last request runs. The request must
+// continue on another server, and the drain must still complete.
 func TestEngineDiesDuringDrain(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, nil)
-	r := c.ask(c.Entries[0], "drain-dies", "tokens=100")
-	name := c.decoding()
-	c.streaming(r)
+	r := c.send(c.Entries[0], "drain-dies", "tokens=100")
+	name := c.waitForDecode()
+	c.waitForOutput(r)
 	_, err := c.operators().Drain(t.Context(), name, client.Options{})
 	is.NoErr(err)
 	c.Engines[name].Kill()
-	c.wholeAnswer(r)
-	c.reached("server/" + name)
+	c.checkAnswer(r)
+	c.waitUntilSettled("server/" + name)
 }
 
-// The sidecar of a leaving server dies and starts anew: it must not take new
-// work before it knows that it leaves.
+// The sidecar of a leaving server crashes and restarts. It must not accept new work before
+// it knows that the server leaves.
 func TestSidecarDiesDuringDrain(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -81,20 +83,20 @@
 	const name = "decode-1"
 	_, err := c.operators().Drain(t.Context(), name, client.Options{})
 	is.NoErr(err)
-	c.reached("server/" + name)
+	c.waitUntilSettled("server/" + name)
 	decodes := c.Engines[name].Stats().Decodes
 	for range 2 {
 		c.must(c.Sidecars[name].Kill())
 		c.restartSidecar(name)
 		for n := range 12 {
-			c.wholeAnswer(c.ask(c.Entries[n%3], fmt.Sprintf("restarted-%d-%d", n, time.Now().UnixNano()), "tokens=2"))
+			c.checkAnswer(c.send(c.Entries[n%3], fmt.Sprintf("restarted-%d-%d", n, time.Now().UnixNano()), "tokens=2"))
 		}
 	}
-	c.reached("server/" + name)
+	c.waitUntilSettled("server/" + name)
 	is.Equal(c.Engines[name].Stats().Decodes, decodes)
 }
 
-// The leader dies right after it accepted a drain: the drain still takes hold.
+// The leader crashes right after it has accepted a drain. The drain must still complete.
 func TestLeaderDiesDuringDrain(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -103,16 +105,16 @@
 	is.NoErr(err)
 	leader := c.leader()
 	c.must(c.Controls[leader].Kill())
-	c.reached("server/decode-1")
+	c.waitUntilSettled("server/decode-1")
 	c.restartControl(leader)
-	c.reached("server/decode-1")
+	c.waitUntilSettled("server/decode-1")
 }
 
-// reached waits until a server is as it was declared.
-func (c *cluster) reached(key string) {
+// waitUntilSettled waits until a server is as declared.
+func (c *cluster) waitUntilSettled(key string) {
 	c.t.Helper()
 	_, name, _ := strings.Cut(key, "/")
-	c.until(key+" has left", func() bool {
+	c.waitFor(key+" has left", func() bool {
 		list, err := c.operators().Servers(c.t.Context())
 		if err != nil {
 			return false
@@ -126,14 +128,14 @@
 	})
 }
 
-// A deadline passes in the middle of a decode: the caller is told, and the
-// engine's memory is free.
+// The deadline of a request passes during its decode. The response must end, and the
+// engine's memory must be released.
 func TestDeadlineEndsARequest(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, func(s *settings.Settings) { s.Dev.Servers[1].Count = 1 })
-	r := c.ask(c.Entries[0], "deadline", "tokens=2000", "deadline=1s")
-	c.end(r)
-	is.True(!r.whole)
-	c.free()
+	r := c.send(c.Entries[0], "deadline", "tokens=2000", "deadline=1s")
+	c.waitEnd(r)
+	is.True(!r.complete)
+	c.waitUntilIdle()
 }
--- a/internal/role/failure_engine_test.go
+++ b/internal/role/failure_engine_test.go
@@ -13,57 +13,56 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// A caller's stream has a gap or a repeat: its engine died in the middle and
-// another one went on at the wrong token.
+// Guards against a gap or a repetition in a caller's stream, when its engine crashes
+// during the decode and another one continues at the wrong token.
 func TestDecodeEngineDies(t *testing.T) {
 	t.Parallel()
-	for form, deaths := range map[string]int{"stream": 2, "whole": 1} {
+	for form, deaths := range map[string]int{"stream": 2, "buffered": 1} {
 		t.Run(form, func(t *testing.T) {
 			t.Parallel()
 			c := startCluster(t, nil)
-			r := c.ask(c.Entries[0], "engine-dies", form, "tokens=120")
+			r := c.send(c.Entries[0], "engine-dies", form, "tokens=120")
 			for range deaths {
-				name := c.decoding()
+				name := c.waitForDecode()
 				if form == "stream" {
-					c.streaming(r)
+					c.waitForOutput(r)
 				}
 				c.Engines[name].Kill()
 			}
-			c.wholeAnswer(r)
-			c.free()
-			c.stopWhole() // sidecars of dead engines too
+			c.checkAnswer(r)
+			c.waitUntilIdle()
+			c.stopGracefully() // including the sidecars of crashed engines
 		})
 	}
 }
 
-// The same engine dies, starts anew and dies again while it works.
+// The same engine crashes, restarts and crashes again while it decodes.
 func TestDecodeEngineDiesTwice(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, nil)
-	r := c.ask(c.Entries[0], "engine-dies-twice", "tokens=200")
+	r := c.send(c.Entries[0], "engine-dies-twice", "tokens=200")
 	for range 3 {
-		name := c.decoding()
+		name := c.waitForDecode()
 		c.Engines[name].Restart()
 	}
-	c.wholeAnswer(r)
-	c.free()
+	c.checkAnswer(r)
+	c.waitUntilIdle()
 }
 
-// A prefill is lost with its engine; the request is prefilled elsewhere.
+// A prefill is lost with its engine; another engine must repeat it.
 func TestPrefillEngineDies(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, nil)
 	c.slowBy(50)
-	r := c.ask(c.Entries[0], "prefill-dies", "tokens=3")
-	c.Engines[c.prefilling()].Kill()
+	r := c.send(c.Entries[0], "prefill-dies", "tokens=3")
+	c.Engines[c.waitForPrefill()].Kill()
 	c.slowBy(1)
-	c.wholeAnswer(r)
-	c.free()
+	c.checkAnswer(r)
+	c.waitUntilIdle()
 }
 
-// The sidecar of a working engine dies: nobody reads the engine's output any
-// more, and its memory stays held unless the next sidecar finds the work that
-// belongs to nobody.
+// The sidecar of a working engine crashes, so that the engine's output is no longer read.
+// The engine's memory stays occupied unless the next sidecar finds the orphaned work.
 func TestSidecarDies(t *testing.T) {
 	t.Parallel()
 	for phase, times := range map[string]int{"prefill": 1, "decode": 2} {
@@ -73,24 +72,24 @@
 			if phase == "prefill" {
 				c.slowBy(20)
 			}
-			r := c.ask(c.Entries[0], "sidecar-dies", "tokens=40")
+			r := c.send(c.Entries[0], "sidecar-dies", "tokens=40")
 			for range times {
-				name := c.working(oriolebend.PoolRole(phase))
+				name := c.waitForWork(oriolebend.PoolRole(phase))
 				if phase == "decode" {
-					c.streaming(r)
+					c.waitForOutput(r)
 				}
 				c.must(c.Sidecars[name].Kill())
 				c.restartSidecar(name)
 			}
 			c.slowBy(1)
-			c.wholeAnswer(r)
-			c.free()
+			c.checkAnswer(r)
+			c.waitUntilIdle()
 		})
 	}
 }
 
-// A transfer stalls: the prefill result would expire in its engine while the
-// decode server waits for it.
+// A KV transfer stalls, and the prefill result expires in its engine while the decode
+// server waits for it. The request must be prefilled again.
 func TestTransferStalls(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -98,55 +97,55 @@
 	for _, e := range c.Engines {
 		e.StallLinks(true)
 	}
-	r := c.ask(c.Entries[0], "transfer-stalls", "tokens=20")
-	c.until("a second prefill, the first result being lost", func() bool { return c.prefills() >= 2 })
+	r := c.send(c.Entries[0], "transfer-stalls", "tokens=20")
+	c.waitFor("a second prefill, the first result being lost", func() bool { return c.prefills() >= 2 })
 	for _, e := range c.Engines {
 		e.StallLinks(false)
 	}
-	c.wholeAnswer(r)
-	c.free()
+	c.checkAnswer(r)
+	c.waitUntilIdle()
 	expired := 0
 	for _, e := range c.Engines {
 		expired += e.Stats().Expired
 	}
-	is.True(expired >= 1) // the wasted prefill shows
+	is.True(expired >= 1) // the wasted prefill is counted
 }
 
-// An engine freezes: its connections stay open and nothing comes. Its
-// request must go on elsewhere, and the memory must be free once it thaws.
+// An engine freezes: its connections stay open but carry no data. Its request must
+// continue on another engine, and its memory must be released once it runs again.
 func TestDecodeEngineFreezes(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, nil)
-	r := c.ask(c.Entries[0], "engine-freezes", "tokens=80")
-	name := c.decoding()
-	c.streaming(r)
+	r := c.send(c.Entries[0], "engine-freezes", "tokens=80")
+	name := c.waitForDecode()
+	c.waitForOutput(r)
 	c.Engines[name].Freeze(true)
-	time.AfterFunc(eventually/2, func() { c.Engines[name].Freeze(false) })
-	c.wholeAnswer(r)
+	time.AfterFunc(waitTimeout/2, func() { c.Engines[name].Freeze(false) })
+	c.checkAnswer(r)
 	c.Engines[name].Freeze(false)
-	c.free()
+	c.waitUntilIdle()
 }
 
-// The gate of a healthy engine refuses all work for ever: one answer of the
-// engine's work list was lost, the gate took the engine for dead, and the
-// watch, which saw no failure, never said that it is back.
-func TestLostWorkListIsNotADeadEngine(t *testing.T) {
+// Guards against a gate that refuses all work for ever although its engine is healthy.
+// One answer to a query for the engine's work is lost. If the gate treated the engine as
+// lost, the engine watch, which saw no failure, would never report its recovery.
+func TestLostWorkListDoesNotEndTheEngine(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, func(s *settings.Settings) {
 		s.Dev.Servers[0].Count, s.Dev.Servers[1].Count = 1, 1
 	})
-	r := c.ask(c.Entries[0], "list-lost", "tokens=200")
-	c.streaming(r)
+	r := c.send(c.Entries[0], "list-lost", "tokens=200")
+	c.waitForOutput(r)
 	for _, e := range c.Engines {
 		e.FailNext(standin.OperationWork, oriolebend.ReasonEngineFailed)
 	}
-	c.wholeAnswer(r)
-	c.wholeAnswer(c.ask(c.Entries[0], "list-lost-after", "tokens=5", "deadline=10s"))
+	c.checkAnswer(r)
+	c.checkAnswer(c.send(c.Entries[0], "list-lost-after", "tokens=5", "deadline=10s"))
 }
 
-// An engine that goes on without its connection holds the work of a sidecar
-// that died, for nobody. The next list of its work shows it.
-func TestWorkOfNobodyIsCancelled(t *testing.T) {
+// An engine that continues without a connection keeps running the work of a crashed
+// sidecar. The next list of the engine's work must reveal it, and the gate must cancel it.
+func TestOrphanedWorkIsCancelled(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, nil)
@@ -160,7 +159,7 @@
 		})
 		ended <- err
 	}()
-	c.prefilling()
-	c.free()
+	c.waitForPrefill()
+	c.waitUntilIdle()
 	is.True(<-ended != nil)
 }
--- a/internal/role/failure_entry_test.go
+++ b/internal/role/failure_entry_test.go
@@ -12,76 +12,76 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// An entry dies while its request decodes. The engine goes on for nobody
-// unless the gate ends it; the caller comes back with its key elsewhere and
-// must get one whole answer.
+// An entry crashes while its request decodes. The gate must cancel the orphaned decode.
+// The caller sends its key again to another entry and must get one complete answer.
 func TestEntryDiesDuringDecode(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, nil)
 	for range 2 {
-		c.started("entry-dies", "tokens=100")
+		c.sendUntilOutput("entry-dies", "tokens=100")
 		c.killEntry(c.Entries[0])
 	}
-	c.free()
-	c.wholeAnswer(c.retried("entry-dies", "tokens=100"))
-	c.free()
+	c.waitUntilIdle()
+	c.checkAnswer(c.sendUntilAnswered("entry-dies", "tokens=100"))
+	c.waitUntilIdle()
 }
 
-// started sends a key, again if it is told to come back, until output comes.
-func (c *cluster) started(key string, options ...string) {
+// sendUntilOutput sends a key until output is received. It sends the key again if the
+// response has a retry delay.
+func (c *cluster) sendUntilOutput(key string, options ...string) {
 	c.t.Helper()
-	c.until("output of "+key, func() bool {
-		r := c.ask(c.Entries[0], key, options...)
-		for r.got() == 0 {
+	c.waitFor("output of "+key, func() bool {
+		r := c.send(c.Entries[0], key, options...)
+		for r.outputLength() == 0 {
 			select {
 			case <-r.done:
 				if r.problem.RetryAfterMillis == 0 {
-					c.t.Fatalf("not told when to come back: status %d, problem %+v, error %v", r.status, r.problem, r.err)
+					c.t.Fatalf("no retry delay: status %d, problem %+v, error %v", r.status, r.problem, r.err)
 				}
-				return r.got() > 0
-			case <-time.After(lookEvery):
+				return r.outputLength() > 0
+			case <-time.After(pollInterval):
 			}
 		}
 		return true
 	})
 }
 
-// retried sends a key again, as a caller does, until it is not told to come
-// back later.
-func (c *cluster) retried(key string, options ...string) *call {
+// sendUntilAnswered sends a key repeatedly, as a caller does, until the status is
+// neither 502 nor 503.
+func (c *cluster) sendUntilAnswered(key string, options ...string) *call {
 	c.t.Helper()
 	var r *call
-	c.until("an answer of "+key, func() bool {
-		r = c.ask(c.Entries[0], key, options...)
-		c.end(r)
-		return r.whole || r.status != 502 && r.status != 503
+	c.waitFor("an answer of "+key, func() bool {
+		r = c.send(c.Entries[0], key, options...)
+		c.waitEnd(r)
+		return r.complete || r.status != 502 && r.status != 503
 	})
 	return r
 }
 
-// An entry dies before, during and after the prefill.
+// An entry crashes during the prefill of its request.
 func TestEntryDiesDuringPrefill(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, nil)
 	c.slowBy(50)
-	r := c.ask(c.Entries[0], "entry-dies-early", "tokens=3")
-	c.prefilling()
+	r := c.send(c.Entries[0], "entry-dies-early", "tokens=3")
+	c.waitForPrefill()
 	c.killEntry(c.Entries[0])
-	c.end(r)
+	c.waitEnd(r)
 	c.slowBy(1)
-	c.free()
-	c.wholeAnswer(c.retried("entry-dies-early", "tokens=3"))
+	c.waitUntilIdle()
+	c.checkAnswer(c.sendUntilAnswered("entry-dies-early", "tokens=3"))
 }
 
-// A caller leaves: its request must not hold engine memory, unless its
-// operation says that it goes on.
+// A caller disconnects. Its request must release the engine's memory, unless the
+// request's operation continues without its caller.
 func TestCallerCancels(t *testing.T) {
 	t.Parallel()
 	moments := map[string]func(c *cluster, r *call){
 		"at once": func(*cluster, *call) {},
-		"prefill": func(c *cluster, _ *call) { c.prefilling() },
-		"decode":  func(c *cluster, _ *call) { c.decoding() },
-		"stream":  func(c *cluster, r *call) { c.streaming(r) },
+		"prefill": func(c *cluster, _ *call) { c.waitForPrefill() },
+		"decode":  func(c *cluster, _ *call) { c.waitForDecode() },
+		"stream":  func(c *cluster, r *call) { c.waitForOutput(r) },
 	}
 	c := startCluster(t, nil)
 	for moment, wait := range moments {
@@ -90,94 +90,96 @@
 				c.slowBy(10)
 			}
 			for n := range 3 {
-				left := c.ask(c.Entries[n], fmt.Sprintf("leaves-%d-%s", n, strings.ReplaceAll(moment, " ", "-")), "tokens=2000")
+				left := c.send(c.Entries[n], fmt.Sprintf("leaves-%d-%s", n, strings.ReplaceAll(moment, " ", "-")), "tokens=2000")
 				wait(c, left)
 				left.cancel()
-				c.end(left)
-				c.free()
+				c.waitEnd(left)
+				c.waitUntilIdle()
 			}
 			c.slowBy(1)
 		})
 	}
 }
 
-// A caller leaves a request that goes on without it; its answer must be kept.
+// A caller disconnects from a request that continues without it; the answer must be
+// kept.
 func TestKeptRequestOutlivesItsCaller(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, nil)
-	left := c.ask(c.Entries[0], "kept-on", "kept", "tokens=40")
-	c.streaming(left)
+	left := c.send(c.Entries[0], "kept-on", "kept", "tokens=40")
+	c.waitForOutput(left)
 	left.cancel()
-	c.end(left)
-	c.wholeAnswer(c.ask(c.Entries[1], "kept-on", "kept", "tokens=40"))
+	c.waitEnd(left)
+	c.checkAnswer(c.send(c.Entries[1], "kept-on", "kept", "tokens=40"))
 	is.Equal(c.prefills(), 1)
-	c.free()
+	c.waitUntilIdle()
 }
 
-// Two callers send the same key to two entries at the same instant, and the
-// one whose entry runs it leaves.
+// Two callers send the same key to two entries at the same time, and the first caller,
+// whose entry may run the request, disconnects.
 func TestFirstCallerLeaves(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, nil)
-	first := c.ask(c.Entries[0], "shared", "tokens=60")
-	second := c.ask(c.Entries[1], "shared", "tokens=60")
-	c.streaming(first)
-	c.streaming(second)
+	first := c.send(c.Entries[0], "shared", "tokens=60")
+	second := c.send(c.Entries[1], "shared", "tokens=60")
+	c.waitForOutput(first)
+	c.waitForOutput(second)
 	first.cancel()
-	c.end(first)
-	c.wholeAnswer(second)
+	c.waitEnd(first)
+	c.checkAnswer(second)
 	is.Equal(c.prefills(), 1) // one run served both
-	c.free()
+	c.waitUntilIdle()
 }
 
-// The entry that runs a request dies while a second caller follows it from
-// another entry: the second caller must still get a whole answer or a truthful
+// The entry that runs a request crashes while a second caller follows the request from
+// another entry. The second caller must still get a complete answer or a truthful
 // problem, and the key must stay usable.
-func TestOwnerDiesUnderAFollower(t *testing.T) {
+func TestOwnerDiesWhileFollowed(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, nil)
-	first := c.ask(c.Entries[0], "followed", "tokens=100")
-	c.streaming(first)
-	second := c.ask(c.Entries[1], "followed", "tokens=100")
-	c.streaming(second)
+	first := c.send(c.Entries[0], "followed", "tokens=100")
+	c.waitForOutput(first)
+	second := c.send(c.Entries[1], "followed", "tokens=100")
+	c.waitForOutput(second)
 	c.killEntry(c.Entries[0])
-	c.end(first)
-	c.end(second)
-	if !second.whole && second.problem.Ran == oriolebend.RanNo {
-		t.Fatalf("told not run about a request that ran: %+v", second.problem)
+	c.waitEnd(first)
+	c.waitEnd(second)
+	if !second.complete && second.problem.Ran == oriolebend.RanNo {
+		t.Fatalf("reported as not run, but it ran: %+v", second.problem)
 	}
-	c.wholeAnswer(c.retried("followed", "tokens=100"))
-	c.free()
+	c.checkAnswer(c.sendUntilAnswered("followed", "tokens=100"))
+	c.waitUntilIdle()
 }
 
-// An entry and the decode engine of its request die together.
+// An entry and the decode engine of its request crash at the same time.
 func TestEntryAndEngineDieTogether(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, nil)
-	r := c.ask(c.Entries[0], "both-die", "tokens=60")
-	name := c.decoding()
-	c.streaming(r)
+	r := c.send(c.Entries[0], "both-die", "tokens=60")
+	name := c.waitForDecode()
+	c.waitForOutput(r)
 	c.Engines[name].Restart()
 	c.killEntry(c.Entries[0])
-	c.end(r)
-	c.free()
-	c.wholeAnswer(c.retried("both-die", "tokens=60"))
+	c.waitEnd(r)
+	c.waitUntilIdle()
+	c.checkAnswer(c.sendUntilAnswered("both-die", "tokens=60"))
 }
 
-// Entry and sidecar stop as planned during load: no request may be cut.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// An entry, a sidecar and a control VM stop gracefully during load. No request may be
+// interrupted.
+func TestGracefulStopInterruptsNothing(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, nil)
 	for _, stopped := range []string{"entry", "sidecar", "control"} {
 		t.Run(stopped, func(t *testing.T) {
 			var requests []*call
 			for n := range 8 {
-				requests = append(requests, c.ask(c.Entries[n%2], fmt.Sprintf("stop-%s-%d", stopped, n), "tokens=60"))
+				requests = append(requests, c.send(c.Entries[n%2], fmt.Sprintf("stop-%s-%d", stopped, n), "tokens=60"))
 			}
-			c.streaming(requests[0])
-			ctx, cancel := context.WithTimeout(t.Context(), eventually)
+			c.waitForOutput(requests[0])
+			ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 			defer cancel()
 			switch stopped {
 			case "entry":
@@ -185,7 +187,7 @@
 				c.Entries = c.Entries[1:]
 				c.must(e.Stop(ctx))
 			case "sidecar":
-				name := c.decoding()
+				name := c.waitForDecode()
 				c.must(c.Sidecars[name].Stop(ctx))
 				c.restartSidecar(name)
 			case "control":
@@ -194,10 +196,10 @@
 				c.restartControl(leader)
 			}
 			for _, r := range requests {
-				c.wholeAnswer(r)
+				c.checkAnswer(r)
 			}
-			c.free()
+			c.waitUntilIdle()
 		})
 	}
-	c.stopWhole()
+	c.stopGracefully()
 }
--- a/internal/role/failure_service_test.go
+++ b/internal/role/failure_service_test.go
@@ -11,27 +11,29 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// told checks what a caller of a call that may run once was told against what
-// ran: an answer means one execution, "not run" means none, now and later.
-func (c *cluster) told(r *call, key string) {
+// checkOutcome compares the outcome that the caller of an at-most-once call received with
+// the executions of the call: an answer means one execution, "not run" means none, now
+// and later.
+func (c *cluster) checkOutcome(r *call, key string) {
 	c.t.Helper()
 	ran := c.executions(key)
 	switch {
 	case ran > 1:
 		c.t.Fatalf("%s ran %d times", key, ran)
 	case r.problem.Reason == "" && r.status >= 500:
-		// The service's own answer, which may have run nothing.
-	case r.whole && ran != 1:
-		c.t.Fatalf("%s was answered and did not run", key)
-	case !r.whole && r.problem.Ran == oriolebend.RanNo && ran != 0:
-		c.t.Fatalf("%s was told not run, and ran: %+v", key, r.problem)
-	case !r.whole && r.err == nil && r.problem.Ran == "":
+		// The service itself answered, and may not have run the call.
+	case r.complete && ran != 1:
+		c.t.Fatalf("%s was answered but did not run", key)
+	case !r.complete && r.problem.Ran == oriolebend.RanNo && ran != 0:
+		c.t.Fatalf("%s was reported as not run but ran: %+v", key, r.problem)
+	case !r.complete && r.err == nil && r.problem.Ran == "":
 		c.t.Fatalf("%s got neither an answer nor a truthful problem: status %d body %s", key, r.status, r.body)
 	}
 }
 
-// A tip is paid twice: the answer of a call was lost and the call was sent
-// again. The service's own status resolves what can be resolved.
+// Guards against a payment that is made twice because the answer to a call is lost and
+// the call is sent again. The service's status query must resolve the outcome where it
+// can.
 func TestServiceLosesItsAnswer(t *testing.T) {
 	t.Parallel()
 	faults := []standin.Fault{standin.FaultBefore, standin.FaultAfter, standin.FaultHalf, standin.FaultStatus}
@@ -47,12 +49,12 @@
 					}
 				}
 				first := c.ping(c.Entries[0], key)
-				c.end(first)
-				c.told(first, key)
+				c.waitEnd(first)
+				c.checkOutcome(first, key)
 				for _, e := range c.Entries {
 					again := c.ping(e, key)
-					c.end(again)
-					c.told(again, key)
+					c.waitEnd(again)
+					c.checkOutcome(again, key)
 				}
 				is.New(t).True(c.executions(key) <= 1)
 				c.clearServiceFaults()
@@ -61,16 +63,16 @@
 	}
 }
 
-// clearServiceFaults uses up what faults are left.
+// clearServiceFaults sends calls until the remaining injected faults are used up.
 func (c *cluster) clearServiceFaults() {
 	for n := range 8 {
 		r := c.ping(c.Entries[n%len(c.Entries)], fmt.Sprintf("clear-%s-%d-%d", c.t.Name(), n, time.Now().UnixNano()))
-		c.end(r)
+		c.waitEnd(r)
 	}
 }
 
-// A call still runs when its connection is lost, and the status query finds it
-// running. Its outcome would be called unknown although it can be known.
+// A call still runs when its connection is lost, and the status query finds it running.
+// Its outcome must be resolved later and not be reported as unknown.
 func TestStatusOfARunningCall(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -80,13 +82,13 @@
 		s.FailNext(standin.FaultDuring)
 	}
 	r := c.ping(c.Entries[0], "running")
-	c.end(r)
-	c.told(r, "running")
-	is.True(r.whole) // resolved by the service's own status
+	c.waitEnd(r)
+	c.checkOutcome(r, "running")
+	is.True(r.complete) // resolved by the service's status query
 }
 
-// An entry dies while its call of a service runs. Another entry must not send
-// it again.
+// An entry crashes while its service call runs. Another entry must not send the call
+// again.
 func TestEntryDiesDuringACall(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -96,19 +98,19 @@
 	}
 	const key = "entry-dies"
 	r := c.ping(c.Entries[0], key)
-	c.until("the call runs", func() bool { return c.callsRunning() > 0 })
+	c.waitFor("the call runs", func() bool { return c.runningCalls() > 0 })
 	c.killEntry(c.Entries[0])
-	c.end(r)
+	c.waitEnd(r)
 	for _, e := range c.Entries {
 		again := c.ping(e, key)
-		c.end(again)
-		c.told(again, key)
+		c.waitEnd(again)
+		c.checkOutcome(again, key)
 	}
 	is.Equal(c.executions(key), 1)
 }
 
-// An entry dies at any moment of a call; "not run" must never be followed by
-// an execution.
+// An entry crashes at any time during a call. A call that was reported as "not run" must
+// never be executed later.
 func TestEntryDiesAroundACall(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, nil)
@@ -118,7 +120,7 @@
 		key := fmt.Sprintf("around-%d", n)
 		calls[key] = c.ping(victim, key)
 	}
-	c.until("one is answered", func() bool {
+	c.waitFor("one is answered", func() bool {
 		for key := range calls {
 			if c.executions(key) > 0 {
 				return true
@@ -128,20 +130,20 @@
 	})
 	c.killEntry(victim)
 	for key, r := range calls {
-		c.end(r)
-		c.told(r, key)
+		c.waitEnd(r)
+		c.checkOutcome(r, key)
 	}
 	again := map[string]*call{}
 	for key := range calls {
 		again[key] = c.ping(c.Entries[0], key)
 	}
 	for key, r := range again {
-		c.end(r)
-		c.told(r, key)
+		c.waitEnd(r)
+		c.checkOutcome(r, key)
 	}
 }
 
-// The sidecar of a service dies while a call runs.
+// The sidecar of a service crashes while a call runs.
 func TestSidecarDiesDuringACall(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -151,37 +153,37 @@
 	}
 	const key = "gate-dies"
 	r := c.ping(c.Entries[0], key)
-	c.until("the call runs", func() bool { return c.callsRunning() > 0 })
+	c.waitFor("the call runs", func() bool { return c.runningCalls() > 0 })
 	for name := range c.Services {
 		c.must(c.Sidecars[name].Kill())
 		c.restartSidecar(name)
 	}
-	c.end(r)
-	c.told(r, key)
-	c.until("the call ended", func() bool { return c.callsRunning() == 0 })
+	c.waitEnd(r)
+	c.checkOutcome(r, key)
+	c.waitFor("the call ended", func() bool { return c.runningCalls() == 0 })
 	again := c.ping(c.Entries[1], key)
-	c.end(again)
-	c.told(again, key)
+	c.waitEnd(again)
+	c.checkOutcome(again, key)
 	is.Equal(c.executions(key), 1)
 }
 
-// The caller of a ping leaves at once; the ping still runs once at most, and a
-// retry learns its outcome.
-func TestCallerLeavesACall(t *testing.T) {
+// The caller of a ping disconnects shortly after sending it. The ping must run at most
+// once, and a retry must get its outcome.
+func TestCallerDisconnectsFromACall(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, nil)
 	for n := range 6 {
 		key := fmt.Sprintf("left-%d", n)
 		r := c.ping(c.Entries[n%3], key)
 		time.AfterFunc(time.Duration(n)*2*time.Millisecond, r.cancel)
-		c.end(r)
+		c.waitEnd(r)
 		again := c.ping(c.Entries[(n+1)%3], key)
-		c.end(again)
-		c.told(again, key)
+		c.waitEnd(again)
+		c.checkOutcome(again, key)
 	}
 }
 
-func (c *cluster) callsRunning() int {
+func (c *cluster) runningCalls() int {
 	running := 0
 	for _, s := range c.Services {
 		running += s.Running()
--- a/internal/role/failures_page_test.go
+++ b/internal/role/failures_page_test.go
@@ -11,7 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// docs/FAILURES.md names a test that is not there, or hides an open cell.
+// Guards against a docs/FAILURES.md that names a test that does not exist or that hides
+// an open cell.
 func TestFailuresPage(t *testing.T) {
 	is := is.New(t)
 	root := filepath.Join("..", "..")
--- a/internal/role/fingerprint_test.go
+++ b/internal/role/fingerprint_test.go
@@ -9,7 +9,7 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/entry"
 )
 
-func TestFingerprintTakesWhatChangesTheCall(t *testing.T) {
+func TestFingerprintCoversTheCommand(t *testing.T) {
 	is := is.New(t)
 	request := func(header, value, body string) entry.Request {
 		return entry.Request{Service: "tips", Call: &message.Call{
--- a/internal/role/followers_bench_test.go
+++ b/internal/role/followers_bench_test.go
@@ -23,33 +23,34 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// The benchmark of followers runs them in a child process, so that the
-// processor time and memory of the control VMs can be told from theirs. Both
-// have the same clock.
+// The benchmark of followers runs them in a child process, so that the processor time
+// and memory of the control VMs are measured separately. Both processes share a clock.
 
 // followersVariable holds the followersConfig of a child process.
 const followersVariable = "ORIOLEBEND_BENCH_FOLLOWERS"
 
-// startEvery spaces the starts of the followers.
-const startEvery = 2 * time.Millisecond
+// startInterval is the time between the starts of two followers.
+const startInterval = 2 * time.Millisecond
 
 type followersConfig struct {
 	Entries  int
 	Sidecars int
-	// Claims makes the child's entries claim requests instead of following.
+	// Claims lets the child's entries claim requests instead of following the state.
 	Claims bool
-	// Process makes the child a process of that role; Engine is a sidecar's.
+	// Process is the role that the child runs, empty for followers. Engine is the
+	// engine's URL for a sidecar.
 	Process  string
 	Engine   string
 	Controls []follow.Control
 	Files    peer.Files
-	// SidecarFiles are the certificate of those that announce a server.
+	// SidecarFiles is the certificate of the followers that announce a server.
 	SidecarFiles peer.Files
 }
 
-// followersReport is what a child tells about all of its followers.
+// followersReport is the report of a child process on all of its followers.
 type followersReport struct {
-	// Times are when each follower had a revision in force, in nanoseconds.
+	// Times holds the time at which each follower had a revision in force, in
+	// nanoseconds.
 	Times    []int64
 	CPU      time.Duration
 	Memory   uint64
@@ -72,8 +73,8 @@
 	at       int64
 }
 
-// reachedAt returns when a revision or a later one was in force first, zero
-// if it is not.
+// reachedAt returns when a revision or a later one first came into force, zero if none
+// has.
 func (f *benchFollower) reachedAt(revision uint64) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,11 +86,11 @@
 	return 0
 }
 
-// wire counts the datagrams of sockets.
+// wire counts the datagrams and bytes of sockets.
 type wire struct {
 	sent, received, packets atomic.Int64
-	// silent drops all datagrams, as a VM that is lost.
-	silent atomic.Bool
+	// dropping drops all datagrams, as if the VM were lost.
+	dropping atomic.Bool
 }
 
 type wireSocket struct {
@@ -100,7 +101,7 @@
 // ReadFrom implements net.PacketConn.
 func (s wireSocket) ReadFrom(b []byte) (int, net.Addr, error) {
 	n, from, err := s.PacketConn.ReadFrom(b)
-	for err == nil && s.wire.silent.Load() {
+	for err == nil && s.wire.dropping.Load() {
 		n, from, err = s.PacketConn.ReadFrom(b)
 	}
 	s.wire.received.Add(int64(n))
@@ -110,7 +111,7 @@
 
 // WriteTo implements net.PacketConn.
 func (s wireSocket) WriteTo(b []byte, to net.Addr) (int, error) {
-	if s.wire.silent.Load() {
+	if s.wire.dropping.Load() {
 		return len(b), nil
 	}
 	s.wire.sent.Add(int64(len(b)))
@@ -118,8 +119,8 @@
 	return s.PacketConn.WriteTo(b, to)
 }
 
-// runFollowers is the child process: a line on input asks for something, a
-// line on output answers it.
+// runFollowers runs the child process. Each line on its input is a request, which it
+// answers with a line on its output.
 func runFollowers(config string, in io.Reader, out io.Writer) error {
 	var c followersConfig
 	if err := json.Unmarshal([]byte(config), &c); err != nil {
@@ -143,7 +144,7 @@
 			return err
 		}
 		followers = append(followers, f)
-		time.Sleep(startEvery)
+		time.Sleep(startInterval)
 	}
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
@@ -166,7 +167,7 @@
 	return lines.Err()
 }
 
-// awaitReached returns when each follower reached a revision, zero for those
+// awaitReached returns when each follower had a revision in force, zero for a follower
 // that did not in time.
 func awaitReached(followers []*benchFollower, revision uint64, within time.Duration) []int64 {
 	times := make([]int64, len(followers))
@@ -182,7 +183,7 @@
 	}
 }
 
-// benchEndpoint is an endpoint of its own for each process that is stood for.
+// benchEndpoint opens a separate endpoint for each process that is simulated.
 func benchEndpoint(credentials peer.Credentials, count *wire) (*peer.Endpoint, error) {
 	socket, err := net.ListenPacket("udp", loopback)
 	if err != nil {
@@ -223,7 +224,7 @@
 				announcer.SetReached(view.Revision)
 			}
 		},
-		Observer: silentObserver{},
+		Observer: discardObserver{},
 	})
 	loop := NewLoop(&reducer.State{Follow: f.follower.State}, func(e reducer.Effect) {
 		if effect, ok := e.(follow.Effect); ok {
@@ -262,7 +263,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// usedMemory is the heap and the stacks after a collection.
+// usedMemory returns the bytes of heap and stacks after a garbage collection.
 func usedMemory() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -270,7 +271,7 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-// residentMemory is what the system holds for this process.
+// residentMemory returns the resident memory of this process in bytes.
 func residentMemory() uint64 {
 	status, _ := os.ReadFile("/proc/self/status")
 	_, rest, _ := strings.Cut(string(status), "VmRSS:")
@@ -279,11 +280,11 @@
 	return kilobytes << 10
 }
 
-// silentObserver keeps nothing.
-type silentObserver struct{}
+// discardObserver discards everything.
+type discardObserver struct{}
 
 // Count implements Observer.
-func (silentObserver) Count(string, oriolebend.Reason, string) {}
+func (discardObserver) Count(string, oriolebend.Reason, string) {}
 
 // Observe implements Observer.
-func (silentObserver) Observe(string, oriolebend.Urgency, float64) {}
+func (discardObserver) Observe(string, oriolebend.Urgency, float64) {}
--- a/internal/role/gate_status_test.go
+++ b/internal/role/gate_status_test.go
@@ -13,10 +13,10 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Symptom: a tip is told as not run, and it ran. Sequence: its server is gone,
-// and the gate of another server, which never had the attempt, says "no".
-// Cause: that word is taken for the word of the gate that had it.
-func TestStatusIsAskedOfTheServersGate(t *testing.T) {
+// Guards against a call that is reported as not run although it ran. The call's server is
+// lost, and the gate of another server, which never received the attempt, answers "no".
+// Only the gate that received the attempt may report it as not run.
+func TestOnlyTheServersOwnGateReportsNotRun(t *testing.T) {
 	servers := []oriolebend.Server{
 		{Name: "s1", GateAddress: "s1:1", Role: oriolebend.Service, Service: "tips"},
 		{Name: "s2", GateAddress: "s2:1", Role: oriolebend.Service, Service: "tips"},
@@ -29,11 +29,11 @@
 		fails           bool
 	}{
 		"its own gate":        {server: "s2", service: "tips", ran: oriolebend.RanNo},
-		"the server is gone":  {server: "s3", service: "tips", ran: oriolebend.RanUnknown},
+		"the server is lost":  {server: "s3", service: "tips", ran: oriolebend.RanUnknown},
 		"never announced":     {server: "s9", service: "tips", ran: oriolebend.RanUnknown},
 		"no gate of service":  {server: "s9", service: "pings", fails: true},
-		"no gate answers":     {server: "mute", service: "mute", fails: true},
-		"not reached at all":  {server: "away", service: "away", fails: true},
+		"no gate answers":     {server: "stalled", service: "stalled", fails: true},
+		"unreachable gate":    {server: "unreachable", service: "unreachable", fails: true},
 		"engine of that name": {server: "e1", service: "tips", ran: oriolebend.RanUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -43,13 +43,13 @@
 				defer cancel()
 				network := peertest.NewNetwork(1)
 				for _, s := range servers {
-					network.Listen(ctx, s.GateAddress, s.Name, refuseNo)
+					network.Listen(ctx, s.GateAddress, s.Name, refuseAsNotRun)
 				}
-				network.Listen(ctx, "mute:1", "mute", func(ctx context.Context, s peer.Stream) { <-s.Done() })
+				network.Listen(ctx, "stalled:1", "stalled", func(ctx context.Context, s peer.Stream) { <-s.Done() })
 				gates := gateStatusClient{dialer: network.Dialer("c1"), members: func() []oriolebend.Server {
 					return append(servers,
-						oriolebend.Server{Name: "mute", GateAddress: "mute:1", Role: oriolebend.Service, Service: "mute"},
-						oriolebend.Server{Name: "away", GateAddress: "away:1", Role: oriolebend.Service, Service: "away"})
+						oriolebend.Server{Name: "stalled", GateAddress: "stalled:1", Role: oriolebend.Service, Service: "stalled"},
+						oriolebend.Server{Name: "unreachable", GateAddress: "unreachable:1", Role: oriolebend.Service, Service: "unreachable"})
 				}}
 				answer, err := gates.AskStatus(ctx, row.server, row.service, message.StatusQuery{})
 				is.Equal(err != nil, row.fails)
@@ -61,7 +61,7 @@
 	}
 }
 
-func refuseNo(_ context.Context, s peer.Stream) {
+func refuseAsNotRun(_ context.Context, s peer.Stream) {
 	if _, err := s.Receive(); err != nil {
 		return
 	}
--- a/internal/role/limited_test.go
+++ b/internal/role/limited_test.go
@@ -19,86 +19,88 @@
 )
 
 const (
-	// limitWindow is the time in which a server may get limitShare times what it names, and
-	// limitFree requests besides; limitSettle is from how long after it first named its limit
-	// that holds, limitTold from how long after an answer a forwarder counts as told.
-	limitWindow = 4 * time.Second
-	limitShare  = 1.5
-	limitFree   = 5
-	limitSettle = 3 * time.Second
-	limitTold   = 500 * time.Millisecond
-	// senderHeader names the forwarder that a test sends a request to.
+	// limitWindow is the time in which a server may receive limitShare times its reported
+	// limit, plus limitFree requests. The bound holds from limitSettle after the server first
+	// reported its limit. A forwarder must know the limit from limitKnownAfter after an answer
+	// that reports it.
+	limitWindow     = 4 * time.Second
+	limitShare      = 1.5
+	limitFree       = 5
+	limitSettle     = 3 * time.Second
+	limitKnownAfter = 500 * time.Millisecond
+	// senderHeader names the forwarder to which a test sends a request.
 	senderHeader = "X-Sender"
 )
 
-// arrival is a request that reached a server, from a forwarder that had been told of its
-// limit for long enough or not.
+// arrival is a request that reached a server. limitKnown is true if its forwarder must have
+// known the limit by then.
 type arrival struct {
-	at   time.Time
-	told bool
+	at         time.Time
+	limitKnown bool
 }
 
-// needyServer is a backend server of plain calls that can name a limit.
-type needyServer struct {
+// limitingServer is a backend server of plain calls that can report a limit.
+type limitingServer struct {
 	name     string
 	listener *httptest.Server
 	sequence atomic.Uint64
 
 	mutex sync.Mutex
-	// limit is what it names, empty if it names none; named is since when.
-	limit string
-	named time.Time
-	// told is when it answered each sender with its limit first.
-	told     map[string]time.Time
-	arrivals []arrival
+	// limit is the limit that the server reports, empty if it reports none; limitedSince
+	// is since when.
+	limit        string
+	limitedSince time.Time
+	// firstAnswers holds when the server first reported its limit to each forwarder.
+	firstAnswers map[string]time.Time
+	arrivals     []arrival
 }
 
-func newNeedyServer(t *testing.T, name string) *needyServer {
-	s := &needyServer{name: name, told: map[string]time.Time{}}
+func newLimitingServer(t *testing.T, name string) *limitingServer {
+	s := &limitingServer{name: name, firstAnswers: map[string]time.Time{}}
 	s.listener = httptest.NewServer(http.HandlerFunc(s.answer))
 	t.Cleanup(s.listener.Close)
 	return s
 }
 
-// answer takes as long as a usual call.
-func (s *needyServer) answer(w http.ResponseWriter, r *http.Request) {
+// answer answers after the time that a usual call takes.
+func (s *limitingServer) answer(w http.ResponseWriter, r *http.Request) {
 	const usual = 20 * time.Millisecond
 	sender := r.Header.Get(senderHeader)
 	s.mutex.Lock()
-	told, known := s.told[sender]
-	s.arrivals = append(s.arrivals, arrival{at: time.Now(), told: known && time.Since(told) >= limitTold})
+	since, known := s.firstAnswers[sender]
+	s.arrivals = append(s.arrivals, arrival{at: time.Now(), limitKnown: known && time.Since(since) >= limitKnownAfter})
 	s.mutex.Unlock()
 	time.Sleep(usual)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.limit != "" {
 		w.Header().Set("Oriolebend-Limit", s.limit)
-		if _, known := s.told[sender]; !known {
-			s.told[sender] = time.Now()
+		if _, known := s.firstAnswers[sender]; !known {
+			s.firstAnswers[sender] = time.Now()
 		}
 	}
 	_, _ = io.WriteString(w, "answered")
 }
 
-// nameLimit has the server name a limit from now on; empty ends it.
-func (s *needyServer) nameLimit(limit string) {
+// setLimit sets the limit that the server reports from now on; empty means none.
+func (s *limitingServer) setLimit(limit string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.limit, s.named, s.told = limit, time.Now(), map[string]time.Time{}
+	s.limit, s.limitedSince, s.firstAnswers = limit, time.Now(), map[string]time.Time{}
 }
 
-// worst returns the most requests in one limitWindow from forwarders that had been told, and
-// what is allowed.
-func (s *needyServer) worst(perSecond float64) (most int, allowed float64) {
+// maxInWindow returns the highest number of requests in one limitWindow from forwarders that
+// knew the limit, and the allowed number.
+func (s *limitingServer) maxInWindow(perSecond float64) (most int, allowed float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for i, first := range s.arrivals {
-		if first.at.Sub(s.named) < limitSettle {
+		if first.at.Sub(s.limitedSince) < limitSettle {
 			continue
 		}
 		count := 0
 		for _, a := range s.arrivals[i:] {
-			if a.told && a.at.Sub(first.at) < limitWindow {
+			if a.limitKnown && a.at.Sub(first.at) < limitWindow {
 				count++
 			}
 		}
@@ -107,31 +109,31 @@
 	return most, limitShare*perSecond*limitWindow.Seconds() + limitFree
 }
 
-// since counts the requests of the last while.
-func (s *needyServer) since(while time.Duration) int {
+// countWithin counts the requests of a period that ends now.
+func (s *limitingServer) countWithin(period time.Duration) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	count := 0
 	for _, a := range s.arrivals {
-		if time.Since(a.at) < while {
+		if time.Since(a.at) < period {
 			count++
 		}
 	}
 	return count
 }
 
-// needySite is a site whose servers can name limits.
-type needySite struct {
+// limitSite is a site whose servers can report limits.
+type limitSite struct {
 	*routeSite
-	servers    []*needyServer
+	servers    []*limitingServer
 	forwarders []*ForwarderProcess
 }
 
-// startNeedySite starts three control VMs, six forwarders and some servers.
-func startNeedySite(t *testing.T, servers int) *needySite {
+// startLimitSite starts three control VMs, six forwarders and some servers.
+func startLimitSite(t *testing.T, servers int) *limitSite {
 	t.Helper()
 	is := is.New(t)
-	s := &needySite{routeSite: newRouteSite(t)}
+	s := &limitSite{routeSite: newRouteSite(t)}
 	for _, ip := range seededControls {
 		s.startControl(ip, true)
 	}
@@ -146,29 +148,29 @@
 	var announcing sync.WaitGroup
 	t.Cleanup(func() { cancel(); announcing.Wait() })
 	for i := range servers {
-		server := newNeedyServer(t, fmt.Sprintf("i-%d", i))
+		server := newLimitingServer(t, fmt.Sprintf("i-%d", i))
 		s.servers = append(s.servers, server)
 		announcing.Go(func() { s.announce(ctx, server) })
 	}
 	for _, f := range s.forwarders {
-		s.eventually("the forwarder is ready", f.Ready)
-		s.eventually("requests are served", func() bool {
-			status, _, _ := s.ask(t.Context(), f, "first")
+		s.waitFor("the forwarder is ready", f.Ready)
+		s.waitFor("requests are served", func() bool {
+			status, _, _ := s.send(t.Context(), f, "first")
 			return status == http.StatusOK
 		})
 	}
 	return s
 }
 
-// announce tells control VMs of a server, as long as there are any.
-func (s *needySite) announce(ctx context.Context, server *needyServer) {
+// announce announces a server to a control VM repeatedly until ctx ends.
+func (s *limitSite) announce(ctx context.Context, server *limitingServer) {
 	for ctx.Err() == nil {
-		told := message.BackendServer{
+		announcement := message.BackendServer{
 			Instance: server.name, Service: "s", Address: server.listener.Listener.Addr().String(),
 			Phase: message.PhaseReady, Slots: 8, Sequence: server.sequence.Add(1),
 		}
 		for _, c := range s.controls() {
-			if c.Announce(ctx, told) == nil {
+			if c.Announce(ctx, announcement) == nil {
 				break
 			}
 		}
@@ -176,9 +178,9 @@
 	}
 }
 
-// ask sends a request to a forwarder and returns the status, after how many seconds the
-// caller may come back, and how long the answer took.
-func (s *needySite) ask(ctx context.Context, f *ForwarderProcess, id string) (int, float64, time.Duration) {
+// send sends a request to a forwarder. It returns the status, the Retry-After in seconds, and
+// the duration.
+func (s *limitSite) send(ctx context.Context, f *ForwarderProcess, id string) (int, float64, time.Duration) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.Address()+"/x", nil)
 	if err != nil {
 		return 0, 0, 0
@@ -192,37 +194,37 @@
 		return 0, 0, 0
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body) // the status alone counts
+	_, _ = io.Copy(io.Discard, response.Body) // only the status counts
 	after, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	return response.StatusCode, after, time.Since(began)
 }
 
-// needyLoad counts what callers saw.
-type needyLoad struct {
+// callerStats holds the statistics of the answers that callers received.
+type callerStats struct {
 	mutex sync.Mutex
 	// statuses counts answers by status.
 	statuses map[int]int
-	// slowest is the longest time of a refusal, and soonest the shortest time after which a
-	// refused caller was told to come back.
-	slowest time.Duration
-	soonest float64
+	// slowest is the longest duration of a refusal, and minRetryAfter the shortest
+	// Retry-After of one in seconds.
+	slowest       time.Duration
+	minRetryAfter float64
 }
 
-// run sends forty requests a second for a while, to one forwarder after the other.
-func (s *needySite) run(length time.Duration) *needyLoad {
-	l := &needyLoad{statuses: map[int]int{}, soonest: 1e9}
+// run sends forty requests a second for a time, to one forwarder after the other.
+func (s *limitSite) run(length time.Duration) *callerStats {
+	l := &callerStats{statuses: map[int]int{}, minRetryAfter: 1e9}
 	var asking sync.WaitGroup
 	ctx, cancel := context.WithTimeout(s.t.Context(), length)
 	defer cancel()
 	for n := 0; ctx.Err() == nil; n++ {
 		f := s.forwarders[n%len(s.forwarders)]
 		asking.Go(func() {
-			status, after, took := s.ask(s.t.Context(), f, fmt.Sprintf("r-%d", n))
+			status, after, took := s.send(s.t.Context(), f, fmt.Sprintf("r-%d", n))
 			l.mutex.Lock()
 			defer l.mutex.Unlock()
 			l.statuses[status]++
 			if status != http.StatusOK {
-				l.slowest, l.soonest = max(l.slowest, took), min(l.soonest, after)
+				l.slowest, l.minRetryAfter = max(l.slowest, took), min(l.minRetryAfter, after)
 			}
 		})
 		wait(ctx, 25*time.Millisecond)
@@ -231,30 +233,28 @@
 	return l
 }
 
-// Symptom: a server that names how many requests a second it still takes goes on to get
-// several times as many. Sequence: two of four servers name a limit in their answers; six
-// forwarders pass these answers on and send as before. Cause: nobody reads what a server says
-// of itself, and a limit holds for all forwarders together, of which each knows its own
-// sendings alone. Proof: the two get as many requests after they named their limits as before,
-// from each of the six.
+// Guards against a server that reports a limit in requests per second but still receives
+// several times as many. Two of four servers report a limit in their answers, which six
+// forwarders pass on. If no forwarder read these headers, each would send as before. The
+// limit holds for all forwarders together, while each knows only its own sends.
 func TestServerThatNamesALimit(t *testing.T) {
 	is := is.New(t)
-	s := startNeedySite(t, 4)
+	s := startLimitSite(t, 4)
 	limits := []float64{1.1, 1.7}
 	for i, limit := range limits {
-		s.servers[i].nameLimit(strconv.FormatFloat(limit, 'f', -1, 64))
+		s.servers[i].setLimit(strconv.FormatFloat(limit, 'f', -1, 64))
 	}
 	load := s.run(limitSettle + 2*limitWindow)
 	for i, limit := range limits {
-		most, allowed := s.servers[i].worst(limit)
+		most, allowed := s.servers[i].maxInWindow(limit)
 		t.Logf("limit %.1f: %d requests within %v, allowed %.0f", limit, most, limitWindow, allowed)
 		is.True(float64(most) <= allowed)
-		is.True(s.servers[i].since(limitWindow) > 0) // somebody has to ask whether the need is over
+		is.True(s.servers[i].countWithin(limitWindow) > 0) // some request must reach it to find out whether the limit has ended
 	}
-	is.Equal(load.statuses[http.StatusOK], sum(load.statuses)) // the others have room for all
+	is.Equal(load.statuses[http.StatusOK], sumOf(load.statuses)) // the other servers have capacity for all
 }
 
-func sum(counts map[int]int) int {
+func sumOf(counts map[int]int) int {
 	all := 0
 	for _, n := range counts {
 		all += n
@@ -262,16 +262,16 @@
 	return all
 }
 
-// Symptom: a server in need gets its limit several times over while control VMs are lost.
-// Sequence: all servers have named limits; the control VM that counts is killed, and later all
-// of them are. Cause: forwarders that count for themselves meanwhile, or a count that begins
-// full. Who is refused meanwhile is told so at once.
+// Guards against a limited server that receives several times its limit while control VMs
+// are lost. All servers have reported limits; the control VM that counts is killed, and later
+// all control VMs are. Forwarders must not count on their own in the meantime, and a new count
+// must not begin with a full allowance. Refusals during this time must be returned at once.
 func TestLimitsWhileControlVMsAreLost(t *testing.T) {
 	is := is.New(t)
-	s := startNeedySite(t, 2)
+	s := startLimitSite(t, 2)
 	const limit = 3
 	for _, server := range s.servers {
-		server.nameLimit(strconv.Itoa(limit))
+		server.setLimit(strconv.Itoa(limit))
 	}
 	go func() {
 		wait(t.Context(), limitSettle+time.Second)
@@ -288,30 +288,31 @@
 	}()
 	load := s.run(limitSettle + 2*limitWindow)
 	for _, server := range s.servers {
-		most, allowed := server.worst(limit)
+		most, allowed := server.maxInWindow(limit)
 		t.Logf("limit %d: %d requests within %v, allowed %.0f", limit, most, limitWindow, allowed)
 		is.True(float64(most) <= allowed)
 	}
-	t.Logf("answers %v, slowest refusal %v, soonest return %.3f s", load.statuses, load.slowest, load.soonest)
-	is.Equal(load.statuses[http.StatusOK]+load.statuses[http.StatusServiceUnavailable], sum(load.statuses))
-	is.True(load.statuses[http.StatusOK] >= 20) // most of what the limits allow while a control VM counts
+	t.Logf("answers %v, slowest refusal %v, lowest Retry-After %.3f s", load.statuses, load.slowest, load.minRetryAfter)
+	is.Equal(load.statuses[http.StatusOK]+load.statuses[http.StatusServiceUnavailable], sumOf(load.statuses))
+	is.True(load.statuses[http.StatusOK] >= 20) // most of the requests that the limits allow while a control VM counts
 	is.True(load.slowest < 300*time.Millisecond)
-	is.True(load.soonest > 0)
+	is.True(load.minRetryAfter > 0)
 }
 
-// Symptom: a server whose need is over stands idle. Sequence: it names no limit any more, in
-// the few answers that it gives; each of six forwarders would have to be told by one of its
-// own. Cause: the end of a limit that stays with the forwarder that heard of it.
+// Guards against a server that stays idle after its limit has ended. The server reports no
+// limit any more in the few answers that it sends. If the end of the limit were known only to
+// the forwarder that received it, each of the six forwarders would need an answer of its own.
 func TestLimitEndsForAllForwarders(t *testing.T) {
 	is := is.New(t)
-	s := startNeedySite(t, 1)
-	s.servers[0].nameLimit("0.5")
+	s := startLimitSite(t, 1)
+	s.servers[0].setLimit("0.5")
 	limited := s.run(2 * time.Second)
 	is.True(limited.statuses[http.StatusServiceUnavailable] > limited.statuses[http.StatusOK])
-	s.servers[0].nameLimit("")
-	// Once one is let through, the next question of each forwarder tells it.
+	s.servers[0].setLimit("")
+	// Once one request is granted, the next limit request of each forwarder is answered with
+	// the end of the limit.
 	s.run(5 * time.Second)
 	after := s.run(2 * time.Second)
 	t.Logf("answers while limited %v, after it %v", limited.statuses, after.statuses)
-	is.Equal(after.statuses[http.StatusOK], sum(after.statuses))
+	is.Equal(after.statuses[http.StatusOK], sumOf(after.statuses))
 }
--- a/internal/role/limits_test.go
+++ b/internal/role/limits_test.go
@@ -14,14 +14,13 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-// quietFor is how long a connection that must get no answer is listened to. A
-// machine that is slow makes the check weaker, and never fail.
-const quietFor = 200 * time.Millisecond
+// noAnswerTimeout is how long the test waits on a connection that must get no answer. On
+// a slow machine the check becomes weaker, but never fails.
+const noAnswerTimeout = 200 * time.Millisecond
 
-// TestEntryBoundsConnections holds the only connection that an entry accepts.
-// Symptom of a fault: callers that open connections and send nothing take all
-// memory of the entry. Sequence: one keeps its connection, another one sends a
-// request. Cause: the role listens without the bound of the settings.
+// Guards against callers that use up all memory of an entry by opening connections and
+// sending nothing, if the role ignores the bound in its settings. One caller keeps the
+// only connection that the entry accepts, while another one sends a request.
 func TestEntryBoundsConnections(t *testing.T) {
 	is := is.New(t)
 	s, err := settings.Default()
@@ -34,8 +33,8 @@
 	is.NoErr(d.Ready(t.Context()))
 
 	first, second := dialEntry(t, d), dialEntry(t, d)
-	is.Equal(health(t, first, 0), http.StatusOK)
-	is.Equal(health(t, second, quietFor), 0) // not accepted yet
+	is.Equal(requestHealth(t, first, 0), http.StatusOK)
+	is.Equal(requestHealth(t, second, noAnswerTimeout), 0) // not accepted yet
 	is.NoErr(first.Close())
 	is.Equal(statusOf(t, second, 0), http.StatusOK)
 }
@@ -48,16 +47,16 @@
 	return conn
 }
 
-// health sends a request and returns the status of its answer.
-func health(t *testing.T, conn net.Conn, within time.Duration) int {
+// requestHealth sends a request and returns the status of its answer.
+func requestHealth(t *testing.T, conn net.Conn, within time.Duration) int {
 	t.Helper()
 	_, err := conn.Write([]byte("GET /healthz HTTP/1.1\r\nHost: entry\r\n\r\n"))
 	is.New(t).NoErr(err)
 	return statusOf(t, conn, within)
 }
 
-// statusOf returns the status of the next answer, zero if there is none within a
-// time; zero means without a bound.
+// statusOf returns the status of the next answer, zero if there is none in time. within
+// is the bound; zero means none.
 func statusOf(t *testing.T, conn net.Conn, within time.Duration) int {
 	t.Helper()
 	is := is.New(t)
--- a/internal/role/organisations_test.go
+++ b/internal/role/organisations_test.go
@@ -17,7 +17,7 @@
 )
 
 // organisationSite is a site of three control VMs, two forwarders and one backend server,
-// which counts what it runs for each organisation.
+// which counts the requests that it runs.
 type organisationSite struct {
 	*routeSite
 	forwarders []*ForwarderProcess
@@ -46,28 +46,28 @@
 	return s
 }
 
-// declareFor has a routing with organisations accepted, and waits until it is in force.
-func (s *organisationSite) declareFor(version uint64, organisations ...oriolebend.Organisation) {
+// declareOrganisations declares a routing with organisations and waits until it is in force.
+func (s *organisationSite) declareOrganisations(version uint64, organisations ...oriolebend.Organisation) {
 	s.t.Helper()
 	r := routingTo(version, "s")
 	r.Organisations = organisations
 	s.declareRouting(r, fmt.Appendf(nil, `{"version":%d}`, version))
 	for _, f := range s.forwarders {
-		s.eventually("routing in force", func() bool { return f.forwarder.Version() == version && f.Ready() })
+		s.waitFor("routing in force", func() bool { return f.forwarder.Version() == version && f.Ready() })
 	}
 	s.announce()
 }
 
-// announce has the server known to the forwarders.
+// announce announces the server to all control VMs.
 func (s *organisationSite) announce() {
 	s.server.Sequence = s.sequence.Add(1)
 	for _, c := range s.controls() {
-		s.eventually("the server is announced", func() bool { return c.Announce(s.t.Context(), s.server) == nil })
+		s.waitFor("the server is announced", func() bool { return c.Announce(s.t.Context(), s.server) == nil })
 	}
 }
 
-// askWith asks a forwarder with a key and returns status and body.
-func (s *organisationSite) askWith(f *ForwarderProcess, key string) (int, string) {
+// sendWithKey sends a request with a key to a forwarder and returns the status and body.
+func (s *organisationSite) sendWithKey(f *ForwarderProcess, key string) (int, string) {
 	s.t.Helper()
 	is := is.New(s.t)
 	request, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, "http://"+f.Address()+"/x", nil)
@@ -90,23 +90,23 @@
 	return o
 }
 
-// Keys are known and taken away on every forwarder, on kept connections too, and stay taken
-// away over a restart of all that count and forward.
-func TestKeysOverTheFleet(t *testing.T) {
+// Keys are accepted and revoked on every forwarder, also on open connections, and stay
+// revoked after a restart of all control VMs and a forwarder.
+func TestKeysOnAllForwarders(t *testing.T) {
 	is := is.New(t)
 	s := newOrganisationSite(t)
-	s.declareFor(1, organisation("a", oriolebend.Quota{}, "key-a", "key-old"))
+	s.declareOrganisations(1, organisation("a", oriolebend.Quota{}, "key-a", "key-old"))
 	for _, f := range s.forwarders {
-		s.eventually("served", func() bool { status, _ := s.askWith(f, "key-old"); return status == http.StatusOK })
-		status, body := s.askWith(f, "key-a")
+		s.waitFor("served", func() bool { status, _ := s.sendWithKey(f, "key-old"); return status == http.StatusOK })
+		status, body := s.sendWithKey(f, "key-a")
 		is.Equal(status, http.StatusOK)
 		is.Equal(body, "a")
 	}
-	s.declareFor(2, organisation("a", oriolebend.Quota{}, "key-a"), organisation("b", oriolebend.Quota{}, "key-b"))
+	s.declareOrganisations(2, organisation("a", oriolebend.Quota{}, "key-a"), organisation("b", oriolebend.Quota{}, "key-b"))
 	for _, f := range s.forwarders {
-		status, _ := s.askWith(f, "key-old")
+		status, _ := s.sendWithKey(f, "key-old")
 		is.Equal(status, http.StatusUnauthorized)
-		s.eventually("the new key is served", func() bool { status, body := s.askWith(f, "key-b"); return status == http.StatusOK && body == "b" })
+		s.waitFor("the new key is served", func() bool { status, body := s.sendWithKey(f, "key-b"); return status == http.StatusOK && body == "b" })
 	}
 	for _, ip := range seededControls {
 		s.kill(ip)
@@ -115,50 +115,50 @@
 	restarted, err := StartForwarder(s.forwarderProcess("127.0.1.6"), forwarder.Own{})
 	is.NoErr(err)
 	defer restarted.Kill()
-	status, _ := s.askWith(restarted, "key-old")
-	is.Equal(status, http.StatusServiceUnavailable) // it knows no routing, and must not say that a key is wrong
+	status, _ := s.sendWithKey(restarted, "key-old")
+	is.Equal(status, http.StatusServiceUnavailable) // it has no routing, and must not report a key as wrong
 	for _, ip := range seededControls {
 		s.startControl(ip, false)
 	}
-	s.eventually("ready again", restarted.Ready)
-	status, _ = s.askWith(restarted, "key-old")
+	s.waitFor("ready again", restarted.Ready)
+	status, _ = s.sendWithKey(restarted, "key-old")
 	is.Equal(status, http.StatusUnauthorized)
 }
 
-// Symptom: an organisation is served far beyond its quota. Sequence: its callers send to two
-// forwarders at once, several times as much as it may; then all control VMs are killed and
-// come back. Cause: forwarders that count for themselves, and a count that begins anew with
-// all that may be saved up.
-func TestQuotaOverTheFleet(t *testing.T) {
+// Guards against an organisation that is served far beyond its quota. Its callers send several
+// times the quota to two forwarders at the same time; then all control VMs are killed and
+// restarted. Forwarders must not count on their own, and a new count must not begin with the
+// full burst.
+func TestQuotaOnAllForwarders(t *testing.T) {
 	is := is.New(t)
 	s := newOrganisationSite(t)
 	quota := oriolebend.Quota{PerSecond: 20, Burst: 20}
-	s.declareFor(1, organisation("a", quota, "key-a"), organisation("free", oriolebend.Quota{}, "key-free"))
+	s.declareOrganisations(1, organisation("a", quota, "key-a"), organisation("free", oriolebend.Quota{}, "key-free"))
 	for _, f := range s.forwarders {
-		s.eventually("served", func() bool { status, _ := s.askWith(f, "key-free"); return status == http.StatusOK })
+		s.waitFor("served", func() bool { status, _ := s.sendWithKey(f, "key-free"); return status == http.StatusOK })
 	}
 	s.ran.Store(0)
 	began := time.Now()
 	seen := map[int]int{}
-	storm := func(until time.Duration) {
+	overload := func(until time.Duration) {
 		for time.Since(began) < until {
 			for _, f := range s.forwarders {
-				status, _ := s.askWith(f, "key-a")
+				status, _ := s.sendWithKey(f, "key-a")
 				seen[status]++
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
-	storm(time.Second)
+	overload(time.Second)
 	for _, ip := range seededControls {
 		s.kill(ip)
 	}
 	for _, ip := range seededControls {
 		s.startControl(ip, false)
 	}
-	storm(4 * time.Second)
+	overload(4 * time.Second)
 	bound := (quota.PerSecond*time.Since(began).Seconds() + quota.Burst) * 1.1
 	is.True(float64(s.ran.Load()) <= bound)
 	is.True(seen[http.StatusTooManyRequests] > 0)
-	is.True(seen[http.StatusOK] >= 20) // the quota is there to be used
+	is.True(seen[http.StatusOK] >= 20) // the quota is available
 }
--- a/internal/role/permission_test.go
+++ b/internal/role/permission_test.go
@@ -17,10 +17,9 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TestPermitted writes the whole table of roles and kinds. Symptom of a fault:
-// a process that was taken over settles requests that it never owned, or votes
-// for itself. Sequence: its certificate is good, and it opens a session that
-// only another role opens. Cause: the role in the certificate is not looked at.
+// Guards against a compromised process that settles requests which it never owned, or
+// votes for itself: its certificate is valid, and it opens a session that only another
+// role may open. The test data holds the complete table of roles and kinds.
 func TestPermitted(t *testing.T) {
 	datadriven.RunTest(t, "testdata/permitted", func(_ *testing.T, d *datadriven.TestData) string {
 		var out strings.Builder
@@ -41,30 +40,29 @@
 	})
 }
 
-// counted keeps what an Observer was told.
-type counted struct {
-	mu   sync.Mutex
-	what []string
+// countingObserver stores the names of the counters that were increased.
+type countingObserver struct {
+	mu    sync.Mutex
+	names []string
 }
 
-func (c *counted) Count(what string, _ oriolebend.Reason, _ string) {
+func (c *countingObserver) Count(what string, _ oriolebend.Reason, _ string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.what = append(c.what, what)
+	c.names = append(c.names, what)
 }
 
-func (c *counted) counts() []string {
+func (c *countingObserver) counts() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.what
+	return c.names
 }
 
-func (c *counted) Observe(string, oriolebend.Urgency, float64) {}
+func (c *countingObserver) Observe(string, oriolebend.Urgency, float64) {}
 
-// TestDispatchDenies sends over real sockets what the certificate's role may
-// not. Symptom: a claim from a sidecar's certificate is taken. Sequence: the
-// handshake succeeds, since the authority signed both. Cause: the role is
-// checked nowhere, or after the handler began.
+// Guards against a claim that is accepted with a sidecar's certificate. The handshake
+// succeeds, since the same authority signed all certificates, so the role must be checked
+// before the handler begins. The test sends messages over real sockets.
 func TestDispatchDenies(t *testing.T) {
 	authority, err := peer.DevAuthority()
 	is.New(t).NoErr(err)
@@ -85,7 +83,7 @@
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%s %s", c.role, c.first.Kind()), func(t *testing.T) {
 			is := is.New(t)
-			seen := &counted{}
+			seen := &countingObserver{}
 			answer := func(_ context.Context, s peer.Stream) { is.NoErr(s.Send(message.Confirmed{Index: 1})) }
 			dispatch := Dispatch{Logger: slog.New(slog.DiscardHandler), Observer: seen, Handlers: map[message.Kind]peer.Handler{
 				message.KindClaim: answer, message.KindAnnounce: answer, message.KindVote: answer,
--- a/internal/role/process_bench_test.go
+++ b/internal/role/process_bench_test.go
@@ -24,8 +24,8 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-// runProcess is a child that is one entry or sidecar; each line asks for what
-// it has cost so far.
+// runProcess runs a child process with one entry or sidecar. For each line on its input it
+// reports its cost so far.
 func runProcess(c followersConfig, credentials peer.Credentials, in io.Reader, out io.Writer) error {
 	s, err := settings.Default()
 	if err != nil {
@@ -72,8 +72,8 @@
 	return lines.Err()
 }
 
-// processReport is what a process has cost since it began; bytes are those of
-// datagrams in both directions.
+// processReport is the cost of a process since its start. ToControl and ToOthers are the
+// bytes of datagrams in both directions.
 type processReport struct {
 	Address   string
 	CPU       time.Duration
@@ -83,7 +83,8 @@
 	ToOthers  int64
 }
 
-// splitSocket counts the datagrams with the control VMs apart.
+// splitSocket counts the bytes exchanged with control VMs and with other peers
+// separately.
 type splitSocket struct {
 	net.PacketConn
 	control             map[string]bool
@@ -113,14 +114,14 @@
 	return s.PacketConn.WriteTo(b, to)
 }
 
-// processDev is dev in this process, with one process of it in a child.
+// processDev runs dev in this process and one of its roles in a child process.
 type processDev struct {
 	benchFleet
 	dev *Dev
 }
 
-// newProcessDev starts dev and, beside it, an entry or the only decode server's
-// sidecar in a child.
+// newProcessDev starts dev, and a child process with an entry or the sidecar of the only
+// decode server.
 func newProcessDev(b *testing.B, role string) *processDev {
 	b.Helper()
 	x := &processDev{benchFleet: benchFleet{b: b}}
@@ -171,11 +172,11 @@
 
 func (x *processDev) cost() processReport {
 	var r processReport
-	x.ask(&r)
+	x.queryChild(&r)
 	return r
 }
 
-// send sends one brief and reads its answer; it returns its status.
+// send sends one completion request, reads its answer and returns the status.
 func (x *processDev) send(address, key string, tokens int) int {
 	body := fmt.Sprintf(`{"model":"planner-lm","prompt":%q,"max_tokens":%d,"stream":true}`, "Plan the corridor "+key, tokens)
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/completions", strings.NewReader(body))
@@ -195,18 +196,19 @@
 	return response.StatusCode
 }
 
-// sendAll sends briefs, so many at a time, and returns how many ended well.
-func (x *processDev) sendAll(address, name string, count, atOnce, tokens int) int {
+// sendAll sends completion requests, a number of them concurrently, and returns how many
+// were answered with status 200.
+func (x *processDev) sendAll(address, name string, count, concurrency, tokens int) int {
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	well := 0
+	succeeded := 0
 	next := make(chan int)
-	for range atOnce {
+	for range concurrency {
 		all.Go(func() {
 			for i := range next {
 				if x.send(address, fmt.Sprintf("%s-%d", name, i), tokens) == http.StatusOK {
 					mu.Lock()
-					well++
+					succeeded++
 					mu.Unlock()
 				}
 			}
@@ -217,12 +219,12 @@
 	}
 	close(next)
 	all.Wait()
-	return well
+	return succeeded
 }
 
-// BenchmarkProcess measures one entry and one sidecar as processes of their
-// own: at rest, for each request at two lengths of output, and while they hold
-// requests. Run with -benchtime=1x.
+// BenchmarkProcess measures an entry and a sidecar as separate processes: idle, for each
+// request at two lengths of output, and with many requests in progress. Run with
+// -benchtime=1x.
 func BenchmarkProcess(b *testing.B) {
 	for _, role := range []string{"entry", "sidecar"} {
 		b.Run(role, func(b *testing.B) {
@@ -233,18 +235,18 @@
 			}
 			time.Sleep(2 * time.Second)
 			x.sendAll(address, "warm", 20, 4, 4)
-			x.rest()
-			x.requests(address, 8)
-			x.requests(address, 72)
-			x.hold(address)
+			x.measureIdle()
+			x.measureRequests(address, 8)
+			x.measureRequests(address, 72)
+			x.measureHeld(address)
 		})
 	}
 }
 
-func (x *processDev) rest() {
+func (x *processDev) measureIdle() {
 	before := x.cost()
 	from := time.Now()
-	time.Sleep(restFor)
+	time.Sleep(idleTime)
 	after := x.cost()
 	seconds := time.Since(from).Seconds()
 	x.b.ReportMetric(float64((after.CPU-before.CPU).Microseconds())/seconds, "rest-cpu-µs/s")
@@ -254,19 +256,19 @@
 	x.b.ReportMetric(float64(after.Resident)/1e6, "rss-MB")
 }
 
-func (x *processDev) requests(address string, tokens int) {
+func (x *processDev) measureRequests(address string, tokens int) {
 	const count = 128
 	before := x.cost()
-	well := x.sendAll(address, fmt.Sprint("tokens-", tokens), count, 16, tokens)
+	succeeded := x.sendAll(address, fmt.Sprint("tokens-", tokens), count, 16, tokens)
 	after := x.cost()
 	name := fmt.Sprintf("-%d-tokens", tokens)
-	x.b.ReportMetric(float64(well), "well"+name)
+	x.b.ReportMetric(float64(succeeded), "well"+name)
 	x.b.ReportMetric(float64((after.CPU-before.CPU).Microseconds())/count, "cpu-µs"+name)
 	x.b.ReportMetric(float64(after.ToControl-before.ToControl)/count, "control-B"+name)
 	x.b.ReportMetric(float64(after.ToOthers-before.ToOthers)/count, "others-B"+name)
 }
 
-func (x *processDev) hold(address string) {
+func (x *processDev) measureHeld(address string) {
 	const count, tokens = 200, 60
 	before := x.cost()
 	ended := make(chan int)
@@ -277,5 +279,5 @@
 	x.b.ReportMetric(float64(<-ended), "held-well")
 }
 
-// benchClient gives a caller's request up that hangs.
+// benchClient is the callers' HTTP client; its timeout ends requests that hang.
 var benchClient = &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
--- a/internal/role/rollout_test.go
+++ b/internal/role/rollout_test.go
@@ -10,17 +10,15 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend/client"
 )
 
-// rolloutWithin bounds the rollout of a version over a pool of three. Servers
-// change one after another, and a new leader first waits out the leave that an
-// earlier one may have given.
-const rolloutWithin = 90 * time.Second
+// rolloutTimeout bounds the rollout of a version over a pool of three. Servers change one
+// after another, and a new leader first waits until a permit that an earlier leader may
+// have granted has expired.
+const rolloutTimeout = 90 * time.Second
 
-// Symptom: a rollout stops after the first server, which looks as if it held
-// nothing.
-// Sequence: a pool is declared at the version it has, then at the next one; its
-// servers change in turn while requests come.
-// Cause: what an engine held after an order was announced only with the next
-// change of the gate's state.
+// Guards against a rollout that stops after the first server, which appears to have no
+// model loaded. A pool is declared at its current version, then at the next one, and its
+// servers change in turn. The models that an engine has loaded after an order must be
+// announced at once, not only with the next change of the gate's state.
 func TestRolloutReachesEveryServer(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -50,16 +48,16 @@
 	declare(version("2"))
 	declare(pool("1"))
 	declare(pool("2"))
-	for end := time.Now().Add(rolloutWithin); !c.decodeHolds("2"); time.Sleep(lookEvery) {
+	for end := time.Now().Add(rolloutTimeout); !c.decodeServersHave("2"); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatal("the rollout did not reach every server")
 		}
 	}
 }
 
-// decodeHolds reports whether every decode engine holds the version, by the
-// engines themselves.
-func (c *cluster) decodeHolds(version string) bool {
+// decodeServersHave reports whether every decode engine itself reports the version as
+// loaded.
+func (c *cluster) decodeServersHave(version string) bool {
 	for _, e := range c.Engines {
 		info, err := e.Info(c.t.Context())
 		if err != nil {
--- a/internal/role/routes_test.go
+++ b/internal/role/routes_test.go
@@ -27,8 +27,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// routeSite is a set of control VMs, a relay and a forwarder that find each other
-// through seeds, each on a loopback address of its own.
+// routeSite is a site of control VMs, relays and forwarders that find each other through
+// seeds, each on a loopback address of its own.
 type routeSite struct {
 	t      *testing.T
 	folder string
@@ -36,12 +36,12 @@
 	seeds  []string
 
 	mutex   sync.Mutex
-	control map[string]*ControlProcess
+	running map[string]*ControlProcess
 }
 
 const operatorToken = "operator-token-of-tests"
 
-// seededControls are the control VMs that every process is told of.
+// seededControls are the control VMs that every process has as seeds.
 var seededControls = []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 
 func newRouteSite(t *testing.T) *routeSite {
@@ -53,7 +53,7 @@
 	defer socket.Close()
 	return &routeSite{
 		t: t, folder: t.TempDir(), port: socket.LocalAddr().(*net.UDPAddr).Port,
-		seeds: seededControls, control: map[string]*ControlProcess{},
+		seeds: seededControls, running: map[string]*ControlProcess{},
 	}
 }
 
@@ -87,27 +87,27 @@
 	is.New(s.t).NoErr(err)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.control[ip] = c
+	s.running[ip] = c
 	s.t.Cleanup(func() { _ = c.Kill() })
 	return c
 }
 
-// controls lists the control VMs that run.
+// controls lists the running control VMs.
 func (s *routeSite) controls() []*ControlProcess {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return slices.Collect(maps.Values(s.control))
+	return slices.Collect(maps.Values(s.running))
 }
 
 func (s *routeSite) kill(ip string) {
 	s.t.Helper()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	_ = s.control[ip].Kill() // what a process that dies leaves behind is no matter here
-	delete(s.control, ip)
+	_ = s.running[ip].Kill() // errors of a killed process don't matter here
+	delete(s.running, ip)
 }
 
-// declare has a routing of one service accepted by whoever leads.
+// declare declares a routing of one service at the leader.
 func (s *routeSite) declare(version uint64, service string) {
 	s.t.Helper()
 	s.declareRouting(routingTo(version, service), fmt.Appendf(nil, `{"version":%d,"service":%q}`, version, service))
@@ -124,10 +124,10 @@
 	}
 }
 
-// declareRouting has a routing accepted by whoever leads.
+// declareRouting declares a routing at the leader.
 func (s *routeSite) declareRouting(r oriolebend.Routing, document []byte) {
 	s.t.Helper()
-	s.eventually("routing accepted", func() bool {
+	s.waitFor("routing accepted", func() bool {
 		for _, c := range s.controls() {
 			ctx, cancel := context.WithTimeout(s.t.Context(), time.Second)
 			_, err := c.Declare(ctx, r, document)
@@ -140,20 +140,20 @@
 	})
 }
 
-func (s *routeSite) eventually(what string, holds func() bool) {
+func (s *routeSite) waitFor(what string, holds func() bool) {
 	s.t.Helper()
-	for deadline := time.Now().Add(eventually); time.Now().Before(deadline); time.Sleep(lookEvery) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if holds() {
 			return
 		}
 	}
-	s.t.Fatalf("never: %s", what)
+	s.t.Fatalf("condition not met: %s", what)
 }
 
-// leader is the IP of the control VM that leads, or of any if none does.
+// leader returns the IP of the control VM that leads, or of any if none leads.
 func (s *routeSite) leader() string {
 	last := ""
-	for ip, c := range s.control {
+	for ip, c := range s.running {
 		if c.Leads() {
 			return ip
 		}
@@ -162,9 +162,9 @@
 	return last
 }
 
-// voters counts the members that vote as the leader sees them.
+// voters returns the number of voting members in the leader's state.
 func (s *routeSite) voters() int {
-	for _, c := range s.control {
+	for _, c := range s.running {
 		if !c.Leads() {
 			continue
 		}
@@ -179,8 +179,8 @@
 	return 0
 }
 
-// answerOf asks the forwarder and returns status and body.
-func answerOf(t *testing.T, f *ForwarderProcess) (int, string) {
+// sendRequest sends a request to the forwarder and returns the status and body.
+func sendRequest(t *testing.T, f *ForwarderProcess) (int, string) {
 	t.Helper()
 	is := is.New(t)
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+f.Address()+"/x", nil)
@@ -194,9 +194,9 @@
 	return response.StatusCode, string(body)
 }
 
-// The whole path: control VMs found each other through seeds, one joined later,
-// a backend server announced itself to a relay, and a request reaches it. A
-// forwarder that knows no routing is not ready.
+// Tests the complete path of a request: control VMs find each other through seeds, one
+// joins later, a backend server announces itself to a relay, and a request reaches it. A
+// forwarder without a routing must not be ready.
 func TestRoutesWholePath(t *testing.T) {
 	is := is.New(t)
 	s := newRouteSite(t)
@@ -207,13 +207,13 @@
 	for _, ip := range seededControls {
 		s.startControl(ip, true)
 	}
-	s.startControl("127.0.1.4", true) // no seed: it joins
+	s.startControl("127.0.1.4", true) // not a seed, so it joins
 	relay, err := StartRelay(s.process(peer.RoleControl, "127.0.1.5", true))
 	is.NoErr(err)
 	defer func() { is.NoErr(relay.Stop(t.Context())) }()
 	is.True(!f.Ready())
 	s.declare(3, "s")
-	s.eventually("the forwarder is ready", f.Ready)
+	s.waitFor("the forwarder is ready", f.Ready)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "served as "+r.Header.Get("Oriolebend-Instance"))
 	}))
@@ -221,16 +221,16 @@
 	server := message.BackendServer{
 		Instance: "i-1", Service: "s", Address: backend.Listener.Addr().String(), Phase: message.PhaseReady, Sequence: 1,
 	}
-	s.eventually("the relay takes announcements", func() bool { return relay.Announce(t.Context(), server) == nil })
-	s.eventually("the request is served", func() bool {
-		status, body := answerOf(t, f)
+	s.waitFor("the relay accepts announcements", func() bool { return relay.Announce(t.Context(), server) == nil })
+	s.waitFor("the request is served", func() bool {
+		status, body := sendRequest(t, f)
 		return status == http.StatusOK && body == "served as i-1"
 	})
-	s.eventually("the relay knows the leader", func() bool { return relay.LeaderIP() != "" })
-	s.eventually("four vote", func() bool { return s.voters() == 4 })
+	s.waitFor("the relay knows the leader", func() bool { return relay.LeaderIP() != "" })
+	s.waitFor("four vote", func() bool { return s.voters() == 4 })
 	server.Phase, server.Sequence = message.PhaseDraining, 2
-	is.NoErr(relay.Announce(t.Context(), server)) // acknowledged once the forwarder knows
-	status, _ := answerOf(t, f)
+	is.NoErr(relay.Announce(t.Context(), server)) // acknowledged once the forwarder has received it
+	status, _ := sendRequest(t, f)
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.NoErr(f.Stop(t.Context()))
 }
@@ -243,10 +243,9 @@
 	return p
 }
 
-// Symptom: after a restart no forwarder finds a control VM with a log any more.
-// Sequence: the settings are changed to name relays as seeds; everything restarts.
-// Cause: relays and forwarders that know each other only, while the members, which
-// know themselves from their log, tell nobody.
+// Guards against forwarders that find no control VM with a log after a restart, because
+// the settings were changed to relays as seeds. Relays and forwarders then know only each
+// other. The members, which know one another from their log, must contact the relays.
 func TestSeedsThatAreRelays(t *testing.T) {
 	is := is.New(t)
 	s := newRouteSite(t)
@@ -267,14 +266,14 @@
 	for _, ip := range seededControls {
 		s.startControl(ip, false)
 	}
-	s.eventually("the forwarder is ready", f.Ready)
-	s.eventually("the relay knows the leader", func() bool { return relay.LeaderIP() != "" })
+	s.waitFor("the forwarder is ready", f.Ready)
+	s.waitFor("the relay knows the leader", func() bool { return relay.LeaderIP() != "" })
 }
 
-// Symptom: the group has no quorum after a second loss, right after a replacement
-// has caught up. Sequence: a control VM is gone for good, another one joins at a new
-// address and votes; the one that is gone still counts. Cause: a member that is
-// removed only after the time that a partition may last.
+// Guards against a group without a quorum after a second loss, right after a replacement
+// has caught up. A control VM is lost for good, and another one joins at a new address and
+// votes. The lost VM counts as a member until it is removed, so it must be removed earlier
+// than a member that a partition may have isolated.
 func TestReplacedMemberIsRemovedSoon(t *testing.T) {
 	s := newRouteSite(t)
 	for _, ip := range seededControls {
@@ -287,15 +286,15 @@
 	}
 	s.kill(lost)
 	s.startControl("127.0.1.4", false)
-	s.eventually("four vote", func() bool { return s.voters() == 4 })
+	s.waitFor("four vote", func() bool { return s.voters() == 4 })
 	voted := time.Now()
-	s.eventually("three vote", func() bool { return s.voters() == 3 })
+	s.waitFor("three vote", func() bool { return s.voters() == 3 })
 	is.New(t).True(time.Since(voted) < removeAfter/2)
 }
 
-// Symptom: an accepted routing is gone. Sequence: the control VM that acknowledged
-// it loses its disk at once, and comes back empty; then another one is lost.
-// Cause: an empty member that votes before it holds what it had accepted.
+// Guards against the loss of an accepted routing. The control VM that acknowledged it loses
+// its disk immediately and restarts empty; then another one is lost. An empty member must
+// not vote before it has received again the entries that it had accepted.
 func TestRoutingSurvivesALostDisk(t *testing.T) {
 	is := is.New(t)
 	s := newRouteSite(t)
@@ -308,8 +307,8 @@
 		s.kill(lost)
 		is.NoErr(os.RemoveAll(filepath.Join(s.folder, lost)))
 		s.startControl(lost, false)
-		s.eventually("the newest routing is read", func() bool {
-			for _, c := range s.control {
+		s.waitFor("the newest routing is read", func() bool {
+			for _, c := range s.running {
 				current, err := c.Routing(t.Context())
 				if err == nil {
 					return current.Version == round+1
@@ -317,14 +316,14 @@
 			}
 			return false
 		})
-		s.eventually("the empty one has caught up", func() bool {
-			current, _ := s.control[lost].routing.Current()
-			return current.Version == round+1 && !s.control[lost].replica.Status().Recovering
+		s.waitFor("the empty control VM has caught up", func() bool {
+			current, _ := s.running[lost].routing.Current()
+			return current.Version == round+1 && !s.running[lost].replica.Status().Recovering
 		})
 	}
 }
 
-// Operators see and change the same through the product's own interface.
+// Operators read and change the routing through the HTTP API.
 func TestOperatorRouting(t *testing.T) {
 	is := is.New(t)
 	s := newRouteSite(t)
@@ -349,7 +348,7 @@
 	}
 	declared, err := os.ReadFile("../../examples/routing.json")
 	is.NoErr(err)
-	s.eventually("the routing is accepted", func() bool {
+	s.waitFor("the routing is accepted", func() bool {
 		status, _ := call(http.MethodPut, "/v1/routing", string(declared))
 		return status == http.StatusOK
 	})
@@ -375,7 +374,7 @@
 	is.True(strings.Contains(text, "colour"))
 	status, _ = call(http.MethodPut, "/v1/routing", `{"version": 9, "routes": [{"name": "r"}]}`)
 	is.Equal(status, http.StatusUnprocessableEntity)
-	s.eventually("the server is announced", func() bool {
+	s.waitFor("the server is announced", func() bool {
 		status, _ := call(http.MethodPut, "/v1/backends/i-1", `{"service": "planner", "address": "127.0.0.1:1", "role": "decode", "sequence": 1}`)
 		return status == http.StatusOK
 	})
