--- a/internal/role/answer_log.go
+++ b/internal/role/answer_log.go
@@ -80,8 +80,8 @@
 	return a.readers == 0
 }
 
-// chunksFrom returns the chunks after the first ones, of which there are read, and
-// a channel that is closed when the next one is added.
+// chunksFrom skips the given number of chunks and returns the rest, and a channel that
+// is closed when the next chunk is added.
 func (a *answerLog) chunksFrom(read int) ([]caller.Chunk, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/role/entry_follow.go
+++ b/internal/role/entry_follow.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// resubmit runs a request whose owner crashed at this entry. The request gets a new
-// id, because the record keeps the outcome of the previous one under its id.
+// resubmit takes over a request whose owner has crashed and runs it at this entry. The
+// request gets a new id, because the record keeps the outcome of the previous one under its id.
 func (e *Entry) resubmit(requestID string, log *answerLog) {
 	r := log.request
 	r.ID = uuid.Must(uuid.NewV7()).String()
@@ -324,5 +324,6 @@
 	return c
 }
 
-// wait waits until a time has passed or ctx ends. The caller checks ctx itself.
+// wait waits until a time has passed or ctx ends. It does not report which, so its
+// callers check ctx.
 func wait(ctx context.Context, d time.Duration) { pause.For(ctx, d) }
--- a/internal/role/memory.go
+++ b/internal/role/memory.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// memoryShare is the share of the VM's memory that the Go heap may use. The rest is for
-	// the program itself, the stacks of threads and the kernel's buffers, which the garbage
-	// collector does not count.
+	// memoryShare is the share of node.memoryMB that is set as the Go runtime's memory limit.
+	// The rest is for the program itself, the stacks of threads and the kernel's buffers, which
+	// the garbage collector does not count.
 	memoryShare = 0.6
-	// garbageTarget is the garbage collection target in percent of the memory in use.
+	// garbageTarget is the allowed amount of garbage in percent of the memory in use.
 	garbageTarget = 50
 )
 
--- a/internal/role/pool_controller.go
+++ b/internal/role/pool_controller.go
@@ -48,7 +48,7 @@
 // Unwrap returns the cause.
 func (e *NotOrderedError) Unwrap() error { return e.Cause }
 
-// PoolKeeper divides model engines between prefill and decode while its control
+// PoolController divides model engines between prefill and decode while its control
 // VM leads. It follows the state of the engines that all control VMs know.
 type PoolController struct {
 	Self   string
@@ -60,8 +60,8 @@
 	// its lease runs at this moment.
 	Status func() replica.Status
 	Leads  func() bool
-	// Limited reports whether an engine has reported a limit. A limited engine does not
-	// count towards its pool.
+	// Limited reports whether an engine has reported a limit. While it is limited it does
+	// not count as an engine, and the other engines must suffice.
 	Limited func(message.BackendServer) bool
 	Logger  *slog.Logger
 
