--- a/internal/role/confirmer.go
+++ b/internal/role/confirmer.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// confirmEvery is how often a control VM makes sure that its state is the
+	// confirmInterval is how often a control VM confirms that its state is the
 	// newest that a quorum accepted.
-	confirmEvery = time.Second
-	// confirmAgain is how soon it tries again after it could not. After a power loss
-	// a leader is elected within half a second; callers wait for what comes on top.
-	confirmAgain = 50 * time.Millisecond
-	// confirmLeast is the shortest time between two confirmations, so that many
-	// followers that come at once share one.
-	confirmLeast = 20 * time.Millisecond
-	// confirmWithin bounds one try.
-	confirmWithin = 2 * time.Second
-	// appliedEvery is how often the wait for the log to be applied looks.
-	appliedEvery = 2 * time.Millisecond
+	confirmInterval = time.Second
+	// confirmRetryDelay is the delay after a failed confirmation. After a power loss a
+	// leader is elected within half a second; callers wait for this delay as well.
+	confirmRetryDelay = 50 * time.Millisecond
+	// minConfirmInterval is the shortest time between two confirmations, so that
+	// followers that connect at the same time share one.
+	minConfirmInterval = 20 * time.Millisecond
+	// confirmTimeout bounds one confirmation.
+	confirmTimeout = 2 * time.Second
+	// appliedPollInterval is how often waitApplied checks the applied index.
+	appliedPollInterval = 2 * time.Millisecond
 )
 
-// Confirmer knows when a control VM's state was last confirmed by a quorum. A
-// control VM that a network partition cut off can't confirm, so what it shows
-// its followers grows old visibly; one that is merely quiet still can.
+// Confirmer records when a quorum last confirmed that a control VM's state is the
+// newest. A control VM that is isolated by a network partition can't confirm, so
+// its followers see the age of its state grow. A control VM whose state merely
+// doesn't change still confirms it.
 type Confirmer struct {
 	Self    string
 	Replica *replica.Replica
 	Dialer  peer.Dialer
 	Reached *ReachedTable
 
-	soon chan struct{}
+	trigger chan struct{}
 
 	mu        sync.Mutex
 	last      time.Time
@@ -46,53 +47,54 @@
 	leader string
 }
 
-// Prepare makes the confirmer ready; it must be called before all else.
+// Prepare initializes the Confirmer; it must be called before any other method.
 func (c *Confirmer) Prepare() {
-	c.soon = make(chan struct{}, 1)
+	c.trigger = make(chan struct{}, 1)
 	c.confirmed = make(chan struct{})
 }
 
-// Soon asks for a confirmation before the next one is due.
-func (c *Confirmer) Soon() {
+// Trigger requests a confirmation before the next one is due.
+func (c *Confirmer) Trigger() {
 	select {
-	case c.soon <- struct{}{}:
+	case c.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// Run confirms until ctx ends.
+// Run confirms the state repeatedly until ctx ends.
 func (c *Confirmer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		asked, pause := time.Now(), confirmAgain
+		requested, pause := time.Now(), confirmRetryDelay
 		if c.confirm(ctx) {
-			c.took(asked)
-			pause = confirmEvery
+			c.recordConfirmation(requested)
+			pause = confirmInterval
 		}
-		wait(ctx, confirmLeast)
-		c.sleep(ctx, pause)
+		wait(ctx, minConfirmInterval)
+		c.waitNext(ctx, pause)
 	}
 }
 
-// took notes a confirmation and wakes who waits for one.
-func (c *Confirmer) took(asked time.Time) {
+// recordConfirmation records a confirmation that was requested at a time, and
+// wakes the goroutines that wait for one.
+func (c *Confirmer) recordConfirmation(requested time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = asked
+	c.last = requested
 	close(c.confirmed)
 	c.confirmed = make(chan struct{})
 }
 
-func (c *Confirmer) sleep(ctx context.Context, pause time.Duration) {
+func (c *Confirmer) waitNext(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-c.soon:
+	case <-c.trigger:
 	}
 }
 
-// Last returns when the state was last known to be the newest, zero if never,
+// Last returns when the state was last confirmed to be the newest, zero if never,
 // and a channel that is closed at the next confirmation.
 func (c *Confirmer) Last() (time.Time, <-chan struct{}) {
 	c.mu.Lock()
@@ -100,15 +102,15 @@
 	return c.last, c.confirmed
 }
 
-// Age tells how long ago the state was known to be the newest; it is false if
-// it never was.
+// Age returns how long before at the state was last confirmed to be the newest. It
+// reports false if it never was.
 func (c *Confirmer) Age(at time.Time) (time.Duration, bool) {
 	last, _ := c.Last()
 	return at.Sub(last), !last.IsZero()
 }
 
 func (c *Confirmer) confirm(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, confirmWithin)
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	name, address := c.Replica.Leader()
 	if name == c.Self {
@@ -117,25 +119,25 @@
 	if name == "" {
 		return false
 	}
-	index, ok := c.ask(ctx, name, address)
-	return ok && c.applied(ctx, index)
+	index, ok := c.queryLeader(ctx, name, address)
+	return ok && c.waitApplied(ctx, index)
 }
 
-// ask asks the leader up to where the log was agreed on.
-func (c *Confirmer) ask(ctx context.Context, leader, address string) (uint64, bool) {
-	s, err := c.open(ctx, leader, address)
+// queryLeader asks the leader for the index up to which its state is confirmed.
+func (c *Confirmer) queryLeader(ctx context.Context, leader, address string) (uint64, bool) {
+	s, err := c.openSession(ctx, leader, address)
 	if err != nil {
 		return 0, false
 	}
 	defer context.AfterFunc(ctx, func() { s.Close() })()
 	if err := s.Send(message.Confirm{Control: c.Self, Followers: c.Reached.Own()}); err != nil {
-		c.drop()
+		c.closeSession()
 		return 0, false
 	}
 	m, err := s.Receive()
 	confirmed, ok := m.(message.Confirmed)
 	if err != nil || !ok || confirmed.Index == 0 {
-		c.drop()
+		c.closeSession()
 		return 0, false
 	}
 	for _, f := range confirmed.Followers {
@@ -144,13 +146,13 @@
 	return confirmed.Index, true
 }
 
-// open returns the session with the leader, kept from the last time if it is
-// the same one.
-func (c *Confirmer) open(ctx context.Context, leader, address string) (peer.Stream, error) {
+// openSession returns a session with the leader; an open session with the same
+// leader is reused.
+func (c *Confirmer) openSession(ctx context.Context, leader, address string) (peer.Stream, error) {
 	if c.stream != nil && c.leader == leader {
 		return c.stream, nil
 	}
-	c.drop()
+	c.closeSession()
 	s, err := c.Dialer.Open(ctx, address)
 	if err != nil {
 		return nil, err
@@ -159,45 +161,46 @@
 	return s, nil
 }
 
-func (c *Confirmer) drop() {
+func (c *Confirmer) closeSession() {
 	if c.stream != nil {
 		c.stream.Close()
 	}
 	c.stream, c.leader = nil, ""
 }
 
-// applied waits until this VM has applied the log up to an index.
-func (c *Confirmer) applied(ctx context.Context, index uint64) bool {
+// waitApplied waits until this VM has applied the log up to an index. It reports
+// false if ctx ends first.
+func (c *Confirmer) waitApplied(ctx context.Context, index uint64) bool {
 	for c.Replica.Status().Applied < index {
 		if ctx.Err() != nil {
 			return false
 		}
-		wait(ctx, appliedEvery)
+		wait(ctx, appliedPollInterval)
 	}
 	return true
 }
 
-// Serve is the peer.Handler for other control VMs that ask this one as the
-// leader.
+// Serve is the peer.Handler for control VMs that request a confirmation from this
+// one as the leader.
 func (c *Confirmer) Serve(ctx context.Context, s peer.Stream) {
 	for {
 		m, err := s.Receive()
 		if err != nil {
 			return
 		}
-		asked, ok := m.(message.Confirm)
+		request, ok := m.(message.Confirm)
 		if !ok {
 			return
 		}
-		c.Reached.Merge(asked.Followers)
-		if err := s.Send(c.answer(ctx, asked.Control)); err != nil {
+		c.Reached.Merge(request.Followers)
+		if err := s.Send(c.confirmForPeer(ctx, request.Control)); err != nil {
 			return
 		}
 	}
 }
 
-func (c *Confirmer) answer(ctx context.Context, asking string) message.Confirmed {
-	ctx, cancel := context.WithTimeout(ctx, confirmWithin)
+func (c *Confirmer) confirmForPeer(ctx context.Context, peerName string) message.Confirmed {
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	started := time.Now()
 	if err := c.Replica.Confirm(ctx); err != nil {
@@ -205,43 +208,43 @@
 	}
 	return message.Confirmed{
 		Index:     c.Replica.Status().Applied,
-		Followers: c.Reached.Others(asking),
+		Followers: c.Reached.Others(peerName),
 		Took:      time.Since(started),
 	}
 }
 
 // ReachedTable is a reached.Table that goroutines share.
 type ReachedTable struct {
-	mu    sync.Mutex
-	self  string
-	table *reached.Table
-	heard map[string]message.Followers
+	mu       sync.Mutex
+	self     string
+	table    *reached.Table
+	received map[string]message.Followers
 }
 
 // NewReachedTable returns the table of the control VM of that name.
 func NewReachedTable(self string) *ReachedTable {
-	return &ReachedTable{self: self, table: reached.New(self), heard: map[string]message.Followers{}}
+	return &ReachedTable{self: self, table: reached.New(self), received: map[string]message.Followers{}}
 }
 
-// Heard takes the word of a follower of this control VM.
-func (r *ReachedTable) Heard(m message.Reached) {
+// Record stores the report of a follower of this control VM.
+func (r *ReachedTable) Record(m message.Reached) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.Heard(time.Now(), m)
 }
 
-// Merge takes what another control VM told.
+// Merge adds the reports of followers that another control VM has sent.
 func (r *ReachedTable) Merge(m message.Followers) {
 	if m.Control == "" || m.Control == r.self {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard[m.Control] = m
+	r.received[m.Control] = m
 	r.table.Merge(time.Now(), m)
 }
 
-// Own returns what this control VM heard itself.
+// Own returns the reports that this control VM received from its own followers.
 func (r *ReachedTable) Own() message.Followers {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,21 +252,21 @@
 	return r.table.Own(time.Now())
 }
 
-// Others returns what every control VM but one heard.
-func (r *ReachedTable) Others(but string) []message.Followers {
+// Others returns the reports of the followers of all control VMs except one.
+func (r *ReachedTable) Others(except string) []message.Followers {
 	own := r.Own()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	others := []message.Followers{own}
-	for control, f := range r.heard {
-		if control != but {
+	for control, f := range r.received {
+		if control != except {
 			others = append(others, f)
 		}
 	}
 	return others
 }
 
-// List returns the word of every follower.
+// List returns the report of every follower.
 func (r *ReachedTable) List() []reached.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/role/controlprocess.go
+++ b/internal/role/control_process.go
@@ -27,38 +27,39 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// operatorHeaderTimeout ends operators' clients that send their head slowly.
+// operatorHeaderTimeout bounds how long an operator's client may take to send
+// the header of a request.
 const operatorHeaderTimeout = 5 * time.Second
 
-// ControlProcess is a running control VM's process with its ports.
+// ControlProcess is the running process of a control VM with its ports.
 type ControlProcess struct {
-	process   Process
-	endpoint  *peer.Endpoint
-	operators *httpServer
-	metrics   *httpServer
-	replica   *replica.Replica
-	records   *controlpeer.Server
-	resolver  *controlpeer.Resolver
-	confirmer *Confirmer
-	watches   *WatchServer
-	members   *MemberLeader
-	routing   *routing.Store
-	routes    *routewatch.Server
-	joiner    *Joiner
-	pools     *PoolKeeper
-	places    *places.Allocator
-	observer  *routewatch.Follower
-	crashes   *quarantine.Store
-	keeper    *crashreports.Keeper
-	quotas    *quota.Keeper
-	limits    *serverlimit.Keeper
-	cancel    context.CancelFunc
-	// done is closed once the log has ended, with ended as its error.
-	done  chan struct{}
-	ended error
+	process      Process
+	endpoint     *peer.Endpoint
+	operators    *httpServer
+	metrics      *httpServer
+	replica      *replica.Replica
+	records      *controlpeer.Server
+	resolver     *controlpeer.Resolver
+	confirmer    *Confirmer
+	watches      *WatchServer
+	members      *MemberLeader
+	routing      *routing.Store
+	routes       *routewatch.Server
+	joiner       *Joiner
+	pools        *PoolController
+	places       *places.Allocator
+	observer     *routewatch.Follower
+	crashes      *quarantine.Store
+	crashReports *crashreports.Keeper
+	quotas       *quota.Keeper
+	limits       *serverlimit.Keeper
+	cancel       context.CancelFunc
+	// done is closed once the replica has stopped; runErr is its error.
+	done   chan struct{}
+	runErr error
 }
 
-// StartControl starts a control VM's process; Stop ends it.
+// StartControl starts the process of a control VM; Stop ends it.
 func StartControl(p Process) (*ControlProcess, error) {
 	p = p.withMetrics(peer.RoleControl)
 	process := &ControlProcess{process: p, done: make(chan struct{})}
@@ -79,7 +80,7 @@
 	go process.confirmer.Run(ctx)
 	go process.members.Run(ctx)
 	go process.routes.Run(ctx)
-	go process.keeper.Run(ctx)
+	go process.crashReports.Run(ctx)
 	go process.quotas.Run(ctx)
 	go process.limits.Run(ctx)
 	if process.joiner != nil {
@@ -92,12 +93,13 @@
 	go process.observer.Run(ctx)
 	go func() {
 		defer close(process.done)
-		process.ended = process.replica.Run(ctx)
+		process.runErr = process.replica.Run(ctx)
 	}()
 	return process, nil
 }
 
-// handlers serves peers once the process is built.
+// handlers returns the handlers of peer sessions. Each waits until ready is
+// closed, as the process accepts sessions before it is built.
 func (c *ControlProcess) handlers(ready <-chan struct{}) map[message.Kind]peer.Handler {
 	records := func(ctx context.Context, s peer.Stream) { <-ready; c.records.Serve(ctx, s) }
 	members := func(ctx context.Context, s peer.Stream) { <-ready; c.members.Serve(ctx, s) }
@@ -118,7 +120,7 @@
 		},
 		message.KindQuotaAsk: func(ctx context.Context, s peer.Stream) { <-ready; c.quotas.Serve(ctx, s) },
 		message.KindLimitAsk: func(ctx context.Context, s peer.Stream) { <-ready; c.limits.Serve(ctx, s) },
-		message.KindJoin:     func(ctx context.Context, s peer.Stream) { <-ready; c.join(ctx, s) },
+		message.KindJoin:     func(ctx context.Context, s peer.Stream) { <-ready; c.serveJoin(ctx, s) },
 		message.KindConfirm:  func(ctx context.Context, s peer.Stream) { <-ready; c.confirmer.Serve(ctx, s) },
 	}
 	for _, kind := range message.AgreementKinds() {
@@ -127,7 +129,8 @@
 	return handlers
 }
 
-// build joins the log with the machines that it feeds.
+// build creates the replicated log, its state machines and the servers of the
+// process.
 func (c *ControlProcess) build() error {
 	p := c.process
 	name := p.self()
@@ -136,7 +139,7 @@
 	c.routing = routing.NewStore()
 	log, err := replica.New(replica.Config{
 		Name:       name,
-		Members:    p.founders(),
+		Members:    p.initialMembers(),
 		AddressOf:  p.addressOf(),
 		DataFolder: p.Settings.Control.DataFolder,
 		Dialer:     c.endpoint,
@@ -166,12 +169,12 @@
 	})
 	c.resolver = controlpeer.NewResolver(controlpeer.ResolverConfig{
 		Server: c.records,
-		Gates: statusGates{
+		Gates: gateStatusClient{
 			dialer:  c.endpoint,
 			members: func() []oriolebend.Server { return store.View().Members() },
 		},
-		Recovery: recovery.Config{Seed: newIncarnation()},
-		Unresolved:    func(reason oriolebend.Reason) { p.observer().Count("statusAsked", reason, "") },
+		Recovery:   recovery.Config{Seed: newIncarnation()},
+		Unresolved: func(reason oriolebend.Reason) { p.observer().Count("statusAsked", reason, "") },
 	})
 	reached := NewReachedTable(name)
 	c.confirmer = &Confirmer{Self: name, Replica: log, Dialer: c.endpoint, Reached: reached}
@@ -182,12 +185,12 @@
 	c.crashes = quarantine.New(quarantine.Config{
 		Tell: func(reports []message.CrashReport) {
 			c.routes.TellReports(reports)
-			c.keeper.Changed()
+			c.crashReports.Changed()
 		},
 		Logger: p.Logger,
 	})
-	c.keeper = &crashreports.Keeper{Folder: p.Settings.Control.DataFolder, Store: c.crashes, Logger: p.Logger}
-	c.keeper.Load()
+	c.crashReports = &crashreports.Keeper{Folder: p.Settings.Control.DataFolder, Store: c.crashes, Logger: p.Logger}
+	c.crashReports.Load()
 	c.quotas, c.limits = c.newQuotas(), c.newLimits()
 	c.routes = &routewatch.Server{
 		Store:     c.routing,
@@ -197,7 +200,7 @@
 			return next
 		},
 		Self:     p.Settings.Peer.Listen,
-		Controls: c.controls,
+		Controls: c.memberAddresses,
 		Leader: func() string {
 			_, address := c.replica.Leader()
 			return address
@@ -207,11 +210,11 @@
 		Logger:  p.Logger,
 	}
 	c.routes.Prepare()
-	c.observe(name)
+	c.buildObserver(name)
 	if len(p.Settings.Control.Seeds) > 0 {
 		c.joiner = c.newJoiner(name)
 	}
-	c.publish(reached)
+	c.registerMetrics(reached)
 	c.metrics, err = p.serveMetrics(c.Ready)
 	if err != nil {
 		return err
@@ -228,7 +231,8 @@
 		Group:   c.replica,
 		Routing: c,
 		Reports: reached.List,
-		// Operators ask a VM that hears the servers for how far they are.
+		// Only the leader receives announcements, so operators must query it for
+		// the progress of servers.
 		Announcements: c.members.Announcements,
 		Confirmed:     func() (time.Duration, bool) { return c.confirmer.Age(time.Now()) },
 		OperatorURL:   operatorURL(s),
@@ -250,14 +254,15 @@
 	return nil
 }
 
-// operatorURL finds the operators' address of a control VM by its name.
+// operatorURL returns a function that maps the name of a control VM to the URL
+// at which operators reach it, empty if unknown.
 func operatorURL(s settings.Settings) func(string) string {
 	own, err := netip.ParseAddrPort(s.Operator.Listen)
 	seeded := len(s.Control.Seeds) > 0 && err == nil && !own.Addr().IsLoopback()
 	return func(node string) string {
 		if ip, err := netip.ParseAddr(node); seeded && err == nil {
-			// Found through seeds, control VMs are named by their IP and share
-			// their ports.
+			// Control VMs that are found through seeds are named by their IP and
+			// listen on the same ports.
 			return "http://" + netip.AddrPortFrom(ip, own.Port()).String()
 		}
 		for _, m := range s.Control.Members {
@@ -269,46 +274,48 @@
 	}
 }
 
-// Address is where peers reach the process.
+// Address returns the address at which peers reach the process.
 func (c *ControlProcess) Address() string { return c.endpoint.Address() }
 
-// OperatorAddress is where operators reach the process.
+// OperatorAddress returns the address at which operators reach the process.
 func (c *ControlProcess) OperatorAddress() string { return c.operators.address() }
 
-// Stop hands leadership over and ends the process.
+// Stop transfers the leadership and ends the process.
 func (c *ControlProcess) Stop(ctx context.Context) error {
-	return c.process.stopped(c.end(ctx), closeEndpoint(c.endpoint))
+	return c.process.stopError(c.shutdown(ctx), closeEndpoint(c.endpoint))
 }
 
 // StopTogether ends the process when the other control VMs stop at the same
-// time: it hands no leadership over, and waits for no session of theirs.
+// time: it neither transfers the leadership nor waits for the other control VMs
+// to close their sessions.
 func (c *ControlProcess) StopTogether(ctx context.Context) error {
 	c.replica.StopTogether()
-	return c.process.stopped(c.end(ctx), c.endpoint.Close())
+	return c.process.stopError(c.shutdown(ctx), c.endpoint.Close())
 }
 
-// end has the log stop, and closes the ports for operators and metrics.
-func (c *ControlProcess) end(ctx context.Context) error {
+// shutdown stops the replica and closes the ports for operators and metrics.
+func (c *ControlProcess) shutdown(ctx context.Context) error {
 	c.cancel()
 	closed := errors.Join(c.operators.close(), c.metrics.close())
 	select {
 	case <-c.done:
-		return errors.Join(closed, c.ended)
+		return errors.Join(closed, c.runErr)
 	case <-ctx.Done():
 		return errors.Join(closed, ctx.Err())
 	}
 }
 
-// Kill ends the process at once, as one that dies.
+// Kill ends the process at once, as a crash would.
 func (c *ControlProcess) Kill() error {
-	// The endpoint goes first: a VM that dies hands no leadership over.
+	// The endpoint is closed first: a VM that crashes transfers no leadership.
 	closed := errors.Join(c.endpoint.Close(), c.operators.close(), c.metrics.close())
 	c.cancel()
 	<-c.done
-	return errors.Join(closed, c.ended)
+	return errors.Join(closed, c.runErr)
 }
 
-func members(list []settings.Member) []message.Member {
+// membersFromSettings returns the listed control VMs as voters.
+func membersFromSettings(list []settings.Member) []message.Member {
 	var members []message.Member
 	for _, m := range list {
 		members = append(members, message.Member{Name: m.Name, Address: m.Address, FailureDomain: m.FailureDomain, Voter: true})
@@ -316,7 +323,8 @@
 	return members
 }
 
-// newQuotas counts what organisations ask for.
+// newQuotas returns the server that counts requests against the quotas of
+// organisations.
 func (c *ControlProcess) newQuotas() *quota.Keeper {
 	s := c.process.Settings.Control
 	k := &quota.Keeper{
@@ -333,7 +341,8 @@
 	return k
 }
 
-// newLimits counts what is sent to backend servers that have named a limit.
+// newLimits returns the server that counts the requests sent to backend servers
+// that have reported a limit.
 func (c *ControlProcess) newLimits() *serverlimit.Keeper {
 	k := &serverlimit.Keeper{
 		Leads: c.Leads, Term: func() uint64 { return c.replica.Status().Term }, Logger: c.process.Logger,
--- a/internal/role/enginework.go
+++ b/internal/role/engine_work.go
@@ -14,21 +14,21 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// cancelWithin bounds one cancel call; the gate asks again if it fails.
-const cancelWithin = 2 * time.Second
+// cancelTimeout bounds one cancel call; the gate repeats it if it fails.
+const cancelTimeout = 2 * time.Second
 
-// listWithin bounds one reading of the engine's work. One that fails is asked
-// for again and ends no work: only the watch decides that an engine is lost.
-const listWithin = 2 * time.Second
+// listTimeout bounds one query for the engine's work. A failed query is repeated and
+// ends no work: only engineWatch decides that an engine is lost.
+const listTimeout = 2 * time.Second
 
-// workKey names one piece of work in progress.
+// workKey identifies one piece of work in progress.
 type workKey struct {
 	attempt message.Attempt
 	phase   message.Phase
 }
 
-// engineWork carries the gate's effects out against its engine or service,
-// and posts their outcome.
+// engineWork performs the gate's effects on its engine or service and posts their
+// outcome.
 type engineWork struct {
 	engine  engine.Engine
 	service service.Service
@@ -52,7 +52,7 @@
 	case gate.RunCall:
 		w.start(workKey{f.Call.Attempt, message.PhaseCall}, func(ctx context.Context) { w.call(ctx, f.Call) })
 	case gate.QueryStatus:
-		go w.status(f.Query)
+		go w.queryStatus(f.Query)
 	case gate.CancelWork:
 		go w.cancel(f.Attempt)
 	case gate.ListWork:
@@ -62,7 +62,7 @@
 	}
 }
 
-// start runs work in a goroutine under a context that cancel can end.
+// start runs work in a goroutine under a context that cancel ends.
 func (w *engineWork) start(key workKey, run func(context.Context)) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	w.mu.Lock()
@@ -80,7 +80,7 @@
 func (w *engineWork) prefill(ctx context.Context, r engine.PrefillRequest) {
 	result, err := w.engine.Prefill(ctx, r)
 	if err != nil {
-		w.failed(r.Attempt, message.PhasePrefill, err)
+		w.postFailure(r.Attempt, message.PhasePrefill, err)
 		return
 	}
 	w.post(gate.EnginePrefilled{At: time.Now(), Attempt: r.Attempt, Result: result})
@@ -92,26 +92,26 @@
 		return ctx.Err()
 	})
 	if err != nil {
-		w.failed(r.Attempt, message.PhaseDecode, err)
+		w.postFailure(r.Attempt, message.PhaseDecode, err)
 	}
 }
 
 // call runs a call of a plain service. The gate cancels only calls that may be
-// repeated: one that may run at most once can't be taken back by hanging up,
-// and runs to its end also when the caller left.
+// repeated. A call that may run at most once can't be undone by closing the
+// connection, so it runs to its end even if the caller has disconnected.
 func (w *engineWork) call(ctx context.Context, c message.Call) {
 	answer, err := w.service.Call(ctx, c)
 	if err != nil {
-		w.failed(c.Attempt, message.PhaseCall, err)
+		w.postFailure(c.Attempt, message.PhaseCall, err)
 		return
 	}
 	w.post(gate.ServiceAnswered{At: time.Now(), Answer: answer})
 }
 
-func (w *engineWork) status(q message.StatusQuery) {
+func (w *engineWork) queryStatus(q message.StatusQuery) {
 	answer, err := w.service.Status(w.ctx, q)
 	if err != nil {
-		w.failed(q.Attempt, message.PhaseCall, err)
+		w.postFailure(q.Attempt, message.PhaseCall, err)
 		return
 	}
 	w.post(gate.ServiceAnswered{At: time.Now(), Answer: answer})
@@ -129,17 +129,18 @@
 		w.post(gate.Cancelled{At: time.Now(), Attempt: a})
 		return
 	}
-	ctx, cancel := context.WithTimeout(w.ctx, cancelWithin)
+	ctx, cancel := context.WithTimeout(w.ctx, cancelTimeout)
 	defer cancel()
 	err := w.engine.Cancel(ctx, a)
 	w.post(gate.Cancelled{At: time.Now(), Attempt: a, Failed: err != nil})
 }
 
-// listWork asks for the engine's work. Whether the engine is lost is for the
-// watch to say: one lost answer would otherwise end every request of a gate,
-// and nothing would tell it that the engine still answers. The gate asks again.
+// listWork queries the engine for its work. Only engineWatch decides whether the
+// engine is lost. Otherwise one lost answer would end every request of the gate,
+// and no event would report that the engine still answers. The gate repeats a
+// failed query.
 func (w *engineWork) listWork() {
-	ctx, cancel := context.WithTimeout(w.ctx, listWithin)
+	ctx, cancel := context.WithTimeout(w.ctx, listTimeout)
 	defer cancel()
 	work, err := w.engine.Work(ctx)
 	w.post(gate.WorkListed{At: time.Now(), Work: work, Failed: err != nil})
@@ -153,8 +154,8 @@
 	w.post(gate.CacheListed{At: time.Now(), Index: index})
 }
 
-// failed posts the end of work without its result.
-func (w *engineWork) failed(a message.Attempt, phase message.Phase, err error) {
+// postFailure posts that work has ended without a result.
+func (w *engineWork) postFailure(a message.Attempt, phase message.Phase, err error) {
 	event := gate.WorkFailed{At: time.Now(), Attempt: a, Phase: phase, Reason: oriolebend.ReasonEngineFailed, Ran: oriolebend.RanUnknown, Detail: err.Error()}
 	var engineError *engine.Error
 	if errors.As(err, &engineError) {
--- a/internal/role/entryfollow.go
+++ b/internal/role/entry_follow.go
@@ -15,16 +15,16 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// pollEvery is how often the record of a request is looked up while its owner
-// can't be followed.
-const pollEvery = 500 * time.Millisecond
+// recordPollInterval is how often the record of a request is queried while its
+// owner can't be followed.
+const recordPollInterval = 500 * time.Millisecond
 
 // Attach implements caller.Router.
 func (e *Entry) Attach(ctx context.Context, organisation, requestID string) <-chan caller.Chunk {
 	out := make(chan caller.Chunk)
 	go func() {
 		defer close(out)
-		e.attachTo(ctx, following{organisation: organisation, requestID: requestID}, func(c caller.Chunk) {
+		e.follow(ctx, followedRequest{organisation: organisation, requestID: requestID}, func(c caller.Chunk) {
 			select {
 			case out <- c:
 			case <-ctx.Done():
@@ -34,35 +34,35 @@
 	return out
 }
 
-// attach has a caller whose key is in use elsewhere follow the request that
-// uses it.
-func (e *Entry) attach(f entry.AnswerAttach) {
+// attachCaller lets a caller whose key is in use by another request follow that
+// request.
+func (e *Entry) attachCaller(f entry.AnswerAttach) {
 	e.mu.Lock()
 	log := e.answers[f.RequestID]
 	e.mu.Unlock()
 	if log == nil {
 		return
 	}
-	w := following{
+	w := followedRequest{
 		organisation: log.organisation,
 		requestID:    f.Record,
 		ownerAddress: f.OwnerAddress,
-		// The caller of this entry still waits and its request is whole: if
-		// the owner died before any output, this entry claims it anew.
-		claimAgain: func() { e.submitAgain(f.RequestID, log) },
+		// The caller still waits at this entry, which has its complete request:
+		// if the owner crashed before any output, this entry claims it again.
+		resubmit: func() { e.resubmit(f.RequestID, log) },
 	}
-	e.attachTo(e.ctx, w, func(c caller.Chunk) {
+	e.follow(e.ctx, w, func(c caller.Chunk) {
 		c.RequestID = f.Record
 		log.append(c)
 	})
 }
 
-// submitAgain has this entry run a request whose owner died. It gets a new id:
-// the record holds an id for the outcome that it was given first.
-func (e *Entry) submitAgain(requestID string, log *answerLog) {
+// resubmit takes over a request whose owner has crashed and runs it at this entry. The
+// request gets a new id, because the record keeps the outcome of the previous one under its id.
+func (e *Entry) resubmit(requestID string, log *answerLog) {
 	r := log.request
 	r.ID = uuid.Must(uuid.NewV7()).String()
-	log.rename(r.ID)
+	log.setID(r.ID)
 	e.mu.Lock()
 	delete(e.answers, requestID)
 	e.answers[r.ID] = log
@@ -71,20 +71,20 @@
 	e.loop.Post(entry.Arrived{At: time.Now(), Request: r})
 }
 
-// following is a request that is followed, and where.
-type following struct {
+// followedRequest is a request that is followed, and the place where it runs.
+type followedRequest struct {
 	organisation string
 	requestID    string
-	// ownerAddress is where the request's owner is reached, empty if unknown.
+	// ownerAddress is the address of the request's owner, empty if unknown.
 	ownerAddress string
-	// claimAgain has the request run by this entry; it is nil for those who
-	// only look on.
-	claimAgain func()
+	// resubmit runs the request at this entry; it is nil for a caller that only
+	// follows.
+	resubmit func()
 }
 
-// attachTo follows a request here, at its owner, or in its record, until its
-// last chunk went to put or it was claimed anew.
-func (e *Entry) attachTo(ctx context.Context, w following, put func(caller.Chunk)) {
+// follow follows a request at this entry, at its owner, or in its record, until its
+// last chunk was passed to put or the request was claimed again.
+func (e *Entry) follow(ctx context.Context, w followedRequest, put func(caller.Chunk)) {
 	delivered := 0
 	once := func(c caller.Chunk) {
 		if c.Text != "" && c.Offset < delivered {
@@ -94,7 +94,7 @@
 		put(c)
 	}
 	for ctx.Err() == nil {
-		if e.followHere(ctx, w.organisation, w.requestID, once) {
+		if e.followLocal(ctx, w.organisation, w.requestID, once) {
 			return
 		}
 		if w.ownerAddress != "" && e.followOwner(ctx, w, once) {
@@ -102,11 +102,11 @@
 		}
 		found, err := e.Record(ctx, w.organisation, w.requestID)
 		if err != nil {
-			put(caller.Chunk{Problem: notFollowed(err, w.requestID)})
+			put(caller.Chunk{Problem: unreadRecordProblem(err, w.requestID)})
 			return
 		}
-		if w.claimAgain != nil && delivered == 0 && orphaned(found) {
-			w.claimAgain()
+		if w.resubmit != nil && delivered == 0 && ownerLost(found) {
+			w.resubmit()
 			return
 		}
 		if chunk, final := finalChunk(found, w.requestID, delivered); final {
@@ -114,15 +114,16 @@
 			return
 		}
 		w.ownerAddress = found.OwnerAddress
-		wait(ctx, pollEvery)
+		wait(ctx, recordPollInterval)
 	}
 }
 
-// notFollowed is what a caller is told whose request has a record that can't be read
-// now. The error is about the reading, which was not done; the request itself was
-// claimed by somebody and may have run. Passed on as it is, "not run" would be told of
-// a request that ran, and a payment would be made a second time.
-func notFollowed(err error, requestID string) *oriolebend.Problem {
+// unreadRecordProblem returns the problem for a caller whose request has a record that
+// can't be read now. The error describes the query for the record, which was not run. The
+// request itself was claimed by another entry and may have run. If the error were returned
+// unchanged, the caller would receive "not run" for a request that ran, and might make a
+// payment twice.
+func unreadRecordProblem(err error, requestID string) *oriolebend.Problem {
 	p := *asProblem(err, requestID)
 	if p.Reason != oriolebend.ReasonUnknownRequest {
 		p.Ran = oriolebend.RanUnknown
@@ -130,16 +131,17 @@
 	return &p
 }
 
-// orphaned reports whether a request's owner is gone and another entry may run
-// it: the caller that follows it would otherwise get the end of a process that
-// died in place of its answer.
-func orphaned(a message.ClaimAnswer) bool {
+// ownerLost reports whether a request's owner is lost and another entry may run the
+// request. Otherwise the caller that follows it would receive the failure of the
+// crashed process in place of an answer.
+func ownerLost(a message.ClaimAnswer) bool {
 	return a.State == message.RecordFailed && a.Answer != nil && a.Answer.Reason == oriolebend.ReasonLeaseEnded ||
 		a.State == message.RecordFailed && a.Reason == oriolebend.ReasonLeaseEnded
 }
 
-// followHere reads the answer of a request that this entry owns.
-func (e *Entry) followHere(ctx context.Context, organisation, requestID string, put func(caller.Chunk)) bool {
+// followLocal reads the answer of a request that this entry owns. It reports false
+// if the entry does not run the request or ctx ended first.
+func (e *Entry) followLocal(ctx context.Context, organisation, requestID string, put func(caller.Chunk)) bool {
 	e.mu.Lock()
 	log := e.answers[requestID]
 	e.mu.Unlock()
@@ -149,24 +151,24 @@
 	return e.read(ctx, log, put)
 }
 
-// read hands every chunk of an answer to put; it returns false if ctx ended
-// first. The last reader that leaves before the end cancels the request: no
-// caller is left that could take its answer.
+// read passes every chunk of an answer to put; it reports false if ctx ended first.
+// The last reader that disconnects before the end cancels the request, because no
+// caller is left to receive its answer.
 func (e *Entry) read(ctx context.Context, log *answerLog, put func(caller.Chunk)) bool {
-	log.join()
-	whole := readLog(ctx, log, put)
-	if log.leave() && !whole {
+	log.addReader()
+	complete := readLog(ctx, log, put)
+	if log.removeReader() && !complete {
 		e.loop.Post(entry.CallerLeft{At: time.Now(), RequestID: log.id()})
-		e.forget(log.id(), log)
+		e.dropAnswer(log.id(), log)
 	}
-	return whole
+	return complete
 }
 
-// readLog hands every chunk to put; it returns false if ctx ended first.
+// readLog passes every chunk to put; it reports false if ctx ended first.
 func readLog(ctx context.Context, log *answerLog, put func(caller.Chunk)) bool {
 	read := 0
 	for {
-		chunks, changed := log.from(read)
+		chunks, changed := log.chunksFrom(read)
 		for _, c := range chunks {
 			put(c)
 			if c.Last() {
@@ -182,10 +184,10 @@
 	}
 }
 
-// followOwner reads the answer from the entry that owns the request. It
-// returns false if that entry can't be reached, does not know the request, or
-// is lost before the end.
-func (e *Entry) followOwner(ctx context.Context, w following, put func(caller.Chunk)) bool {
+// followOwner reads the answer from the entry that owns the request. It reports
+// false if that entry is unreachable, does not know the request, or is lost before
+// the end.
+func (e *Entry) followOwner(ctx context.Context, w followedRequest, put func(caller.Chunk)) bool {
 	s, err := e.openFollow(ctx, w.ownerAddress, message.Follow{RequestID: w.requestID, Organisation: w.organisation})
 	if err != nil {
 		return false
@@ -201,7 +203,7 @@
 		if !ok || followed.Reason == oriolebend.ReasonUnknownRequest {
 			return false
 		}
-		put(chunkOf(followed, w.requestID))
+		put(chunkFromFollowed(followed, w.requestID))
 		if followed.Last {
 			return true
 		}
@@ -209,7 +211,7 @@
 }
 
 func (e *Entry) openFollow(ctx context.Context, address string, f message.Follow) (peer.Stream, error) {
-	ctx, cancel := context.WithTimeout(ctx, openWithin)
+	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	s, err := e.config.Dialer.Open(ctx, address)
 	if err != nil {
@@ -222,8 +224,8 @@
 	return s, nil
 }
 
-// ServeFollow is the peer.Handler for entries whose callers sent a key that
-// this entry runs.
+// ServeFollow is the peer.Handler for entries whose callers sent the key of a
+// request that this entry runs.
 func (e *Entry) ServeFollow(ctx context.Context, s peer.Stream) {
 	first, err := s.Receive()
 	if err != nil {
@@ -239,8 +241,8 @@
 		<-s.Done()
 		cancel()
 	}()
-	known := e.followHere(ctx, follow.Organisation, follow.RequestID, func(c caller.Chunk) {
-		if s.Send(followedOf(c)) != nil {
+	known := e.followLocal(ctx, follow.Organisation, follow.RequestID, func(c caller.Chunk) {
+		if s.Send(followedFromChunk(c)) != nil {
 			cancel()
 		}
 	})
@@ -249,7 +251,7 @@
 	}
 }
 
-func followedOf(c caller.Chunk) message.Followed {
+func followedFromChunk(c caller.Chunk) message.Followed {
 	f := message.Followed{Offset: c.Offset, Tokens: c.Tokens, Text: c.Text, Last: c.Last(), Call: c.Call, Answer: c.Replay}
 	if c.End != nil {
 		f.Finish, f.Tokens = c.End.Finish, c.End.Tokens
@@ -260,7 +262,7 @@
 	return f
 }
 
-func chunkOf(f message.Followed, requestID string) caller.Chunk {
+func chunkFromFollowed(f message.Followed, requestID string) caller.Chunk {
 	switch {
 	case f.Reason != "":
 		return caller.Chunk{Problem: &oriolebend.Problem{Reason: f.Reason, Ran: f.Ran, RetryAfter: f.RetryAfter, Detail: f.Detail, RequestID: requestID}}
@@ -275,24 +277,24 @@
 	}
 }
 
-// finalChunk returns how an answer ends whose record is settled. If the
-// caller already has a part of the output the rest can't be told from the
-// stored whole without its token bounds, so the stream breaks off and a retry
-// replays it.
+// finalChunk returns the last chunk of an answer whose record is settled. The stored
+// answer has no token bounds, so the rest can't be separated from output that the
+// caller has already received. In this case the stream breaks off and a retry
+// replays the stored answer.
 func finalChunk(a message.ClaimAnswer, requestID string, delivered int) (caller.Chunk, bool) {
 	switch a.State {
 	case message.RecordAnswered:
 		if a.Answer != nil && delivered == 0 {
 			return caller.Chunk{Replay: a.Answer}, true
 		}
-		return comeBackChunk(requestID, oriolebend.ReasonServerLost, oriolebend.RanYes, "the answer is stored; ask again with the same key"), true
+		return retryChunk(requestID, oriolebend.ReasonServerLost, oriolebend.RanYes, "the answer is stored; ask again with the same key"), true
 	case message.RecordFailed:
 		if a.Answer != nil && !record.Passes(a.Answer.Reason) {
 			return caller.Chunk{Replay: a.Answer}, true
 		}
-		return comeBackChunk(requestID, failureOf(a), oriolebend.RanUnknown, "the request failed where it ran; ask again with the same key"), true
+		return retryChunk(requestID, failureOf(a), oriolebend.RanUnknown, "the request failed where it ran; ask again with the same key"), true
 	case message.RecordNotRun:
-		return comeBackChunk(requestID, oriolebend.ReasonServerLost, oriolebend.RanNo, "the request was closed without running; ask again with the same key"), true
+		return retryChunk(requestID, oriolebend.ReasonServerLost, oriolebend.RanNo, "the request was closed without running; ask again with the same key"), true
 	case message.RecordUnknown:
 		return problemChunk(requestID, oriolebend.ReasonOutcomeLost, oriolebend.RanUnknown, "the request was dispatched once and its outcome is lost"), true
 	default:
@@ -300,7 +302,7 @@
 	}
 }
 
-// failureOf returns why a request failed, by its record.
+// failureOf returns the reason in its record for which a request failed.
 func failureOf(a message.ClaimAnswer) oriolebend.Reason {
 	if a.Answer == nil || a.Answer.Reason == "" {
 		return oriolebend.ReasonServerLost
@@ -312,15 +314,16 @@
 	return caller.Chunk{Problem: &oriolebend.Problem{Reason: reason, Ran: ran, RequestID: requestID, Detail: detail}}
 }
 
-// comeBackAfter is when a caller that followed a request is told to send its
-// key again: the record is open to a new run, or holds the answer, by then.
-const comeBackAfter = time.Second
+// followRetryAfter is the retry delay for a caller that followed a request. By then
+// the record allows a new run or holds the answer.
+const followRetryAfter = time.Second
 
-func comeBackChunk(requestID string, reason oriolebend.Reason, ran oriolebend.Ran, detail string) caller.Chunk {
+func retryChunk(requestID string, reason oriolebend.Reason, ran oriolebend.Ran, detail string) caller.Chunk {
 	c := problemChunk(requestID, reason, ran, detail)
-	c.Problem.RetryAfter = comeBackAfter
+	c.Problem.RetryAfter = followRetryAfter
 	return c
 }
 
-// wait waits where the end of ctx is looked at elsewhere.
+// wait waits until a time has passed or ctx ends. It does not report which, so its
+// callers check ctx.
 func wait(ctx context.Context, d time.Duration) { pause.For(ctx, d) }
--- a/internal/role/forwarderprocess.go
+++ b/internal/role/forwarder_process.go
@@ -23,50 +23,51 @@
 )
 
 const (
-	// defaultForwardStopDelay is how long a balancer that asks every second
-	// takes to look away, with a margin.
+	// defaultForwardStopDelay is how long a load balancer with a health check
+	// every second takes to remove a forwarder, with a margin.
 	defaultForwardStopDelay = 3 * time.Second
-	// defaultForwardStopWithin is longer than streams take.
+	// defaultForwardStopWithin bounds a graceful stop; it is longer than streams
+	// take.
 	defaultForwardStopWithin = 30 * time.Second
-	// stopMargin is left of a stop for closing the ports.
+	// stopMargin is the part of a stop that is reserved for closing the ports.
 	stopMargin = 800 * time.Millisecond
 )
 
-// ForwarderProcess is a running forwarder with its ports.
+// ForwarderProcess is the running process of a forwarder with its ports.
 type ForwarderProcess struct {
-	process   Process
-	endpoint  *peer.Endpoint
-	forwarder *forwarder.Forwarder
-	follower  *routewatch.Follower
-	places    *places.Client
-	quotas    *quota.Client
-	limits    *serverlimit.Client
-	crashes   *quarantine.Store
-	teller    *crashreports.Teller
-	callers   *http1.Server
-	metrics   *httpServer
-	stopping  chan struct{}
-	cancel    context.CancelFunc
-	done      chan struct{}
+	process       Process
+	endpoint      *peer.Endpoint
+	forwarder     *forwarder.Forwarder
+	follower      *routewatch.Follower
+	places        *places.Client
+	quotas        *quota.Client
+	limits        *serverlimit.Client
+	crashes       *quarantine.Store
+	crashReporter *crashreports.Teller
+	callers       *http1.Server
+	metrics       *httpServer
+	stopping      chan struct{}
+	cancel        context.CancelFunc
+	done          chan struct{}
 }
 
-// StartForwarder starts a forwarder that speaks the dialect with callers and
+// StartForwarder starts a forwarder that uses a dialect towards callers and
 // backend servers; Stop ends it.
 func StartForwarder(p Process, dialect forwarder.Dialect) (*ForwarderProcess, error) {
 	p = p.withMetrics(peer.RoleForwarder)
 	process := &ForwarderProcess{process: p, stopping: make(chan struct{}), done: make(chan struct{})}
-	process.teller = &crashreports.Teller{
+	process.crashReporter = &crashreports.Teller{
 		Controls: func() []string { return process.follower.Open() },
 		Peers:    func() []string { return process.follower.Peers() },
 		Logger:   p.Logger,
 	}
-	process.teller.Prepare()
-	process.crashes = quarantine.New(quarantine.Config{Sends: true, Tell: process.teller.Tell, Logger: p.Logger})
+	process.crashReporter.Prepare()
+	process.crashes = quarantine.New(quarantine.Config{Sends: true, Tell: process.crashReporter.Tell, Logger: p.Logger})
 	endpoint, err := p.listen(map[message.Kind]peer.Handler{message.KindCrashReports: crashreports.Serve(process.crashes)})
 	if err != nil {
 		return nil, fmt.Errorf("listen for peers: %w", err)
 	}
-	process.endpoint, process.teller.Dialer = endpoint, endpoint
+	process.endpoint, process.crashReporter.Dialer = endpoint, endpoint
 	process.places = &places.Client{
 		Node: p.Settings.Node.Name, FailureDomain: p.Settings.Node.FailureDomain, Dialer: endpoint, Logger: p.Logger,
 		Leader: func() string { return process.follower.Leader() },
@@ -104,20 +105,20 @@
 		},
 		Sink:    process.forwarder,
 		Reports: func(reports []message.CrashReport) { process.crashes.Heard(reports, false) },
-		Found:   func(address string) { process.teller.TellOne(address, process.crashes.Reports()) },
+		Found:   func(address string) { process.crashReporter.TellOne(address, process.crashes.Reports()) },
 		Logger:  p.Logger,
 	}
 	if err := process.serve(); err != nil {
 		return nil, errors.Join(err, endpoint.Close())
 	}
-	process.publish()
+	process.registerMetrics()
 	ctx, cancel := context.WithCancel(context.Background())
 	process.cancel = cancel
 	go func() {
 		defer close(process.done)
 		var running sync.WaitGroup
 		running.Go(func() { process.places.Run(ctx) })
-		running.Go(func() { process.teller.Run(ctx) })
+		running.Go(func() { process.crashReporter.Run(ctx) })
 		process.follower.Run(ctx)
 		running.Wait()
 	}()
@@ -152,35 +153,36 @@
 		Logger:         p.process.Logger,
 		MaxConnections: cmp.Or(s.Forward.MaxConnections, s.Node.Connections()),
 		Held:           p.process.Held,
-		Refused:        p.refused,
+		Refused:        p.recordRefusal,
 	})
 	return nil
 }
 
-// refused takes in a request that was not read.
-func (p *ForwarderProcess) refused(r http1.Refusal) {
+// recordRefusal counts and logs a request that was refused before it was read.
+func (p *ForwarderProcess) recordRefusal(r http1.Refusal) {
 	p.process.observer().Count("refusal", r.Reason, "")
 	p.process.Logger.Info("request not read", "status", r.Status, "reason", r.Reason, "detail", r.Detail)
 }
 
-func (p *ForwarderProcess) publish() {
+// registerMetrics registers the gauges of the forwarder.
+func (p *ForwarderProcess) registerMetrics() {
 	gauge := p.process.metrics.Gauge
 	gauge("routing_version", "Version of the routing in force.", func() float64 { return float64(p.forwarder.Version()) })
-	gauge("control_links", "Control VMs that are watched.", func() float64 { return float64(p.follower.Links()) })
-	gauge("requests_in_progress", "Requests that are read and not answered.", func() float64 { return float64(p.callers.Active()) })
+	gauge("control_links", "Control VMs that this forwarder watches.", func() float64 { return float64(p.follower.Links()) })
+	gauge("requests_in_progress", "Requests that are read and not yet answered.", func() float64 { return float64(p.callers.Active()) })
 	gauge("caller_connections", "Open connections of callers.", func() float64 { return float64(p.callers.Connections()) })
-	gauge("requests_crash_reported", "Requests under which servers ended, as far as known here.", func() float64 {
+	gauge("requests_crash_reported", "Requests during which servers crashed, as far as this forwarder knows.", func() float64 {
 		reported, _ := p.crashes.Reported()
 		return float64(reported)
 	})
-	gauge("requests_held", "Requests that are not sent to servers, as several ended under them.", func() float64 {
+	gauge("requests_held", "Requests that are quarantined, as several servers crashed during them.", func() float64 {
 		_, held := p.crashes.Reported()
 		return float64(held)
 	})
 	gauge("server_connections_opened", "Connections to backend servers opened so far.", func() float64 { return float64(p.forwarder.Dialled()) })
 }
 
-// Ready reports whether the balancer should send callers here.
+// Ready reports whether the load balancer should send callers to this forwarder.
 func (p *ForwarderProcess) Ready() bool {
 	select {
 	case <-p.stopping:
@@ -190,17 +192,18 @@
 	}
 }
 
-// Reload takes up settings that changed while the process runs: the control VMs
-// that are known from the start.
+// Reload applies the settings that may change while the process runs, which are
+// the addresses of the control VMs.
 func (p *ForwarderProcess) Reload(s settings.Settings) {
 	p.follower.SetSeeds(Process{Settings: s}.controlAddresses())
 }
 
-// Address is where callers reach the forwarder.
+// Address returns the address at which callers reach the forwarder.
 func (p *ForwarderProcess) Address() string { return p.callers.Address() }
 
-// Stop ends the forwarder gracefully: the balancer looks away first, then the
-// requests in progress end, then the ports close.
+// Stop ends the forwarder gracefully. It first waits until the load balancer has
+// removed the forwarder, then until the requests in progress have ended, and then
+// closes the ports.
 func (p *ForwarderProcess) Stop(ctx context.Context) error {
 	close(p.stopping)
 	p.callers.Drain()
@@ -214,10 +217,10 @@
 	p.limits.Close()
 	p.cancel()
 	<-p.done
-	return p.process.stopped(closeEndpoint(p.endpoint), p.metrics.close())
+	return p.process.stopError(closeEndpoint(p.endpoint), p.metrics.close())
 }
 
-// Kill ends the forwarder at once, as a process that dies.
+// Kill ends the forwarder at once, as a crash would.
 func (p *ForwarderProcess) Kill() error {
 	closed := errors.Join(p.endpoint.Close(), p.metrics.close())
 	p.callers.Close()
--- a/internal/role/memberleader.go
+++ b/internal/role/member_leader.go
@@ -20,13 +20,14 @@
 )
 
 const (
-	// leadEvery is how often a control VM looks whether it leads.
-	leadEvery = 50 * time.Millisecond
-	// proposeWithin bounds one change of the membership.
-	proposeWithin = 5 * time.Second
+	// leadershipCheckInterval is how often a control VM checks whether it leads.
+	leadershipCheckInterval = 50 * time.Millisecond
+	// proposeTimeout bounds one proposal that changes the membership.
+	proposeTimeout = 5 * time.Second
 )
 
-// MemberLeader holds the membership leases while its control VM leads.
+// MemberLeader grants and renews the membership leases of backend servers while
+// its control VM leads.
 type MemberLeader struct {
 	Self     string
 	Log      control.Log
@@ -34,20 +35,20 @@
 	Observer Observer
 	Logger   *slog.Logger
 
-	loop     *Loop
-	sessions atomic.Uint64
-	leads    atomic.Bool
+	loop        *Loop
+	lastSession atomic.Uint64
+	leads       atomic.Bool
 
-	mu   sync.Mutex
-	open map[member.SessionID]*peer.Outbox
+	mu           sync.Mutex
+	openSessions map[member.SessionID]*peer.Outbox
 	// announced holds the latest announcement of each server.
 	announced map[string]message.Announce
 	ctx       context.Context
 }
 
-// Prepare makes the leader ready for Serve; it must be called before Run.
+// Prepare initializes the MemberLeader for Serve; it must be called before Run.
 func (m *MemberLeader) Prepare() {
-	m.open = map[member.SessionID]*peer.Outbox{}
+	m.openSessions = map[member.SessionID]*peer.Outbox{}
 	m.announced = map[string]message.Announce{}
 	m.loop = NewLoop(&reducer.State{Member: member.New(member.Config{})}, m.perform, Tick{
 		Every: member.TickEvery,
@@ -55,17 +56,17 @@
 	})
 }
 
-// Run holds leases until ctx ends.
+// Run serves leases until ctx ends.
 func (m *MemberLeader) Run(ctx context.Context) {
 	m.ctx = ctx
 	go m.watchLeadership(ctx)
 	m.loop.Run(ctx)
 }
 
-// watchLeadership tells the reducer when this control VM begins and ends to
-// lead, and of every change of the state in between.
+// watchLeadership posts an event when this control VM gains or loses the
+// leadership, and one for every change of the declared state while it leads.
 func (m *MemberLeader) watchLeadership(ctx context.Context) {
-	ticker := time.NewTicker(leadEvery)
+	ticker := time.NewTicker(leadershipCheckInterval)
 	defer ticker.Stop()
 	for {
 		var view declared.View
@@ -97,7 +98,7 @@
 		m.loop.Post(member.Deposed{At: time.Now()})
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, proposeWithin)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	if err := m.Log.Confirm(ctx); err != nil {
 		return
@@ -106,20 +107,20 @@
 	m.loop.Post(member.LeadershipGained{At: time.Now(), View: m.Store.View()})
 }
 
-// Serve is the peer.Handler for sidecars that announce their server and ask
-// for permits.
+// Serve is the peer.Handler for sidecars that announce their server and request
+// permits.
 func (m *MemberLeader) Serve(_ context.Context, s peer.Stream) {
-	id := member.SessionID(fmt.Sprintf("%s/%d", s.Peer(), m.sessions.Add(1)))
+	id := member.SessionID(fmt.Sprintf("%s/%d", s.Peer(), m.lastSession.Add(1)))
 	out := peer.NewOutbox(s)
 	m.mu.Lock()
-	m.open[id] = out
+	m.openSessions[id] = out
 	m.mu.Unlock()
 	go out.Write()
 	defer func() {
 		out.End()
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		delete(m.open, id)
+		delete(m.openSessions, id)
 	}()
 	for {
 		received, err := s.Receive()
@@ -132,7 +133,7 @@
 		}
 		switch f := received.(type) {
 		case message.Announce:
-			m.note(f)
+			m.recordAnnouncement(f)
 			m.loop.Post(member.Announced{At: time.Now(), Session: id, Announce: f})
 		case message.Permit:
 			m.loop.Post(member.PermitRequested{At: time.Now(), Session: id, Permit: f})
@@ -142,15 +143,16 @@
 	}
 }
 
-// note keeps an announcement for operators who ask how far a server is.
-func (m *MemberLeader) note(a message.Announce) {
+// recordAnnouncement stores an announcement for operators who query the progress
+// of a server.
+func (m *MemberLeader) recordAnnouncement(a message.Announce) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.announced[a.Server.Name] = a
 }
 
-// Announcements returns the latest announcement of each server, nil on a
-// control VM that does not lead and so hears none.
+// Announcements returns the latest announcement of each server. It returns nil on
+// a control VM that does not lead, as only the leader receives announcements.
 func (m *MemberLeader) Announcements() map[string]message.Announce {
 	if !m.leads.Load() {
 		return nil
@@ -164,7 +166,7 @@
 	switch f := effect.(type) {
 	case member.Reply:
 		m.mu.Lock()
-		s := m.open[f.Session]
+		s := m.openSessions[f.Session]
 		m.mu.Unlock()
 		if s != nil {
 			s.Put(f.Message)
@@ -179,9 +181,9 @@
 func (m *MemberLeader) propose(members declared.Members) {
 	err := m.commit(members)
 	if err != nil {
-		m.Logger.Warn("a change of the membership was not accepted", "error", err)
+		m.Logger.Warn("membership change not accepted", "error", err)
 	}
-	// The change itself must reach the reducer before its outcome does.
+	// The reducer must receive the change before the outcome of the proposal.
 	m.loop.Post(member.Committed{At: time.Now(), View: m.Store.View()})
 	m.loop.Post(member.Proposed{At: time.Now(), Failed: err != nil})
 }
@@ -191,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(m.ctx, proposeWithin)
+	ctx, cancel := context.WithTimeout(m.ctx, proposeTimeout)
 	defer cancel()
 	reply, err := m.Log.Propose(ctx, command)
 	if err != nil {
--- a/internal/role/orders.go
+++ b/internal/role/orders.go
@@ -13,15 +13,15 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// orderWithin bounds one order; a load waits for the weight store.
-const orderWithin = 10 * time.Minute
+// orderTimeout bounds one order; loading a model waits for the weight store.
+const orderTimeout = 10 * time.Minute
 
-// Orders has a backend server's engine become what is declared for it.
+// Orders sends orders to a backend server's engine until it is as declared.
 type Orders struct {
-	// Engine is nil beside a plain service, which takes no orders.
+	// Engine is nil for a plain service, which accepts no orders.
 	Engine    engine.Engine
 	Announcer *Announcer
-	// SetState tells the gate whether to take new work.
+	// SetState sets whether the gate accepts new work.
 	SetState func(oriolebend.ServerState)
 	// Left is called when a server that is declared stopping has no work left.
 	Left     func()
@@ -31,20 +31,20 @@
 	ctx  context.Context
 }
 
-// Start begins to give orders until ctx ends; post feeds the loop of the
-// process.
+// Start sends orders until ctx ends; post adds events to the loop of the process.
 func (o *Orders) Start(ctx context.Context, post func(reducer.Event)) {
 	o.ctx, o.post = ctx, post
 	post(order.Started{At: time.Now()})
 }
 
-// Tick passes time to the orders, in the loop of the process.
+// Tick returns the Tick that triggers the timers of orders in the loop of the
+// process.
 func (o *Orders) Tick() Tick {
 	return Tick{Every: order.TickEvery, Event: func(at time.Time) reducer.Event { return order.Ticked{At: at} }}
 }
 
-// Declared tells of the declared state in force.
-func (o *Orders) Declared(view declared.View, server oriolebend.Server) {
+// ApplyDeclared posts the declared state in force.
+func (o *Orders) ApplyDeclared(view declared.View, server oriolebend.Server) {
 	event := order.Declared{At: time.Now(), Revision: view.Revision, Target: view.TargetOf(server)}
 	if self, ok := view.Servers[server.Name]; ok {
 		event.Self = &self
@@ -52,34 +52,34 @@
 	o.post(event)
 }
 
-// Clean tells that no order of an earlier start can be on its way.
+// Clean posts that no order of an earlier incarnation can still be in flight.
 func (o *Orders) Clean() {
 	o.post(order.Clean{At: time.Now()})
 }
 
-// WorkEnded tells that the gate has no work left.
+// WorkEnded posts that the gate has no work left.
 func (o *Orders) WorkEnded() {
 	o.post(order.WorkEnded{At: time.Now()})
 }
 
-// Stopping tells that the sidecar was asked to stop.
+// Stopping posts that the sidecar was requested to stop.
 func (o *Orders) Stopping() {
 	o.post(order.Stopping{At: time.Now()})
 }
 
-// Perform carries an effect out, in the loop of the process.
+// Perform performs an effect; it is called in the loop of the process.
 func (o *Orders) Perform(effect order.Effect) {
 	switch f := effect.(type) {
 	case order.SetState:
 		o.SetState(f.State)
 	case order.AskEngine:
-		go o.ask(f.Number)
+		go o.queryEngine(f.Number)
 	case order.Issue:
 		go o.issue(f.Order)
 	case order.AskPermit:
-		o.Announcer.Ask(f.Permit, o.permitted)
+		o.Announcer.RequestPermit(f.Permit, o.postPermit)
 	case order.Report:
-		o.Announcer.Progress(f.Progress, f.Detail)
+		o.Announcer.SetProgress(f.Progress, f.Detail)
 	case order.Left:
 		o.Left()
 	case order.Count:
@@ -87,7 +87,7 @@
 	}
 }
 
-func (o *Orders) permitted(answer *message.Permitted) {
+func (o *Orders) postPermit(answer *message.Permitted) {
 	if answer == nil {
 		o.post(order.PermitLost{At: time.Now()})
 		return
@@ -95,8 +95,8 @@
 	o.post(order.PermitAnswered{At: time.Now(), Answer: *answer})
 }
 
-func (o *Orders) ask(number uint64) {
-	ctx, cancel := context.WithTimeout(o.ctx, watchWithin)
+func (o *Orders) queryEngine(number uint64) {
+	ctx, cancel := context.WithTimeout(o.ctx, engineQueryTimeout)
 	defer cancel()
 	info, err := o.Engine.Info(ctx)
 	if err != nil {
@@ -107,7 +107,7 @@
 }
 
 func (o *Orders) issue(f engine.Order) {
-	ctx, cancel := context.WithTimeout(o.ctx, orderWithin)
+	ctx, cancel := context.WithTimeout(o.ctx, orderTimeout)
 	defer cancel()
 	err := o.Engine.Order(ctx, f)
 	ended := order.Ended{At: time.Now()}
--- a/internal/role/sidecar.go
+++ b/internal/role/sidecar.go
@@ -19,21 +19,21 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// SidecarConfig sets up a Sidecar.
+// SidecarConfig configures a Sidecar.
 type SidecarConfig struct {
 	Reducer gate.Config
-	// Server is what the sidecar announces; its role, models and memory are
-	// filled in from the engine.
+	// Server is the server that the sidecar announces; its role, models and memory
+	// are filled in from the engine.
 	Server oriolebend.Server
-	// Engine is what stands behind the gate; nil for a plain service.
+	// Engine is the engine behind the gate; nil for a plain service.
 	Engine engine.Engine
-	// Service is what stands behind the gate; nil for an engine.
+	// Service is the plain service behind the gate; nil for an engine.
 	Service service.Service
-	// Announcer carries the server's state to the control VMs.
+	// Announcer announces the server's state to the control VMs.
 	Announcer *Announcer
-	// Orders sets up the orders to the engine.
+	// Orders configures the orders to the engine.
 	Orders order.Config
-	// Follow sets up the follower of the declared state, and Dialer opens its
+	// Follow configures the follower of the declared state, and Dialer opens its
 	// watches.
 	Follow follow.Config
 	Dialer peer.Dialer
@@ -43,54 +43,54 @@
 	Logger   *slog.Logger
 }
 
-// Sidecar is the role beside one backend server: its gate.
+// Sidecar is the role that runs the gate in front of one backend server.
 type Sidecar struct {
-	config   SidecarConfig
-	loop     *Loop
-	ctx      context.Context
-	sessions atomic.Uint64
-	drained  chan struct{}
-	once     sync.Once
-	work     *engineWork
-	orders   *Orders
-	follower *Follower
+	config      SidecarConfig
+	loop        *Loop
+	ctx         context.Context
+	lastSession atomic.Uint64
+	drained     chan struct{}
+	drainedOnce sync.Once
+	work        *engineWork
+	orders      *Orders
+	follower    *Follower
 
-	mu     sync.Mutex
-	open   map[gate.SessionID]*peer.Outbox
-	server oriolebend.Server
+	mu           sync.Mutex
+	openSessions map[gate.SessionID]*peer.Outbox
+	server       oriolebend.Server
 	// stopping is true once Stop was called.
 	stopping bool
 }
 
-// renewEvery is how often the sidecar renews the leases of sessions whose
-// connection lives. The connection's own idle timeout ends sessions of a peer
-// that is gone, so no message is spent on renewal.
-const renewEvery = 500 * time.Millisecond
+// sessionRenewInterval is how often the sidecar renews the leases of sessions with an
+// open connection. The idle timeout of the connection ends the sessions of a lost
+// peer, so that renewals need no messages.
+const sessionRenewInterval = 500 * time.Millisecond
 
 // NewSidecar returns a sidecar; Run starts it.
 func NewSidecar(c SidecarConfig) *Sidecar {
 	s := &Sidecar{
-		config:  c,
-		drained: make(chan struct{}),
-		open:    map[gate.SessionID]*peer.Outbox{},
-		server:  c.Server,
+		config:       c,
+		drained:      make(chan struct{}),
+		openSessions: map[gate.SessionID]*peer.Outbox{},
+		server:       c.Server,
 	}
 	s.follower = NewFollower(FollowerConfig{
 		Reducer:  c.Follow,
 		Dialer:   c.Dialer,
-		Apply:    func(view declared.View, _ follow.Changed) { s.Declared(view) },
+		Apply:    func(view declared.View, _ follow.Changed) { s.ApplyDeclared(view) },
 		Observer: c.Observer,
 	})
 	s.orders = &Orders{
 		Engine:    c.Engine,
 		Announcer: c.Announcer,
-		SetState:  s.declare,
+		SetState:  s.setGateState,
 		Left:      c.Left,
 		Observer:  c.Observer,
 	}
 	state := &reducer.State{Gate: gate.New(c.Reducer), Order: order.New(c.Orders), Follow: s.follower.State}
 	s.loop = NewLoop(state, s.perform, s.follower.Tick(), s.orders.Tick(), Tick{
-		Every: gateTickEvery,
+		Every: gateTickInterval,
 		Event: func(at time.Time) reducer.Event { return gate.Ticked{At: at} },
 	})
 	s.work = newEngineWork(c.Engine, c.Service, s.loop.Post)
@@ -102,7 +102,7 @@
 func (s *Sidecar) Run(ctx context.Context) {
 	s.ctx = ctx
 	s.work.ctx = ctx
-	go s.renew(ctx)
+	go s.renewSessions(ctx)
 	s.orders.Start(ctx, s.loop.Post)
 	s.follower.Start(ctx, s.loop.Post)
 	if s.config.Engine != nil {
@@ -111,34 +111,33 @@
 	s.loop.Run(ctx)
 }
 
-// Declared tells of the declared state in force.
-func (s *Sidecar) Declared(view declared.View) {
-	s.config.Announcer.Reached(view.Revision)
+// ApplyDeclared applies the declared state in force.
+func (s *Sidecar) ApplyDeclared(view declared.View) {
+	s.config.Announcer.SetReached(view.Revision)
 	s.mu.Lock()
 	server := s.server
 	s.mu.Unlock()
-	s.orders.Declared(view, server)
+	s.orders.ApplyDeclared(view, server)
 }
 
-// declare tells the gate whether to take new work.
-func (s *Sidecar) declare(state oriolebend.ServerState) {
+// setGateState sets whether the gate accepts new work.
+func (s *Sidecar) setGateState(state oriolebend.ServerState) {
 	s.loop.Post(gate.Declared{At: time.Now(), State: state})
 }
 
-// workEnded tells those who wait for it that the gate has no work left.
+// workEnded notifies Stop, or else the orders, that the gate has no work left.
 func (s *Sidecar) workEnded() {
 	s.mu.Lock()
 	stopping := s.stopping
 	s.mu.Unlock()
 	if stopping {
-		s.once.Do(func() { close(s.drained) })
+		s.drainedOnce.Do(func() { close(s.drained) })
 		return
 	}
 	s.orders.WorkEnded()
 }
 
-// Stop refuses new work and returns once the work in progress has ended, or
-// ctx has.
+// Stop refuses new work and returns once the work in progress has ended or ctx ends.
 func (s *Sidecar) Stop(ctx context.Context) error {
 	s.mu.Lock()
 	s.stopping = true
@@ -153,26 +152,26 @@
 	}
 }
 
-// Ready reports whether the server takes new work.
+// Ready reports whether the server accepts new work.
 func (s *Sidecar) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.stopping && s.server.State == oriolebend.ServerServing
 }
 
-// sessionsOpen counts the sessions of entries.
+// sessionsOpen counts the open sessions of entries.
 func (s *Sidecar) sessionsOpen() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.open)
+	return len(s.openSessions)
 }
 
 // Serve is the peer.Handler for sessions that entries open.
 func (s *Sidecar) Serve(_ context.Context, stream peer.Stream) {
-	id := gate.SessionID(fmt.Sprintf("%s/%d", stream.Peer(), s.sessions.Add(1)))
+	id := gate.SessionID(fmt.Sprintf("%s/%d", stream.Peer(), s.lastSession.Add(1)))
 	session := peer.NewOutbox(stream)
 	s.mu.Lock()
-	s.open[id] = session
+	s.openSessions[id] = session
 	s.mu.Unlock()
 	go session.Write()
 	for {
@@ -183,15 +182,15 @@
 		s.loop.Post(gate.Received{At: time.Now(), Session: id, Message: m})
 	}
 	s.mu.Lock()
-	delete(s.open, id)
+	delete(s.openSessions, id)
 	s.mu.Unlock()
 	s.loop.Post(gate.Closed{At: time.Now(), Session: id})
 	session.End()
 }
 
-// renew renews the lease of every session whose connection lives.
-func (s *Sidecar) renew(ctx context.Context) {
-	ticker := time.NewTicker(renewEvery)
+// renewSessions renews the lease of every session with an open connection.
+func (s *Sidecar) renewSessions(ctx context.Context) {
+	ticker := time.NewTicker(sessionRenewInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -199,7 +198,7 @@
 			return
 		case at := <-ticker.C:
 			s.mu.Lock()
-			for id := range s.open {
+			for id := range s.openSessions {
 				s.loop.Post(gate.Renewed{At: at, Session: id})
 			}
 			s.mu.Unlock()
@@ -207,19 +206,19 @@
 	}
 }
 
-// announce tells the control VMs of the server in a state.
+// announce announces the server with a new state to the control VMs.
 func (s *Sidecar) announce(state oriolebend.ServerState) {
 	s.mu.Lock()
 	s.server.State = state
 	server := s.server
 	s.mu.Unlock()
-	s.config.Announcer.Server(server)
+	s.config.Announcer.SetServer(server)
 }
 
-// gateTickEvery is how often time passes for the gate.
-const gateTickEvery = 50 * time.Millisecond
+// gateTickInterval is the interval of the gate's ticks.
+const gateTickInterval = 50 * time.Millisecond
 
-// perform carries one effect of the reducer out.
+// perform performs one effect of the reducer.
 func (s *Sidecar) perform(effect reducer.Effect) {
 	switch f := effect.(type) {
 	case gate.Effect:
@@ -250,7 +249,7 @@
 
 func (s *Sidecar) reply(f gate.Reply) {
 	s.mu.Lock()
-	session := s.open[f.Session]
+	session := s.openSessions[f.Session]
 	s.mu.Unlock()
 	if session != nil {
 		session.Put(f.Message)
@@ -259,7 +258,7 @@
 
 func (s *Sidecar) endSession(id gate.SessionID) {
 	s.mu.Lock()
-	session := s.open[id]
+	session := s.openSessions[id]
 	s.mu.Unlock()
 	if session != nil {
 		session.End()
