--- a/internal/reducer/record/canonical.go
+++ b/internal/reducer/record/canonical.go
@@ -10,29 +10,29 @@
 	"unicode/utf8"
 )
 
-// Marks before a canonical body, so that a JSON text and the same bytes taken
-// as they are never count as the same.
+// Prefixes of a canonical body. They make a JSON text differ from a body that is
+// hashed unchanged and has the same bytes.
 const (
-	markJSON = 'j'
-	markRaw  = 'r'
+	prefixJSON = 'j'
+	prefixRaw  = 'r'
 )
 
-// maxCanonicalDepth bounds the nesting that is canonicalised.
+// maxCanonicalDepth bounds the nesting of a JSON text that is canonicalised.
 const maxCanonicalDepth = 64
 
-// errNotCanonical marks a body that is hashed as it is.
+// errNotCanonical is returned for a body that is hashed unchanged.
 var errNotCanonical = errors.New("body has no canonical form")
 
-// canonicalBody returns a body such that two JSON texts that differ in white
-// space, the order of members or the escapes of strings give the same bytes.
-// Numbers keep their text: 10.0 and 10.00 may be different amounts to a
-// service. A body that servers read in different ways (a member twice, broken
-// UTF-8, half a surrogate pair) is taken as it is.
+// canonicalBody returns the canonical form of a body. Two JSON texts that differ
+// only in white space, the order of members or the escapes of strings have the
+// same canonical form. Numbers keep their text, because 10.0 and 10.00 may be
+// different amounts to a service. A body that servers may interpret differently
+// (a duplicate member, invalid UTF-8, half a surrogate pair) is not changed.
 func canonicalBody(body []byte) []byte {
 	if canonical, err := canonicalJSON(body); err == nil {
-		return append([]byte{markJSON}, canonical...)
+		return append([]byte{prefixJSON}, canonical...)
 	}
-	return append([]byte{markRaw}, body...)
+	return append([]byte{prefixRaw}, body...)
 }
 
 func canonicalJSON(body []byte) ([]byte, error) {
@@ -85,8 +85,9 @@
 	out.WriteString("false")
 }
 
-// writeString refuses the replacement character: the decoder puts it in for
-// half a surrogate pair, and two different texts would become the same.
+// writeString refuses a text with the replacement character. The decoder
+// replaces half a surrogate pair by it, so two different texts would become the
+// same.
 func writeString(out *bytes.Buffer, text string) error {
 	if strings.ContainsRune(text, utf8.RuneError) {
 		return errNotCanonical
--- a/internal/reducer/record/claim.go
+++ b/internal/reducer/record/claim.go
@@ -7,51 +7,52 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// claim gives the scope to the claimer or tells what stands in its way.
+// claim makes the claimer the owner of the scope, or returns the state of the
+// record that prevents it.
 func (s *State) claim(m message.Claim) message.ClaimAnswer {
-	r, ok := s.records[scopeHash(m.Scope)]
+	r, ok := s.records[scopeDigest(m.Scope)]
 	if !ok {
 		return s.create(m)
 	}
 	if !SameCommand(r.fingerprint, m.Fingerprint) {
 		return s.conflict(r, m)
 	}
-	s.renewClaimer(m)
-	s.endLease(r)
+	s.renewClaimerLease(m)
+	s.settleIfOrphaned(r)
 	if r.requestID == m.RequestID && r.owner == m.Owner {
-		return s.claimedAgain(r, m)
+		return s.claimOfOwner(r, m)
 	}
-	if s.ids[hashOf(m.RequestID)] != nil {
-		return s.claimedBefore(r, m)
+	if s.byID[digestOf(m.RequestID)] != nil {
+		return s.claimOfUsedID(r, m)
 	}
-	if r.reopens(m.Once) {
+	if r.canReopen(m.Once) {
 		return s.takeOver(r, m)
 	}
 	return s.view(r, viewOutcome(r), m.Ticket)
 }
 
-// claimedAgain answers a claim that its owner sent twice, as after a lost
-// answer. It reopens nothing: the second copy may arrive after the owner has
-// settled the record and told its caller.
-func (s *State) claimedAgain(r *request, m message.Claim) message.ClaimAnswer {
+// claimOfOwner answers a claim that the owner sent again, such as after a lost
+// answer. It does not reopen the record: the second copy may arrive after the
+// owner has settled the record and answered its caller.
+func (s *State) claimOfOwner(r *record, m message.Claim) message.ClaimAnswer {
 	if r.open() {
 		return s.view(r, message.ClaimOwned, m.Ticket)
 	}
 	return s.view(r, viewOutcome(r), m.Ticket)
 }
 
-// claimedBefore answers a claim whose id was used before. If it is an earlier
-// id of this record it came late: its request was taken over since, and gets
-// told what became of it.
-func (s *State) claimedBefore(r *request, m message.Claim) message.ClaimAnswer {
-	e, ok := r.earlierAs(m.RequestID)
+// claimOfUsedID answers a claim whose request id was used before. If it is an
+// earlier id of this record, the claim arrived late: a retry has taken the
+// record over since, and the claim is answered with the outcome of its request.
+func (s *State) claimOfUsedID(r *record, m message.Claim) message.ClaimAnswer {
+	e, ok := r.findEarlierID(m.RequestID)
 	if !ok {
 		return refusedClaim(m, oriolebend.ReasonMalformed)
 	}
 	if !e.NotRun {
 		return s.view(r, viewOutcome(r), m.Ticket)
 	}
-	return viewEarlier(e, m.Ticket)
+	return viewEarlierID(e, m.Ticket)
 }
 
 func refusedClaim(m message.Claim, reason oriolebend.Reason) message.ClaimAnswer {
@@ -63,7 +64,8 @@
 	}
 }
 
-func viewEarlier(e earlierID, ticket uint64) message.ClaimAnswer {
+// viewEarlierID returns the answer for an earlier id that was closed as not run.
+func viewEarlierID(e earlierID, ticket uint64) message.ClaimAnswer {
 	return message.ClaimAnswer{
 		Outcome:   message.ClaimReplay,
 		RequestID: e.ID,
@@ -76,10 +78,10 @@
 }
 
 func (s *State) create(m message.Claim) message.ClaimAnswer {
-	if reason := s.refuses(m); reason != "" {
+	if reason := s.refusalReason(m); reason != "" {
 		return refusedClaim(m, reason)
 	}
-	r := &request{
+	r := &record{
 		scope: message.Scope{
 			Organisation: s.intern(m.Scope.Organisation),
 			Operation:    s.intern(m.Scope.Operation),
@@ -90,79 +92,79 @@
 		attempt:     1,
 		status:      m.Status,
 	}
-	s.records[scopeHash(r.scope)] = r
-	s.own(r, m)
-	s.bytes += r.cost()
+	s.records[scopeDigest(r.scope)] = r
+	s.assignOwner(r, m)
+	s.recordBytes += r.memoryBytes()
 	return s.view(r, message.ClaimOwned, m.Ticket)
 }
 
-// refuses returns why a new record can't be made, or nothing. At the bound
-// new claims are refused: dropping an old record instead would let its retry
-// run a second time.
-func (s *State) refuses(m message.Claim) oriolebend.Reason {
+// refusalReason returns why a new record can't be created, or an empty reason.
+// At the limit of records new claims are refused: removing an old record instead
+// would let a retry of its request run a second time.
+func (s *State) refusalReason(m message.Claim) oriolebend.Reason {
 	if m.RequestID == "" || m.Owner == "" || m.Fingerprint == "" {
 		return oriolebend.ReasonMalformed
 	}
-	if _, used := s.ids[hashOf(m.RequestID)]; used {
+	if _, used := s.byID[digestOf(m.RequestID)]; used {
 		return oriolebend.ReasonMalformed
 	}
-	if len(s.records) >= s.limits.MaxRecords || s.bytes >= s.limits.MaxBytes {
+	if len(s.records) >= s.limits.MaxRecords || s.recordBytes >= s.limits.MaxBytes {
 		return oriolebend.ReasonRecordsFull
 	}
 	return ""
 }
 
-// takeOver gives an existing record to a new owner, behind every attempt that
-// was given out before.
-func (s *State) takeOver(r *request, m message.Claim) message.ClaimAnswer {
-	s.bytes -= r.cost()
-	s.rename(r)
+// takeOver makes the claimer the owner of an existing record, with an attempt
+// number past all that were assigned before.
+func (s *State) takeOver(r *record, m message.Claim) message.ClaimAnswer {
+	s.recordBytes -= r.memoryBytes()
+	s.keepEarlierID(r)
 	r.nextOwnership()
 	r.once = r.once || m.Once
-	s.own(r, m)
-	s.bytes += r.cost()
+	s.assignOwner(r, m)
+	s.recordBytes += r.memoryBytes()
 	return s.view(r, message.ClaimOwned, m.Ticket)
 }
 
-// rename keeps the present id of a record as an earlier one. The list is
-// copied, for an image of the state may share it.
-func (s *State) rename(r *request) {
-	r.earlier = append(slices.Clone(r.earlier), earlierID{
+// keepEarlierID adds the current id of a record to its earlier ids. It copies
+// the list, because an image of the state may share it.
+func (s *State) keepEarlierID(r *record) {
+	r.earlierIDs = append(slices.Clone(r.earlierIDs), earlierID{
 		ID:      r.requestID,
 		NotRun:  r.state == message.RecordNotRun,
 		Attempt: r.attempt,
 	})
-	if len(r.earlier) > mostEarlier {
-		delete(s.ids, hashOf(r.earlier[0].ID))
-		r.earlier = r.earlier[1:]
+	if len(r.earlierIDs) > maxEarlierIDs {
+		delete(s.byID, digestOf(r.earlierIDs[0].ID))
+		r.earlierIDs = r.earlierIDs[1:]
 	}
 }
 
-func (s *State) own(r *request, m message.Claim) {
-	s.renewClaimer(m)
-	s.drop(r)
+func (s *State) assignOwner(r *record, m message.Claim) {
+	s.renewClaimerLease(m)
+	s.clearAnswer(r)
 	r.owner = s.intern(m.Owner)
 	r.requestID = m.RequestID
-	s.ids[hashOf(r.requestID)] = r
+	s.byID[digestOf(r.requestID)] = r
 	r.server = ""
 	r.reason = ""
 	r.retryable = false
-	s.move(r, message.RecordClaimed)
+	s.setState(r, message.RecordClaimed)
 }
 
-func (s *State) renewClaimer(m message.Claim) {
-	s.renew(message.Renew{Owner: m.Owner, Address: m.OwnerAddress, LeaseFor: m.LeaseFor})
+func (s *State) renewClaimerLease(m message.Claim) {
+	s.renewLease(message.Renew{Owner: m.Owner, Address: m.OwnerAddress, LeaseFor: m.LeaseFor})
 }
 
-// endLease settles an open record whose owner's lease ended before any sweep
-// came by.
-func (s *State) endLease(r *request) {
-	if r.open() && !s.leased(r.owner, s.now) {
-		s.orphan(r, &Expired{})
+// settleIfOrphaned settles an open record whose owner's lease ended but which no
+// Expire has settled yet.
+func (s *State) settleIfOrphaned(r *record) {
+	if r.open() && !s.hasLease(r.owner, s.now) {
+		s.settleOrphan(r, &Expired{})
 	}
 }
 
-func (s *State) conflict(r *request, m message.Claim) message.ClaimAnswer {
+func (s *State) conflict(r *record, m message.Claim) message.ClaimAnswer {
 	return message.ClaimAnswer{
 		Outcome:   message.ClaimConflict,
 		RequestID: r.requestID,
@@ -172,8 +174,8 @@
 	}
 }
 
-// view is the record as its claimers and askers see it.
-func (s *State) view(r *request, outcome message.ClaimOutcome, ticket uint64) message.ClaimAnswer {
+// view returns the record in the form that claims and queries are answered with.
+func (s *State) view(r *record, outcome message.ClaimOutcome, ticket uint64) message.ClaimAnswer {
 	answer := message.ClaimAnswer{
 		Outcome:   outcome,
 		RequestID: r.requestID,
@@ -186,16 +188,17 @@
 	}
 	if r.open() {
 		answer.Owner = r.owner
-		answer.OwnerAddress = s.owner(r.owner).address
+		answer.OwnerAddress = s.findOrAddOwner(r.owner).address
 	}
 	if r.answer == nil {
-		answer.Answer = reasonOnly(r)
+		answer.Answer = failureWithoutAnswer(r)
 	}
 	return answer
 }
 
-// reasonOnly is the answer of a record that ended without one.
-func reasonOnly(r *request) *message.Answer {
+// failureWithoutAnswer returns the answer for a record that ended without one:
+// its reason and whether the request ran.
+func failureWithoutAnswer(r *record) *message.Answer {
 	switch {
 	case r.reason == "" || r.reason == oriolebend.ReasonAnswerNotKept:
 		return nil
@@ -208,8 +211,8 @@
 	}
 }
 
-// viewOutcome is the outcome that says what a record holds.
-func viewOutcome(r *request) message.ClaimOutcome {
+// viewOutcome returns the claim outcome for the state of a record.
+func viewOutcome(r *record) message.ClaimOutcome {
 	switch {
 	case r.open():
 		return message.ClaimAttach
--- a/internal/reducer/record/fingerprint.go
+++ b/internal/reducer/record/fingerprint.go
@@ -11,17 +11,17 @@
 	"strings"
 )
 
-// Versions of the fingerprint. A change of the computation adds a version and
-// keeps the old one for as long as records are kept; until then both stand in
-// every fingerprint, the newest first.
+// Versions of the fingerprint. A change of the computation adds a version. The
+// old version stays for as long as records are kept; until then every
+// fingerprint holds both, the newest first.
 const fingerprintV1 = "v1"
 
-// fingerprintBytes is how much of the hash is kept.
+// fingerprintBytes is the length of the truncated hash.
 const fingerprintBytes = 16
 
-// ValidatedCommand is what a request means, after defaults were filled in and
-// without what belongs to the transport only. Fields that do not apply are
-// empty.
+// ValidatedCommand is the content of a request with its defaults filled in and
+// without the parts that belong to the transport only. Fields that do not apply
+// are empty.
 type ValidatedCommand struct {
 	Operation string
 	Model     string
@@ -29,12 +29,12 @@
 	Adapter   string
 	Prompt    string
 	MaxTokens int
-	// Service and those below it are of a call of a plain service.
+	// Service and the fields below it are set for the call of a plain service.
 	Service string
 	Method  string
 	Path    string
-	// Header holds the headers that change what the call does, by canonical
-	// name, such as Content-Type and If-Match.
+	// Header holds the headers that affect the result of the call, such as
+	// Content-Type and If-Match, by canonical name.
 	Header map[string]string
 	Body   []byte
 }
@@ -45,8 +45,8 @@
 	return fingerprintV1 + ":" + hex.EncodeToString(sumV1(c))
 }
 
-// sumV1 hashes each field with its length before it, so that no text can move
-// from one field to the next unnoticed.
+// sumV1 hashes each field after its length, so that moving text from one field
+// to the next changes the hash.
 func sumV1(c ValidatedCommand) []byte {
 	h := sha256.New()
 	for _, field := range []string{
@@ -70,10 +70,10 @@
 	h.Write(field)
 }
 
-// SameCommand reports whether a stored and a claimed fingerprint are of the
-// same command. The newest version that both hold decides; without a common
-// version the commands count as different, for a retry that can't be proven
-// must not be answered with the first command's answer.
+// SameCommand reports whether a stored and a claimed fingerprint belong to the
+// same command. It compares the newest version that both hold. Without a common
+// version the commands count as different, because a request that is not known
+// to be a retry must not get the answer of the first command.
 func SameCommand(stored, claimed string) bool {
 	if stored == claimed {
 		return true
@@ -88,6 +88,7 @@
 	return false
 }
 
+// versions returns the hashes of a fingerprint by version.
 func versions(fingerprint string) map[string]string {
 	found := map[string]string{}
 	for _, one := range strings.Fields(fingerprint) {
--- a/internal/reducer/record/limits.go
+++ b/internal/reducer/record/limits.go
@@ -12,9 +12,9 @@
 	defaultKeepAnswers    = time.Hour
 )
 
-// Limits bound the memory of the records and set how long they are kept. They
-// travel in the log, for two control VMs with different settings would
-// otherwise come to different states.
+// Limits bounds the memory of the records and sets how long they are kept. The
+// limits are part of the log, because two control VMs with different settings
+// would otherwise reach different states.
 type Limits struct {
 	// MaxRecords bounds the number of records; zero means 4,194,304.
 	MaxRecords int `cbor:"maxRecords"`
@@ -22,8 +22,8 @@
 	MaxBytes int64 `cbor:"maxBytes"`
 	// MaxAnswerBytes bounds one stored answer; zero means 64 KiB.
 	MaxAnswerBytes int `cbor:"maxAnswerBytes"`
-	// MaxAnswersBytes bounds all stored answers; beyond it the oldest are
-	// forgotten before KeepAnswers. Zero means 512 MiB.
+	// MaxAnswersBytes bounds all stored answers. Beyond it the oldest answers are
+	// removed before KeepAnswers has passed. Zero means 512 MiB.
 	MaxAnswersBytes int64 `cbor:"maxAnswersBytes"`
 	// KeepRecords is how long a settled record is kept; zero means 24h.
 	KeepRecords time.Duration `cbor:"keepRecords"`
--- a/internal/reducer/record/list.go
+++ b/internal/reducer/record/list.go
@@ -1,18 +1,19 @@
 package record
 
-// list is an intrusive list of records; a record is in one list at a time.
-// Removal from the middle costs no search, and the order is the order of
-// entry, which makes bounded sweeps the same on every control VM.
+// list is an intrusive doubly linked list of records. A record is in one list at
+// a time. A record in the middle is removed without a search. The records are in
+// the order in which they were added, so a bounded expiry removes the same
+// records on every control VM.
 type list struct {
-	head, tail *request
+	head, tail *record
 	length     int
-	// answered is the first record that may hold an answer; those before it
-	// hold none.
-	answered *request
+	// firstAnswer is the first record that may hold an answer. The records
+	// before it hold none.
+	firstAnswer *record
 }
 
-func (l *list) push(r *request) {
-	r.in = l
+func (l *list) push(r *record) {
+	r.list = l
 	r.previous = l.tail
 	r.next = nil
 	if l.tail == nil {
@@ -22,23 +23,24 @@
 	}
 	l.tail = r
 	l.length++
-	if l.answered == nil {
-		l.answered = r
+	if l.firstAnswer == nil {
+		l.firstAnswer = r
 	}
 }
 
-// oldestAnswer returns the first record with an answer, or nil. Records without
-// one are passed over once: they get none while they are in the list.
-func (l *list) oldestAnswer() *request {
-	for l.answered != nil && l.answered.answer == nil {
-		l.answered = l.answered.next
+// oldestAnswer returns the first record with an answer, or nil. It skips each
+// record without an answer only once, because such a record gets no answer while
+// it is in the list.
+func (l *list) oldestAnswer() *record {
+	for l.firstAnswer != nil && l.firstAnswer.answer == nil {
+		l.firstAnswer = l.firstAnswer.next
 	}
-	return l.answered
+	return l.firstAnswer
 }
 
-func (l *list) remove(r *request) {
-	if l.answered == r {
-		l.answered = r.next
+func (l *list) remove(r *record) {
+	if l.firstAnswer == r {
+		l.firstAnswer = r.next
 	}
 	if r.previous == nil {
 		l.head = r.next
@@ -50,6 +52,6 @@
 	} else {
 		r.next.previous = r.previous
 	}
-	r.in, r.previous, r.next = nil, nil, nil
+	r.list, r.previous, r.next = nil, nil, nil
 	l.length--
 }
--- a/internal/reducer/record/model_test.go
+++ b/internal/reducer/record/model_test.go
@@ -159,7 +159,7 @@
 	id      string
 }
 
-func viewOf(r *request) recordView {
+func viewOf(r *record) recordView {
 	v := recordView{state: r.state, attempt: r.attempt, once: r.once, id: r.requestID}
 	if r.answer != nil {
 		v.body = string(r.answer.Body)
@@ -216,7 +216,7 @@
 
 // checkTruth compares a record that says not run with the service; whoever
 // asks may be told so from now on.
-func (w *world) checkTruth(r *request) {
+func (w *world) checkTruth(r *record) {
 	if r.state == message.RecordNotRun && r.once {
 		w.toldNotRun(r.scope.Key, r.attempt)
 	}
@@ -226,10 +226,10 @@
 // window for the keys it took.
 func (w *world) checkRemoved(before map[string]recordView) {
 	for key, view := range before {
-		if _, held := w.state.records[scopeHash(w.scope(key))]; held {
+		if _, held := w.state.records[scopeDigest(w.scope(key))]; held {
 			continue
 		}
-		if !final(view.state) {
+		if !isFinal(view.state) {
 			w.t.Fatalf("removed the record of %s while %s", key, view.state)
 		}
 		delete(w.executed, key)
@@ -318,7 +318,7 @@
 }
 
 func (w *world) claimed(t *task, a message.ClaimAnswer) {
-	if a.Outcome == message.ClaimReplay && !final(a.State) {
+	if a.Outcome == message.ClaimReplay && !isFinal(a.State) {
 		w.t.Fatalf("%s: replay of a record that is %s", t.key, a.State)
 	}
 	if t.stage == closingClaim {
@@ -567,7 +567,7 @@
 func (w *world) pass() {
 	ticks := rapid.SampledFrom([]int{1, 1, 1, 3, 4, 4, 12, 25}).Draw(w.t, "ticks")
 	for range ticks {
-		w.now = w.now.Add(quietAfter - time.Second)
+		w.now = w.now.Add(maxClockGap - time.Second)
 		c := Command{Expire: &Expire{Limit: 2}}
 		for _, e := range w.entries {
 			if !e.cut {
--- a/internal/reducer/record/query.go
+++ b/internal/reducer/record/query.go
@@ -7,11 +7,11 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Query looks a request of an organisation up. A record of another
-// organisation is not found. An owner whose lease ended is told as gone, also
-// before a sweep has settled what it held.
+// Query returns the record of a request id if it belongs to the organisation,
+// else the outcome none. A record whose owner's lease has ended is returned with
+// the reason leaseEnded or outcomeLost, even if no Expire has settled it yet.
 func (s *State) Query(q message.Query) message.ClaimAnswer {
-	r, ok := s.ids[hashOf(q.RequestID)]
+	r, ok := s.byID[digestOf(q.RequestID)]
 	if !ok || r.scope.Organisation != q.Organisation {
 		return message.ClaimAnswer{
 			Outcome:   message.ClaimNone,
@@ -20,8 +20,8 @@
 			Ticket:    q.Ticket,
 		}
 	}
-	if e, earlier := r.earlierAs(q.RequestID); earlier && e.NotRun {
-		return viewEarlier(e, q.Ticket)
+	if e, earlier := r.findEarlierID(q.RequestID); earlier && e.NotRun {
+		return viewEarlierID(e, q.Ticket)
 	}
 	answer := s.view(r, viewOutcome(r), q.Ticket)
 	if r.open() {
@@ -30,9 +30,10 @@
 	return answer
 }
 
-// viewOrphan shows an open record without a live owner as it will be settled.
-func (s *State) viewOrphan(r *request, answer *message.ClaimAnswer) {
-	if s.leased(r.owner, s.now) {
+// viewOrphan adjusts the answer for an open record whose owner's lease has
+// ended: a running request that may run at most once is shown as unknown.
+func (s *State) viewOrphan(r *record, answer *message.ClaimAnswer) {
+	if s.hasLease(r.owner, s.now) {
 		return
 	}
 	answer.Reason = oriolebend.ReasonLeaseEnded
@@ -43,21 +44,22 @@
 	}
 }
 
-// UnknownRequest is a record whose outcome is lost, for those who resolve it.
+// UnknownRequest is a record whose outcome is lost. The control VMs use it to
+// query the outcome.
 type UnknownRequest struct {
 	RequestID string
 	Scope     message.Scope
 	Attempt   uint32
-	// Server had the attempt.
+	// Server is the server that the attempt was sent to.
 	Server string
-	// Status is how to ask for the outcome; nil if the service can't tell.
+	// Status is the call that returns the outcome; nil if the service has none.
 	Status *message.StatusCall
 	// Since is when the record became unknown.
 	Since time.Time
 }
 
-// Unknown lists at most limit unknown records, the oldest first. With askable
-// it lists only those whose service can tell the outcome.
+// Unknown lists at most limit unknown records, the oldest first. If askable is
+// true, it lists only records whose service has a status call.
 func (s *State) Unknown(limit int, askable bool) []UnknownRequest {
 	var found []UnknownRequest
 	for r := s.unknown.head; r != nil && len(found) < limit; r = r.next {
--- a/internal/reducer/record/settle.go
+++ b/internal/reducer/record/settle.go
@@ -5,70 +5,75 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// attemptRule says which attempt numbers may make a move.
+// attemptRule is the condition on the attempt number of a transition.
 type attemptRule string
 
 const (
-	// sameAttempt takes only the number that the record stands at.
+	// sameAttempt accepts only the current attempt number of the record.
 	sameAttempt attemptRule = "same"
-	// laterAttempt also takes higher numbers of the same ownership: entries
-	// count reservations and status calls too.
-	laterAttempt attemptRule = "later"
-	// never forbids the move.
-	never attemptRule = "never"
+	// sameOrLaterAttempt also accepts higher numbers of the same ownership,
+	// because entries number reservations and status calls too.
+	sameOrLaterAttempt attemptRule = "later"
+	// forbidden accepts no attempt number.
+	forbidden attemptRule = "never"
 )
 
-// move is one change of state that the owner of a record asks for.
-type move struct{ from, to message.RecordState }
+// transition is a change of state that the owner of a record requests.
+type transition struct{ from, to message.RecordState }
 
-// rule says who may make a move: the rule for requests that may run at most
-// once, and that for repeatable ones.
-type rule struct{ once, repeatable attemptRule }
+// transitionRule holds the attempt rules of a transition: one for requests that
+// may run at most once and one for repeatable requests.
+type transitionRule struct{ once, repeatable attemptRule }
 
-// moves is the whole transition table of owners; what is missing is refused.
+// transitions is the complete table of the transitions that owners may request.
+// A transition that is not in the table is refused.
 //
-// A record that is to run once is answered only after it was moved to running:
-// an answer without that move would show that a dispatch went out before a
-// quorum knew of it. From running to a later running the owner asserts that
-// its gate refused the attempt before with ran "no". Unknown takes the outcome
-// from its own owner, who may have been cut off and not dead: the one attempt
-// that was let through tells the truth whenever it tells it, and since unknown
-// starts no further attempt nothing can have run beside it.
-var moves = map[move]rule{
-	{message.RecordClaimed, message.RecordRunning}:  {laterAttempt, laterAttempt},
-	{message.RecordClaimed, message.RecordAnswered}: {never, laterAttempt},
-	{message.RecordClaimed, message.RecordFailed}:   {laterAttempt, laterAttempt},
-	{message.RecordClaimed, message.RecordNotRun}:   {laterAttempt, laterAttempt},
-
-	{message.RecordRunning, message.RecordRunning}:  {laterAttempt, laterAttempt},
-	{message.RecordRunning, message.RecordAnswered}: {laterAttempt, laterAttempt},
-	{message.RecordRunning, message.RecordFailed}:   {laterAttempt, laterAttempt},
-	{message.RecordRunning, message.RecordNotRun}:   {laterAttempt, laterAttempt},
-	{message.RecordRunning, message.RecordUnknown}:  {laterAttempt, never},
-
-	{message.RecordUnknown, message.RecordAnswered}: {laterAttempt, never},
-	{message.RecordUnknown, message.RecordFailed}:   {laterAttempt, never},
-	{message.RecordUnknown, message.RecordNotRun}:   {sameAttempt, never},
-
-	// A failure that a retry may run again, such as that of an owner taken for
-	// dead: its answer still counts until a retry takes the record over.
-	{message.RecordFailed, message.RecordAnswered}: {never, laterAttempt},
-	{message.RecordFailed, message.RecordFailed}:   {never, laterAttempt},
+// The record of a request that may run at most once becomes answered only from
+// running or unknown: an answer for a claimed record would mean that the request
+// was dispatched before a quorum had stored the transition to running. With the
+// transition from running to a later running the owner asserts that its gate
+// refused the previous attempt with ran "no". An unknown record accepts the
+// outcome from its own owner, which may have been disconnected rather than dead.
+// The outcome of the one attempt that was let through is true however late it
+// arrives, and no other attempt can have run, because an unknown record starts
+// none.
+var transitions = map[transition]transitionRule{
+	{message.RecordClaimed, message.RecordRunning}:  {sameOrLaterAttempt, sameOrLaterAttempt},
+	{message.RecordClaimed, message.RecordAnswered}: {forbidden, sameOrLaterAttempt},
+	{message.RecordClaimed, message.RecordFailed}:   {sameOrLaterAttempt, sameOrLaterAttempt},
+	{message.RecordClaimed, message.RecordNotRun}:   {sameOrLaterAttempt, sameOrLaterAttempt},
+
+	{message.RecordRunning, message.RecordRunning}:  {sameOrLaterAttempt, sameOrLaterAttempt},
+	{message.RecordRunning, message.RecordAnswered}: {sameOrLaterAttempt, sameOrLaterAttempt},
+	{message.RecordRunning, message.RecordFailed}:   {sameOrLaterAttempt, sameOrLaterAttempt},
+	{message.RecordRunning, message.RecordNotRun}:   {sameOrLaterAttempt, sameOrLaterAttempt},
+	{message.RecordRunning, message.RecordUnknown}:  {sameOrLaterAttempt, forbidden},
+
+	{message.RecordUnknown, message.RecordAnswered}: {sameOrLaterAttempt, forbidden},
+	{message.RecordUnknown, message.RecordFailed}:   {sameOrLaterAttempt, forbidden},
+	{message.RecordUnknown, message.RecordNotRun}:   {sameAttempt, forbidden},
+
+	// Only for a failure after which a retry may run the request again, such as
+	// the end of the owner's lease: the owner's answer is accepted until a retry
+	// takes the record over.
+	{message.RecordFailed, message.RecordAnswered}: {forbidden, sameOrLaterAttempt},
+	{message.RecordFailed, message.RecordFailed}:   {forbidden, sameOrLaterAttempt},
 }
 
-// settle moves a record on if its owner and attempt may.
+// settle changes the state of a record if its owner, state and attempt permit
+// it.
 func (s *State) settle(t message.Settle) message.Settled {
-	r, ok := s.records[scopeHash(t.Scope)]
+	r, ok := s.records[scopeDigest(t.Scope)]
 	if !ok {
 		return message.Settled{RequestID: t.RequestID, Ticket: t.Ticket}
 	}
-	s.alive(t.Owner)
+	s.extendLease(t.Owner)
 	if r.requestID != t.RequestID {
-		return settledBefore(r, t)
+		return settleOfEarlierID(r, t)
 	}
-	accepted := repeated(r, t)
-	if !accepted && allows(r, t) {
-		s.carryOut(r, t)
+	accepted := alreadySettled(r, t)
+	if !accepted && settleAllowed(r, t) {
+		s.applySettle(r, t)
 		accepted = true
 	}
 	return message.Settled{
@@ -80,12 +85,12 @@
 	}
 }
 
-// settledBefore answers a settle whose record was taken over by a retry. An
-// id that was closed as not run stays so, and a resent settle is told so. The
-// state of the retry is not told: an owner that reads "running" there could
-// take it for its own.
-func settledBefore(r *request, t message.Settle) message.Settled {
-	e, ok := r.earlierAs(t.RequestID)
+// settleOfEarlierID answers a settle whose record was taken over by a retry. An
+// id that was closed as not run stays closed, and a resent settle is answered
+// so. The answer does not hold the state of the retry, because an owner could
+// take a "running" there for its own.
+func settleOfEarlierID(r *record, t message.Settle) message.Settled {
+	e, ok := r.findEarlierID(t.RequestID)
 	if ok && e.NotRun {
 		return message.Settled{
 			RequestID: t.RequestID,
@@ -98,9 +103,9 @@
 	return message.Settled{RequestID: t.RequestID, Ticket: t.Ticket}
 }
 
-// repeated reports whether a settle was accepted before; it is sent again
-// after a lost answer and gets the first answer.
-func repeated(r *request, t message.Settle) bool {
+// alreadySettled reports whether the settle was accepted before. An owner sends
+// a settle again after a lost answer and gets the first answer.
+func alreadySettled(r *record, t message.Settle) bool {
 	if r.state != t.State || r.owner != t.Owner || r.retryable {
 		return false
 	}
@@ -110,17 +115,19 @@
 	if t.State == message.RecordRunning {
 		return t.Attempt == r.attempt
 	}
-	return r.ownedSince(t.Attempt) && t.Attempt >= r.attempt
+	return r.sameOwnership(t.Attempt) && t.Attempt >= r.attempt
 }
 
-func allows(r *request, t message.Settle) bool {
+// settleAllowed reports whether the record's owner, state and attempt permit the
+// settle.
+func settleAllowed(r *record, t message.Settle) bool {
 	if r.owner != t.Owner || (r.state == message.RecordFailed && !r.retryable) {
 		return false
 	}
 	if t.Attempt == message.AnyAttempt {
-		return r.state == message.RecordClaimed && t.State != message.RecordRunning && final(t.State)
+		return r.state == message.RecordClaimed && t.State != message.RecordRunning && isFinal(t.State)
 	}
-	allowed := moves[move{r.state, t.State}]
+	allowed := transitions[transition{r.state, t.State}]
 	wanted := allowed.repeatable
 	if r.once {
 		wanted = allowed.once
@@ -128,28 +135,30 @@
 	switch wanted {
 	case sameAttempt:
 		return t.Attempt == r.attempt
-	case laterAttempt:
-		return r.ownedSince(t.Attempt) && t.Attempt >= r.attempt
+	case sameOrLaterAttempt:
+		return r.sameOwnership(t.Attempt) && t.Attempt >= r.attempt
 	default:
 		return false
 	}
 }
 
-// carryOut makes the move. The attempt of a request that may run once stays
-// the one that was moved to running: it is the one to ask gates about.
-func (s *State) carryOut(r *request, t message.Settle) {
-	dispatches := t.State == message.RecordRunning || t.State == message.RecordNotRun
-	if t.Attempt != message.AnyAttempt && (dispatches || !r.once) {
+// applySettle applies an accepted settle. For a request that may run at most
+// once the record keeps the attempt that was moved to running, because gates are
+// queried for that one.
+func (s *State) applySettle(r *record, t message.Settle) {
+	setsAttempt := t.State == message.RecordRunning || t.State == message.RecordNotRun
+	if t.Attempt != message.AnyAttempt && (setsAttempt || !r.once) {
 		r.attempt = t.Attempt
 	}
 	if t.Server != "" {
 		r.server = s.intern(t.Server)
 	}
-	s.outcome(r, t.State, t.Answer)
+	s.applyOutcome(r, t.State, t.Answer)
 }
 
-// outcome moves a record and stores its answer, if it has one.
-func (s *State) outcome(r *request, to message.RecordState, a *message.Answer) {
+// applyOutcome changes the state of a record and stores the answer, if there is
+// one.
+func (s *State) applyOutcome(r *record, to message.RecordState, a *message.Answer) {
 	r.reason = ""
 	if a != nil {
 		r.reason = a.Reason
@@ -159,16 +168,15 @@
 		r.reason = oriolebend.ReasonOutcomeLost
 	}
 	if to == message.RecordAnswered || to == message.RecordFailed {
-		s.store(r, a)
+		s.storeAnswer(r, a)
 	}
-	s.move(r, to)
+	s.setState(r, to)
 }
 
-// store keeps an answer for replay, unless it is over its bound: the record
-// then says that it was answered and that the answer is not kept. It comes
-// before the record is put into its list, which passes over records without an
-// answer for good.
-func (s *State) store(r *request, a *message.Answer) {
+// storeAnswer stores an answer for replay. If the answer exceeds a limit, it
+// only sets the reason answerNotKept. It must be called before the record is
+// added to its list, because the list skips records without an answer for good.
+func (s *State) storeAnswer(r *record, a *message.Answer) {
 	if a == nil {
 		r.reason = oriolebend.ReasonAnswerNotKept
 		return
@@ -178,14 +186,14 @@
 		r.reason = oriolebend.ReasonAnswerNotKept
 		return
 	}
-	s.makeRoom(size)
+	s.evictAnswers(size)
 	r.answer = a
 	s.answerBytes += size
 }
 
-// Passes reports whether a failure may be over when a retry comes. A brief that
-// failed with its server must not be answered with that failure for a day;
-// what is wrong with the command itself will be wrong again.
+// Passes reports whether a failure is transient, so that a retry may succeed. A
+// brief that failed together with its server must not be answered with that
+// failure for a day. An error in the command itself recurs with every retry.
 func Passes(reason oriolebend.Reason) bool {
 	switch reason {
 	case oriolebend.ReasonMalformed, oriolebend.ReasonTooLarge, oriolebend.ReasonForbidden,
@@ -196,15 +204,16 @@
 	}
 }
 
-// resolve gives an unknown record the outcome that its service told.
+// resolve settles an unknown record with the outcome that its service or gate
+// reported.
 func (s *State) resolve(m Resolve) message.Settled {
-	r, ok := s.ids[hashOf(m.RequestID)]
+	r, ok := s.byID[digestOf(m.RequestID)]
 	if !ok || r.requestID != m.RequestID {
 		return message.Settled{RequestID: m.RequestID}
 	}
-	accepted := r.state == message.RecordUnknown && r.attempt == m.Attempt && final(m.State)
+	accepted := r.state == message.RecordUnknown && r.attempt == m.Attempt && isFinal(m.State)
 	if accepted {
-		s.outcome(r, m.State, m.Answer)
+		s.applyOutcome(r, m.State, m.Answer)
 	}
 	return message.Settled{
 		RequestID: m.RequestID,
@@ -214,6 +223,6 @@
 	}
 }
 
-func final(s message.RecordState) bool {
+func isFinal(s message.RecordState) bool {
 	return s == message.RecordAnswered || s == message.RecordFailed || s == message.RecordNotRun
 }
--- a/internal/reducer/record/snapshot.go
+++ b/internal/reducer/record/snapshot.go
@@ -10,20 +10,21 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// snapshotFormat is the version of the snapshot's form.
+// snapshotFormat is the version of the snapshot format.
 const snapshotFormat = 2
 
-// maxSnapshotRecords bounds the decoder, not the state.
+// maxSnapshotRecords bounds the decoder. It does not bound the state.
 const maxSnapshotRecords = math.MaxInt32
 
 var snapshotDecoding = newDecoding(maxSnapshotRecords, maxSnapshotRecords)
 
-// FormatError tells of a snapshot in a form that this version can't read.
+// FormatError is the cause of a DecodeError for a snapshot in a format that this
+// version can't read.
 type FormatError struct{ Format int }
 
 // Error implements error.
 func (e *FormatError) Error() string {
-	return fmt.Sprintf("snapshot in form %d, want %d", e.Format, snapshotFormat)
+	return fmt.Sprintf("snapshot format is %d, want %d", e.Format, snapshotFormat)
 }
 
 type snapshot struct {
@@ -32,7 +33,7 @@
 	Now    int64           `cbor:"now"`
 	Limits Limits          `cbor:"limits"`
 	Owners []snapshotOwner `cbor:"owners"`
-	// Records stand in the order of the lists they are in.
+	// Records has the records list by list, in the order of each list.
 	Records []snapshotRecord `cbor:"records"`
 }
 
@@ -64,31 +65,32 @@
 	Retryable    bool
 }
 
-// Snapshot encodes the whole state; equal states give equal bytes.
+// Snapshot encodes the complete state. Equal states have equal snapshots.
 func (s *State) Snapshot() ([]byte, error) {
 	return s.Image().Encode()
 }
 
-// Image is a copy of the state as it was at one index. Encoding it takes many
-// times as long as making it, and may be done while the state moves on.
-type Image struct{ shot snapshot }
+// Image is a copy of the state at one index. Encoding it takes many times as
+// long as copying the state, and may be done while the state applies further
+// commands.
+type Image struct{ snapshot snapshot }
 
-// Index is that of the last command in the image.
-func (i *Image) Index() uint64 { return i.shot.Index }
+// Index returns the index of the last command that the image includes.
+func (i *Image) Index() uint64 { return i.snapshot.Index }
 
 // Encode returns the image as a snapshot.
 func (i *Image) Encode() ([]byte, error) {
-	data, err := encoding.Marshal(i.shot)
+	data, err := encoding.Marshal(i.snapshot)
 	if err != nil {
 		return nil, fmt.Errorf("record: snapshot: %w", err)
 	}
 	return data, nil
 }
 
-// Image copies the state. The copy shares texts, answers and lists of earlier
+// Image copies the state. The copy shares strings, answers and lists of earlier
 // ids, none of which is changed in place.
 func (s *State) Image() *Image {
-	shot := snapshot{
+	snap := snapshot{
 		Format:  snapshotFormat,
 		Index:   s.index,
 		Now:     s.now,
@@ -97,15 +99,15 @@
 	}
 	for _, name := range s.ownerNames() {
 		o := s.owners[name]
-		shot.Owners = append(shot.Owners, snapshotOwner{
+		snap.Owners = append(snap.Owners, snapshotOwner{
 			Name: name, Address: o.address, LeaseFor: o.leaseFor, LeaseEnd: o.leaseEnd,
 		})
-		shot.addList(&o.open)
+		snap.appendList(&o.open)
 	}
-	shot.addList(s.unknown)
-	shot.addList(s.settledOnce)
-	shot.addList(s.settledRepeatable)
-	return &Image{shot: shot}
+	snap.appendList(s.unknown)
+	snap.appendList(s.settledOnce)
+	snap.appendList(s.settledRepeatable)
+	return &Image{snapshot: snap}
 }
 
 func (s *State) ownerNames() []string {
@@ -117,60 +119,60 @@
 	return names
 }
 
-func (shot *snapshot) addList(l *list) {
+func (shot *snapshot) appendList(l *list) {
 	for r := l.head; r != nil; r = r.next {
 		shot.Records = append(shot.Records, encodeRecord(r))
 	}
 }
 
-func encodeRecord(r *request) snapshotRecord {
+func encodeRecord(r *record) snapshotRecord {
 	return snapshotRecord{
 		Organisation: r.scope.Organisation, Operation: r.scope.Operation, Key: r.scope.Key,
-		RequestID: r.requestID, Fingerprint: r.fingerprint, Earlier: r.earlier,
+		RequestID: r.requestID, Fingerprint: r.fingerprint, Earlier: r.earlierIDs,
 		Owner: r.owner, Server: r.server, Status: r.status, Answer: r.answer,
 		State: r.state, Reason: r.reason, Changed: r.changed,
 		Attempt: r.attempt, Once: r.once, Retryable: r.retryable,
 	}
 }
 
-// Restore replaces the whole state by that of a snapshot. After an error, a
-// *DecodeError, the state is unchanged.
+// Restore replaces the complete state by that of a snapshot. Its error is a
+// *DecodeError and leaves the state unchanged.
 func (s *State) Restore(data []byte) error {
-	var shot snapshot
-	if err := snapshotDecoding.Unmarshal(data, &shot); err != nil {
+	var snap snapshot
+	if err := snapshotDecoding.Unmarshal(data, &snap); err != nil {
 		return &DecodeError{What: "snapshot", Cause: err}
 	}
-	if shot.Format != snapshotFormat {
-		return &DecodeError{What: "snapshot", Cause: &FormatError{Format: shot.Format}}
+	if snap.Format != snapshotFormat {
+		return &DecodeError{What: "snapshot", Cause: &FormatError{Format: snap.Format}}
 	}
 	fresh := New()
-	fresh.index, fresh.now, fresh.limits = shot.Index, shot.Now, shot.Limits
-	for _, o := range shot.Owners {
+	fresh.index, fresh.now, fresh.limits = snap.Index, snap.Now, snap.Limits
+	for _, o := range snap.Owners {
 		fresh.owners[fresh.intern(o.Name)] = &owner{address: o.Address, leaseFor: o.LeaseFor, leaseEnd: o.LeaseEnd}
 	}
-	for i := range shot.Records {
-		fresh.add(&shot.Records[i])
+	for i := range snap.Records {
+		fresh.restoreRecord(&snap.Records[i])
 	}
 	*s = *fresh
 	return nil
 }
 
-func (s *State) add(in *snapshotRecord) {
-	r := &request{
+func (s *State) restoreRecord(in *snapshotRecord) {
+	r := &record{
 		scope: message.Scope{
 			Organisation: s.intern(in.Organisation), Operation: s.intern(in.Operation), Key: in.Key,
 		},
-		requestID: in.RequestID, fingerprint: in.Fingerprint, earlier: in.Earlier,
+		requestID: in.RequestID, fingerprint: in.Fingerprint, earlierIDs: in.Earlier,
 		owner: s.intern(in.Owner), server: s.intern(in.Server), status: in.Status, answer: in.Answer,
 		state: in.State, reason: in.Reason, changed: in.Changed,
 		attempt: in.Attempt, once: in.Once, retryable: in.Retryable,
 	}
-	s.records[scopeHash(r.scope)] = r
-	s.ids[hashOf(r.requestID)] = r
-	for _, e := range r.earlier {
-		s.ids[hashOf(e.ID)] = r
+	s.records[scopeDigest(r.scope)] = r
+	s.byID[digestOf(r.requestID)] = r
+	for _, e := range r.earlierIDs {
+		s.byID[digestOf(e.ID)] = r
 	}
-	s.bytes += r.cost()
-	s.place(r)
+	s.recordBytes += r.memoryBytes()
+	s.updateList(r)
 	s.answerBytes += answerBytes(r.answer)
 }
--- a/internal/reducer/record/state.go
+++ b/internal/reducer/record/state.go
@@ -6,35 +6,35 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// State is all request records. The zero value is not usable; see New.
+// State holds all request records. The zero value is not usable; see New.
 type State struct {
 	index  uint64
-	now    int64
+	now    int64 // nanoseconds since 1970, from the last command
 	limits Limits
 
-	records map[digest]*request
-	ids     map[digest]*request
-	owners  map[string]*owner
-	strings map[string]string
+	records  map[digest]*record // by scope
+	byID     map[digest]*record // by request id, earlier ids included
+	owners   map[string]*owner
+	interned map[string]string
 
 	unknown           *list
 	settledOnce       *list
 	settledRepeatable *list
 
-	bytes       int64
+	recordBytes int64
 	answerBytes int64
-	// evicted counts the answers that the present command made room from.
+	// evicted counts the answers that the current command evicted.
 	evicted int
 }
 
 // New returns a state without records.
 func New() *State {
 	return &State{
-		limits:  Limits{}.withDefaults(),
-		records: map[digest]*request{},
-		ids:     map[digest]*request{},
-		owners:  map[string]*owner{},
-		strings: map[string]string{},
+		limits:   Limits{}.withDefaults(),
+		records:  map[digest]*record{},
+		byID:     map[digest]*record{},
+		owners:   map[string]*owner{},
+		interned: map[string]string{},
 
 		unknown:           &list{},
 		settledOnce:       &list{},
@@ -42,21 +42,22 @@
 	}
 }
 
-// Apply carries out one command. An index that was applied already changes
-// nothing and gives the zero Result: a log that hands an entry out twice after
-// a restart would otherwise lengthen leases and reopen records.
+// Apply applies one command. If a command with this index was already applied,
+// Apply changes nothing and returns the zero Result. A log may deliver an entry
+// again after a restart, and applying it again would extend leases and reopen
+// records.
 func (s *State) Apply(index uint64, c Command) Result {
 	if index <= s.index {
 		return Result{}
 	}
 	s.index = index
 	s.evicted = 0
-	s.pass(c.At.UnixNano())
+	s.advanceClock(c.At.UnixNano())
 	if c.Limits != nil {
 		s.limits = c.Limits.withDefaults()
 	}
 	for _, r := range c.Renew {
-		s.renew(r)
+		s.renewLease(r)
 	}
 	var result Result
 	for _, t := range c.Settle {
@@ -75,17 +76,18 @@
 	return result
 }
 
-// pass moves time on. While the log stands still no owner can renew, so a
-// time without commands is not counted against leases: otherwise the first
-// command after a lost quorum would end the lease of every entry at once and
-// turn all that they run into lost outcomes.
-func (s *State) pass(at int64) {
+// advanceClock sets the time to that of a command. If no command was applied
+// for longer than maxClockGap, it extends all leases by the gap. Owners can't
+// renew while the log accepts no commands, so otherwise the first command after
+// a lost quorum would end the lease of every entry at once, and the outcomes of
+// all their running requests would be lost.
+func (s *State) advanceClock(at int64) {
 	gap := at - s.now
 	if gap <= 0 {
 		return
 	}
 	s.now = at
-	if gap <= nanos(quietAfter) {
+	if gap <= nanos(maxClockGap) {
 		return
 	}
 	for _, o := range s.owners {
@@ -93,14 +95,15 @@
 	}
 }
 
-// quietAfter is the time without commands after which the log is taken to
-// have stood still; leaders pass time every second.
-const quietAfter = 5 * time.Second
+// maxClockGap is the longest time between two commands of a working log.
+// Leaders propose an Expire every second, so a longer gap means that the log
+// accepted no commands.
+const maxClockGap = 5 * time.Second
 
-// Index is that of the last command applied.
+// Index returns the index of the last applied command.
 func (s *State) Index() uint64 { return s.index }
 
-// Sizes of the state, for gauges.
+// Sizes holds the sizes of the state, for metrics.
 type Sizes struct {
 	Records     int
 	Unknown     int
@@ -109,41 +112,42 @@
 	AnswerBytes int64
 }
 
-// Sizes counts what the state holds.
+// Sizes returns the numbers of records and owners and the memory that they use.
 func (s *State) Sizes() Sizes {
 	return Sizes{
 		Records:     len(s.records),
 		Unknown:     s.unknown.length,
 		Owners:      len(s.owners),
-		Bytes:       s.bytes,
+		Bytes:       s.recordBytes,
 		AnswerBytes: s.answerBytes,
 	}
 }
 
-// intern shares strings that many records repeat, such as organisations.
+// intern returns a shared copy of a string that many records repeat, such as
+// an organisation.
 func (s *State) intern(text string) string {
-	if held, ok := s.strings[text]; ok {
-		return held
+	if shared, ok := s.interned[text]; ok {
+		return shared
 	}
-	if len(s.strings) >= maxInterned {
-		clear(s.strings)
+	if len(s.interned) >= maxInterned {
+		clear(s.interned)
 	}
-	s.strings[text] = text
+	s.interned[text] = text
 	return text
 }
 
-// maxInterned bounds the shared strings; a full table is begun anew, which
-// costs memory for a while and changes no state.
+// maxInterned bounds the table of shared strings. A full table is cleared,
+// which costs memory for a while and changes no replicated state.
 const maxInterned = 16384
 
-// place puts the record into the list of its state.
-func (s *State) place(r *request) {
-	if r.in != nil {
-		r.in.remove(r)
+// updateList moves the record to the list of its state.
+func (s *State) updateList(r *record) {
+	if r.list != nil {
+		r.list.remove(r)
 	}
 	switch {
 	case r.open():
-		s.owner(r.owner).open.push(r)
+		s.findOrAddOwner(r.owner).open.push(r)
 	case r.state == message.RecordUnknown:
 		s.unknown.push(r)
 	case r.once:
@@ -153,11 +157,12 @@
 	}
 }
 
-// move changes the state of a record.
-func (s *State) move(r *request, to message.RecordState) {
+// setState changes the state of a record and moves it to the list of that state.
+func (s *State) setState(r *record, to message.RecordState) {
 	r.state = to
 	r.changed = s.now
-	s.place(r)
+	s.updateList(r)
 }
 
-func (s *State) after(d time.Duration) int64 { return s.now + nanos(d) }
+// timeAfter returns the current time plus d, in nanoseconds since 1970.
+func (s *State) timeAfter(d time.Duration) int64 { return s.now + nanos(d) }
