--- a/internal/reducer/record/settle.go
+++ b/internal/reducer/record/settle.go
@@ -163,7 +163,7 @@
 	if a != nil {
 		r.reason = a.Reason
 	}
-	r.retryable = to == message.RecordFailed && !r.once && Passes(r.reason)
+	r.retryable = to == message.RecordFailed && !r.once && IsTransient(r.reason)
 	if to == message.RecordUnknown {
 		r.reason = oriolebend.ReasonOutcomeLost
 	}
@@ -191,10 +191,10 @@
 	s.answerBytes += size
 }
 
-// Passes reports whether a failure is transient, so that a retry may succeed. A
+// IsTransient reports whether a failure is transient, so that a retry may succeed. A
 // brief that failed together with its server must not be answered with that
 // failure for a day. An error in the command itself recurs with every retry.
-func Passes(reason oriolebend.Reason) bool {
+func IsTransient(reason oriolebend.Reason) bool {
 	switch reason {
 	case oriolebend.ReasonMalformed, oriolebend.ReasonTooLarge, oriolebend.ReasonForbidden,
 		oriolebend.ReasonUnknownModel, oriolebend.ReasonUnknownService:
--- a/internal/role/entryfollow.go
+++ b/internal/role/entryfollow.go
@@ -287,7 +287,7 @@
 		}
 		return comeBackChunk(requestID, oriolebend.ReasonServerLost, oriolebend.RanYes, "the answer is stored; ask again with the same key"), true
 	case message.RecordFailed:
-		if a.Answer != nil && !record.Passes(a.Answer.Reason) {
+		if a.Answer != nil && !record.IsTransient(a.Answer.Reason) {
 			return caller.Chunk{Replay: a.Answer}, true
 		}
 		return comeBackChunk(requestID, failureOf(a), oriolebend.RanUnknown, "the request failed where it ran; ask again with the same key"), true
