--- a/internal/reducer/record/bench_test.go
+++ b/internal/reducer/record/bench_test.go
@@ -9,14 +9,16 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// benchRecords is how many records the benchmarks of size hold.
+// benchRecords is the number of records in the benchmarks of memory and
+// snapshots.
 const benchRecords = 200_000
 
 // groupSizes are the numbers of requests that share a log entry.
 var groupSizes = []int{1, 16, 128}
 
-// benchClaim is a claim as entries send it: a key and an id of 36 bytes each.
-func benchClaim(i int) message.Claim {
+// benchmarkClaim returns a claim of a typical size, with a key and an id of 36
+// bytes each.
+func benchmarkClaim(i int) message.Claim {
 	return message.Claim{
 		Scope: message.Scope{
 			Organisation: fmt.Sprint("organisation-", i%210), Operation: "tip",
@@ -31,26 +33,27 @@
 	}
 }
 
-func benchSettle(c message.Claim, to message.RecordState, a *message.Answer) message.Settle {
+func benchmarkSettle(c message.Claim, to message.RecordState, a *message.Answer) message.Settle {
 	return message.Settle{
 		Scope: c.Scope, RequestID: c.RequestID, Owner: c.Owner, Attempt: 1,
 		State: to, Server: "liquidacion-1", Answer: a,
 	}
 }
 
-// groups returns the commands of the requests from first on: claims, moves to
-// running of those that may run once, and outcomes.
-func groups(first, count, size int) []Command {
+// requestCommands returns the commands of count requests from first on, size
+// requests in a command: their claims, the transitions to running of requests
+// that may run at most once, and their outcomes.
+func requestCommands(first, count, size int) []Command {
 	var commands []Command
 	for begin := first; begin < first+count; begin += size {
 		var claims, running, answered Command
 		for i := begin; i < begin+size; i++ {
-			c := benchClaim(i)
+			c := benchmarkClaim(i)
 			claims.Claim = append(claims.Claim, c)
 			if c.Once {
-				running.Settle = append(running.Settle, benchSettle(c, message.RecordRunning, nil))
+				running.Settle = append(running.Settle, benchmarkSettle(c, message.RecordRunning, nil))
 			}
-			answered.Settle = append(answered.Settle, benchSettle(c, message.RecordAnswered, nil))
+			answered.Settle = append(answered.Settle, benchmarkSettle(c, message.RecordAnswered, nil))
 		}
 		commands = append(commands, claims, running, answered)
 	}
@@ -60,12 +63,12 @@
 	return commands
 }
 
-// BenchmarkApply carries whole requests through: claim, running for one in
-// ten, answered. One operation is one request.
+// BenchmarkApply applies all commands of a request: claim, running for one
+// request in ten, answered. One operation is one request.
 func BenchmarkApply(b *testing.B) {
 	for _, size := range groupSizes {
 		b.Run(fmt.Sprint("group=", size), func(b *testing.B) {
-			commands := groups(0, (b.N+size-1)/size*size, size)
+			commands := requestCommands(0, (b.N+size-1)/size*size, size)
 			encoded := make([][]byte, len(commands))
 			bytes := 0
 			for i, c := range commands {
@@ -91,10 +94,10 @@
 	}
 }
 
-func filled(b *testing.B, answer *message.Answer) *State {
+func filledState(b *testing.B, answer *message.Answer) *State {
 	b.Helper()
 	s := New()
-	for i, c := range groups(0, benchRecords, 100) {
+	for i, c := range requestCommands(0, benchRecords, 100) {
 		for j := range c.Settle {
 			if c.Settle[j].State == message.RecordAnswered {
 				c.Settle[j].Answer = answer
@@ -108,24 +111,24 @@
 	return s
 }
 
-// BenchmarkMemory reports the heap that a settled record takes, without and
-// with a stored answer of 1 KiB.
+// BenchmarkMemory reports the heap memory of a settled record, without and with
+// a stored answer of 1 KiB.
 func BenchmarkMemory(b *testing.B) {
 	for _, body := range []int{0, 1024} {
 		b.Run(fmt.Sprint("answer=", body), func(b *testing.B) {
 			for range b.N {
-				before := heap()
+				before := heapBytes()
 				var answer *message.Answer
 				if body > 0 {
 					answer = &message.Answer{Status: 200}
 				}
-				s := filled(b, answer)
+				s := filledState(b, answer)
 				for _, r := range s.records {
 					if r.answer != nil {
 						r.answer = &message.Answer{Status: 200, Body: make([]byte, body)}
 					}
 				}
-				b.ReportMetric(float64(heap()-before)/benchRecords, "heapB/record")
+				b.ReportMetric(float64(heapBytes()-before)/benchRecords, "heapB/record")
 				b.ReportMetric(float64(s.Sizes().Bytes)/benchRecords, "countedB/record")
 				runtime.KeepAlive(s)
 			}
@@ -133,7 +136,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -141,10 +144,10 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkSnapshot reports the time and size of a snapshot, the time of the
-// copy that it is made from, and that of its restoration, for 200,000 records.
+// BenchmarkSnapshot reports, for 200,000 records, the time and size of a
+// snapshot, the time to copy the state for it, and the time to restore it.
 func BenchmarkSnapshot(b *testing.B) {
-	s := filled(b, nil)
+	s := filledState(b, nil)
 	var shot []byte
 	b.Run("encode", func(b *testing.B) {
 		for b.Loop() {
@@ -176,7 +179,7 @@
 	removed, longest := 0, time.Duration(0)
 	for range b.N {
 		b.StopTimer()
-		s := filled(b, nil)
+		s := filledState(b, nil)
 		index := s.Index()
 		b.StartTimer()
 		for more := true; more; {
--- a/internal/reducer/record/fingerprint_test.go
+++ b/internal/reducer/record/fingerprint_test.go
@@ -6,9 +6,10 @@
 	"github.com/matryer/is"
 )
 
-// TestFingerprintOfBodies lists bodies that are or are not the same command.
-// A false "same" replays one command's answer for another; a false "other" is
-// a loud conflict, so what is in doubt counts as other.
+// TestFingerprintOfBodies lists bodies that are or are not the same command. If
+// different commands count as the same, the answer of one is replayed for the
+// other. If equal commands count as different, the caller gets a conflict. So a
+// body that may be ambiguous must count as different.
 func TestFingerprintOfBodies(t *testing.T) {
 	for name, row := range map[string]struct {
 		one, other string
@@ -41,8 +42,8 @@
 	}
 }
 
-// TestFingerprintOfFields sees that each field counts, and that text can't
-// move between fields.
+// TestFingerprintOfFields checks that each field changes the fingerprint, and
+// so does text that moves from one field to the next.
 func TestFingerprintOfFields(t *testing.T) {
 	is := is.New(t)
 	base := ValidatedCommand{
@@ -75,6 +76,6 @@
 	lower := base
 	lower.Method = "post"
 	is.Equal(Fingerprint(lower), Fingerprint(base))
-	// Stored fingerprints live longer than a process: this value must not change.
+	// Stored fingerprints outlive the process, so this value must not change.
 	is.Equal(Fingerprint(base), "v1:9c3ddf18c188a528f4594772f7437cbc")
 }
--- a/internal/reducer/record/fuzz_test.go
+++ b/internal/reducer/record/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// FuzzCommand feeds damaged commands to the decoder. What it accepts must
-// apply without a panic and leave a state that its own snapshot restores.
+// FuzzCommand decodes damaged commands. A command that the decoder accepts must
+// apply without a panic, and the state must be restorable from its snapshot.
 func FuzzCommand(f *testing.F) {
 	scope := message.Scope{Organisation: "asociacion", Operation: "tip", Key: "k1"}
 	seed := Command{
@@ -37,12 +37,12 @@
 		s := New()
 		for index := range uint64(3) {
 			s.Apply(index+1, c)
-			sameAfterRestore(t, s)
+			checkRestore(t, s)
 		}
 	})
 }
 
-func sameAfterRestore(t *testing.T, s *State) {
+func checkRestore(t *testing.T, s *State) {
 	t.Helper()
 	shot, err := s.Snapshot()
 	if err != nil {
@@ -57,12 +57,13 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(shot, again) {
-		t.Fatal("restored state has another snapshot")
+		t.Fatal("snapshot of the restored state differs")
 	}
 }
 
-// Symptom: a control VM starts with half of its records. Sequence: its
-// snapshot is damaged. Cause: a restore that keeps what it could read.
+// TestRestoreOfDamagedSnapshot guards against a control VM that starts with a
+// part of its records. It happens if its snapshot is damaged and Restore keeps
+// the records that it could decode.
 func TestRestoreOfDamagedSnapshot(t *testing.T) {
 	s := New()
 	s.Apply(1, Command{At: scriptStart, Claim: []message.Claim{{RequestID: "r1", Fingerprint: "v1:aa", Owner: "e1"}}})
@@ -72,7 +73,7 @@
 	}
 	for name, damaged := range map[string][]byte{
 		"empty": nil, "cut": shot[:len(shot)-1], "longer": append(bytes.Clone(shot), 0),
-		"other form": bytes.Replace(shot, []byte("format\x02"), []byte("format\x03"), 1),
+		"other format": bytes.Replace(shot, []byte("format\x02"), []byte("format\x03"), 1),
 	} {
 		if err := s.Restore(damaged); err == nil {
 			t.Errorf("%s: restored", name)
--- a/internal/reducer/record/model_test.go
+++ b/internal/reducer/record/model_test.go
@@ -10,16 +10,16 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// modelLease is the lease of the model's entries.
+// modelLease is the lease of the entries in the model.
 const modelLease = 10 * time.Second
 
-// modelKeep is how long the model's settled records are kept.
+// modelKeep is the retention of settled records in the model.
 const modelKeep = 90 * time.Second
 
-// world is the records among entries that crash, gates that let an attempt
-// through once, and a service that counts what it executes. Commands to the
-// log, dispatches to gates and answers all travel on lists from which the
-// property test takes them in any order, late, twice or not at all.
+// world is a model of the records with entries that crash, gates that let an
+// attempt through once, and a service that counts its executions. Commands to
+// the log, dispatches to gates and replies are in lists. The property test
+// delivers them in any order, late, twice or not at all.
 type world struct {
 	t       *rapid.T
 	now     time.Time
@@ -36,27 +36,27 @@
 	dispatches []dispatch
 	replies    []reply
 
-	// executed counts for each key, in one window of retention, the attempts
-	// that ran.
+	// executed holds, for each key, the attempts that ran since the record of the
+	// key was created.
 	executed map[string][]message.Attempt
-	// ran holds every attempt that the service knows.
+	// ran holds every attempt that the service executed.
 	ran map[message.Attempt]bool
-	// closed is the highest attempt of a key of which "not run" was told.
-	closed map[string]uint32
-	// final is the first answer that was told for a key.
-	final map[string]string
+	// closedAttempt is the highest attempt of a key that was reported as not run.
+	closedAttempt map[string]uint32
+	// firstAnswer is the first answer that a caller got for a key.
+	firstAnswer map[string]string
 }
 
 type modelEntry struct {
-	name  string
-	start int
-	// cut entries renew no lease.
-	cut bool
+	name        string
+	incarnation int
+	// partitioned is true while the entry can't renew its lease.
+	partitioned bool
 }
 
-func (e *modelEntry) owner() string { return fmt.Sprintf("%s-%d", e.name, e.start) }
+func (e *modelEntry) owner() string { return fmt.Sprintf("%s-%d", e.name, e.incarnation) }
 
-// session is what a gate remembers of an attempt.
+// session is the state of an attempt at a gate.
 type session string
 
 const (
@@ -65,7 +65,7 @@
 	letThrough session = "letThrough"
 )
 
-// stage is how far a task of an entry is.
+// stage is the progress of a task of an entry.
 type stage string
 
 const (
@@ -74,7 +74,8 @@
 	settlingRunning stage = "settlingRunning"
 	dispatched      stage = "dispatched"
 	settling        stage = "settling"
-	// closing claims again what its caller no longer waits for, to close it.
+	// closingClaim is set after the caller left. The claim is sent again so that
+	// the record can be closed.
 	closingClaim stage = "closingClaim"
 	done         stage = "done"
 )
@@ -107,7 +108,8 @@
 	task    *task
 	attempt message.Attempt
 	body    string
-	// ran is the gate's word on an attempt that it refused.
+	// ran is set if the gate refused the attempt: "no", or "unknown" if the gate
+	// can't exclude that the attempt ran.
 	ran string
 }
 
@@ -115,7 +117,7 @@
 	w := &world{
 		t: t, now: scriptStart, state: New(), replica: New(),
 		executed: map[string][]message.Attempt{}, ran: map[message.Attempt]bool{},
-		closed: map[string]uint32{}, final: map[string]string{},
+		closedAttempt: map[string]uint32{}, firstAnswer: map[string]string{},
 	}
 	for i := range 3 {
 		w.entries = append(w.entries, &modelEntry{name: fmt.Sprint("e", i)})
@@ -127,30 +129,31 @@
 	return w
 }
 
-func (w *world) alive(t *task) bool { return t.entry.owner() == t.owner }
+func (w *world) ownerAlive(t *task) bool { return t.entry.owner() == t.owner }
 
 func (w *world) scope(key string) message.Scope {
 	return message.Scope{Organisation: "asociacion", Operation: "tip", Key: key}
 }
 
-// apply runs a command on both replicas; they must agree.
+// apply applies a command to both replicas, whose results must be equal, and
+// checks each record.
 func (w *world) apply(c Command) Result {
 	c.At = w.now
 	w.index++
 	before := w.views()
 	result := w.state.Apply(w.index, c)
-	if other := w.replica.Apply(w.index, c); !sameResult(w.t, result, other) {
+	if other := w.replica.Apply(w.index, c); !equalResults(w.t, result, other) {
 		w.t.Fatalf("replicas differ: %+v and %+v", result, other)
 	}
 	w.checkRemoved(before)
 	for _, r := range w.state.records {
-		w.checkStep(before[r.scope.Key], viewOf(r))
-		w.checkTruth(r)
+		w.checkStep(before[r.scope.Key], recordViewOf(r))
+		w.checkNotRunRecord(r)
 	}
 	return result
 }
 
-// recordView is what the checks compare of a record.
+// recordView holds the fields of a record that the checks compare.
 type recordView struct {
 	state   message.RecordState
 	attempt uint32
@@ -159,7 +162,7 @@
 	id      string
 }
 
-func viewOf(r *record) recordView {
+func recordViewOf(r *record) recordView {
 	v := recordView{state: r.state, attempt: r.attempt, once: r.once, id: r.requestID}
 	if r.answer != nil {
 		v.body = string(r.answer.Body)
@@ -170,15 +173,15 @@
 func (w *world) views() map[string]recordView {
 	views := map[string]recordView{}
 	for _, r := range w.state.records {
-		views[r.scope.Key] = viewOf(r)
+		views[r.scope.Key] = recordViewOf(r)
 	}
 	return views
 }
 
-// steps are the changes of state that one command may bring; it stands beside
-// the table of the code, not on it. Those marked true are for repeatable
-// requests only.
-var steps = map[message.RecordState]map[message.RecordState]bool{
+// allowedSteps are the changes of state that one command may cause. The table is
+// independent of the transition table of the code. The value is true if the
+// change is for repeatable requests only.
+var allowedSteps = map[message.RecordState]map[message.RecordState]bool{
 	message.RecordClaimed: {
 		message.RecordRunning: false, message.RecordAnswered: true,
 		message.RecordFailed: false, message.RecordNotRun: false,
@@ -198,7 +201,7 @@
 	if before.state == "" {
 		return
 	}
-	repeatableOnly, allowed := steps[before.state][after.state]
+	repeatableOnly, allowed := allowedSteps[before.state][after.state]
 	allowed = allowed || before.state == after.state
 	if !allowed || (repeatableOnly && after.once) || after.attempt < before.attempt {
 		w.t.Fatalf("a record went from %+v to %+v", before, after)
@@ -207,23 +210,23 @@
 		w.t.Fatalf("a stored answer changed from %q to %q", before.body, after.body)
 	}
 	if before.state == message.RecordNotRun && after.state == message.RecordClaimed && after.attempt == before.attempt {
-		w.t.Fatalf("attempt %d was closed and given out again", after.attempt)
+		w.t.Fatalf("attempt %d was closed and assigned again", after.attempt)
 	}
 	if before.state == message.RecordNotRun && after.state == message.RecordClaimed && after.id == before.id {
-		w.t.Fatalf("claim %s was closed and opened its record again", after.id)
+		w.t.Fatalf("claim %s was closed and reopened its record", after.id)
 	}
 }
 
-// checkTruth compares a record that says not run with the service; whoever
-// asks may be told so from now on.
-func (w *world) checkTruth(r *record) {
+// checkNotRunRecord checks that a record in the state notRun had no execution,
+// and notes that callers may be told so from now on.
+func (w *world) checkNotRunRecord(r *record) {
 	if r.state == message.RecordNotRun && r.once {
-		w.toldNotRun(r.scope.Key, r.attempt)
+		w.checkNotRun(r.scope.Key, r.attempt)
 	}
 }
 
-// checkRemoved sees that expiry takes settled records only, and begins a new
-// window for the keys it took.
+// checkRemoved checks that only settled records were removed, and clears the
+// executions and answers noted for their keys.
 func (w *world) checkRemoved(before map[string]recordView) {
 	for key, view := range before {
 		if _, held := w.state.records[scopeDigest(w.scope(key))]; held {
@@ -233,12 +236,12 @@
 			w.t.Fatalf("removed the record of %s while %s", key, view.state)
 		}
 		delete(w.executed, key)
-		delete(w.closed, key)
-		delete(w.final, key)
+		delete(w.closedAttempt, key)
+		delete(w.firstAnswer, key)
 	}
 }
 
-// send puts a command of a task on its way to the log.
+// send adds a command of a task to the commands to deliver.
 func (w *world) send(t *task, c Command) {
 	t.last = c
 	w.commands = append(w.commands, wireCommand{task: t, command: c})
@@ -257,8 +260,9 @@
 	}}})
 }
 
-// take removes one element of a list, chosen by rapid.
-func take[T any](t *rapid.T, list *[]T, keep bool) (T, bool) {
+// drawFrom returns one element of a list, chosen by rapid, and removes it unless
+// keep is set.
+func drawFrom[T any](t *rapid.T, list *[]T, keep bool) (T, bool) {
 	var none T
 	if len(*list) == 0 {
 		return none, false
@@ -271,12 +275,13 @@
 	return item, true
 }
 
-// pick returns a task of a living entry in one of the stages.
-func (w *world) pick(stages ...stage) *task {
+// pickTask returns a task in one of the stages whose entry has not crashed since
+// the task began, or nil.
+func (w *world) pickTask(stages ...stage) *task {
 	var fit []*task
 	for _, t := range w.tasks {
 		for _, s := range stages {
-			if t.stage == s && w.alive(t) {
+			if t.stage == s && w.ownerAlive(t) {
 				fit = append(fit, t)
 			}
 		}
@@ -287,9 +292,9 @@
 	return rapid.SampledFrom(fit).Draw(w.t, "task")
 }
 
-// request has a caller send one of three keys through any entry; k2 may be
-// repeated.
-func (w *world) request() {
+// sendRequest sends a request with one of three keys through any entry. Requests
+// with the key k2 are repeatable.
+func (w *world) sendRequest() {
 	e := rapid.SampledFrom(w.entries).Draw(w.t, "entry")
 	key := rapid.SampledFrom([]string{"k0", "k1", "k2"}).Draw(w.t, "key")
 	w.nextID++
@@ -298,31 +303,31 @@
 	w.sendClaim(t)
 }
 
-// deliver applies a command; keep leaves a copy that comes again, as after a
-// leader change, and lost drops the answer.
-func (w *world) deliver(keep, lost bool) {
-	c, ok := take(w.t, &w.commands, keep)
+// deliverCommand applies a command. With keep the command stays in the list and
+// is applied again, as after a leader change; with lost its result is dropped.
+func (w *world) deliverCommand(keep, lost bool) {
+	c, ok := drawFrom(w.t, &w.commands, keep)
 	if !ok {
 		return
 	}
 	result := w.apply(c.command)
-	if lost || c.task == nil || !w.alive(c.task) {
+	if lost || c.task == nil || !w.ownerAlive(c.task) {
 		return
 	}
 	for _, a := range result.Claimed {
-		w.claimed(c.task, a)
+		w.claimAnswered(c.task, a)
 	}
 	for _, s := range result.Settled {
-		w.settled(c.task, c.command.Settle[0], s)
+		w.settleAnswered(c.task, c.command.Settle[0], s)
 	}
 }
 
-func (w *world) claimed(t *task, a message.ClaimAnswer) {
+func (w *world) claimAnswered(t *task, a message.ClaimAnswer) {
 	if a.Outcome == message.ClaimReplay && !isFinal(a.State) {
 		w.t.Fatalf("%s: replay of a record that is %s", t.key, a.State)
 	}
 	if t.stage == closingClaim {
-		w.closeClaim(t, a)
+		w.closeAbandonedClaim(t, a)
 		return
 	}
 	if t.stage != claiming {
@@ -336,23 +341,25 @@
 			w.t.Fatalf("%s owns the record of %s", t.id, a.RequestID)
 		}
 	case message.ClaimReplay:
-		w.tell(t, a.State, a.Attempt, a.Answer)
+		w.checkAnswer(t, a.State, a.Attempt, a.Answer)
 	case message.ClaimConflict, message.ClaimRefused:
 		w.t.Fatalf("unexpected answer %+v", a)
 	}
 }
 
-// closeClaim is what the client's backlog does with a claim that was given up.
-func (w *world) closeClaim(t *task, a message.ClaimAnswer) {
+// closeAbandonedClaim closes the record if the claim owns it, as the background
+// queue of the client does after the caller left.
+func (w *world) closeAbandonedClaim(t *task, a message.ClaimAnswer) {
 	t.stage = done
 	if a.Outcome == message.ClaimOwned {
-		w.closeUnmoved(t)
+		w.closeIfClaimed(t)
 	}
 }
 
-// closeUnmoved closes a record that is still claimed. A client's backlog may
-// send it at any time, also beside an owner that goes on.
-func (w *world) closeUnmoved(t *task) {
+// closeIfClaimed sends the settle that closes a record if it is still claimed.
+// The background queue of the client may send it at any time, also while the
+// owner continues.
+func (w *world) closeIfClaimed(t *task) {
 	settle := message.Settle{Scope: w.scope(t.key), RequestID: t.id, Owner: t.owner, State: message.RecordNotRun}
 	if !t.once {
 		settle.State = message.RecordFailed
@@ -361,16 +368,16 @@
 	w.commands = append(w.commands, wireCommand{command: Command{Settle: []message.Settle{settle}}})
 }
 
-func (w *world) closeAny() {
-	if t := w.pick(claiming, owned, settlingRunning, dispatched, settling); t != nil {
-		w.closeUnmoved(t)
+func (w *world) closeAnyClaim() {
+	if t := w.pickTask(claiming, owned, settlingRunning, dispatched, settling); t != nil {
+		w.closeIfClaimed(t)
 	}
 }
 
-// dispatchOwned reserves at a gate and asks to be moved to running; what may
-// be repeated is at times dispatched without.
-func (w *world) dispatchOwned() {
-	t := w.pick(owned)
+// startDispatch reserves at a gate and requests the transition to running. A
+// repeatable request is sometimes dispatched without that transition.
+func (w *world) startDispatch() {
+	t := w.pickTask(owned)
 	if t == nil {
 		return
 	}
@@ -397,9 +404,10 @@
 	w.dispatches = append(w.dispatches, dispatch{task: t, attempt: a, gate: t.gate})
 }
 
-// arrive lets a dispatch reach its gate, at any time and at times twice.
-func (w *world) arrive(keep bool) {
-	d, ok := take(w.t, &w.dispatches, keep)
+// deliverDispatch delivers a dispatch to its gate. With keep the dispatch stays
+// in the list and is delivered again.
+func (w *world) deliverDispatch(keep bool) {
+	d, ok := drawFrom(w.t, &w.dispatches, keep)
 	if !ok {
 		return
 	}
@@ -409,7 +417,7 @@
 	case reserved:
 		gate[d.attempt] = letThrough
 		w.execute(d)
-		out.body = answerOf(d.attempt)
+		out.body = answerBody(d.attempt)
 	case closed:
 		out.ran = "no"
 	default:
@@ -418,17 +426,17 @@
 	w.replies = append(w.replies, out)
 }
 
-func answerOf(a message.Attempt) string { return fmt.Sprintf("%s/%d", a.RequestID, a.Number) }
+func answerBody(a message.Attempt) string { return fmt.Sprintf("%s/%d", a.RequestID, a.Number) }
 
-// execute counts an execution and sees that it was allowed.
+// execute notes an execution and checks that it was allowed.
 func (w *world) execute(d dispatch) {
 	key := d.task.key
 	w.ran[d.attempt] = true
 	if key == "k2" {
 		return
 	}
-	if d.attempt.Number <= w.closed[key] {
-		w.t.Fatalf("%s: attempt %d ran after not run was told up to %d", key, d.attempt.Number, w.closed[key])
+	if d.attempt.Number <= w.closedAttempt[key] {
+		w.t.Fatalf("%s: attempt %d ran, but attempts up to %d were reported as not run", key, d.attempt.Number, w.closedAttempt[key])
 	}
 	w.executed[key] = append(w.executed[key], d.attempt)
 	if len(w.executed[key]) > 1 {
@@ -436,10 +444,10 @@
 	}
 }
 
-// receive lets an answer of a gate reach its entry.
-func (w *world) receive() {
-	r, ok := take(w.t, &w.replies, false)
-	if !ok || !w.alive(r.task) || r.attempt.Number != r.task.attempt {
+// deliverReply delivers a reply of a gate to its entry.
+func (w *world) deliverReply() {
+	r, ok := drawFrom(w.t, &w.replies, false)
+	if !ok || !w.ownerAlive(r.task) || r.attempt.Number != r.task.attempt {
 		return
 	}
 	t := r.task
@@ -448,13 +456,13 @@
 		t.stage = settling
 		w.sendSettle(t, message.RecordAnswered, &message.Answer{Status: 200, Body: []byte(r.body)})
 	case r.ran == "no" && t.stage == dispatched:
-		w.refused(t)
+		w.retryOrClose(t)
 	}
 }
 
-// refused goes on after a gate said that the attempt did not run: with a later
-// attempt or by closing the record.
-func (w *world) refused(t *task) {
+// retryOrClose continues after a gate reported that the attempt did not run: it
+// either starts a later attempt or closes the record.
+func (w *world) retryOrClose(t *task) {
 	if rapid.Bool().Draw(w.t, "again") {
 		t.attempt++
 		w.reserve(t)
@@ -466,9 +474,10 @@
 	w.sendSettle(t, message.RecordNotRun, nil)
 }
 
-// giveUp has an entry stop waiting, whatever it waits for.
-func (w *world) giveUp() {
-	t := w.pick(claiming, owned, settlingRunning, dispatched)
+// abandonRequest has an entry stop waiting for its outstanding claim, settle or
+// dispatch.
+func (w *world) abandonRequest() {
+	t := w.pickTask(claiming, owned, settlingRunning, dispatched)
 	if t == nil {
 		return
 	}
@@ -485,15 +494,16 @@
 	}
 }
 
-// resend repeats the last command of a task, as its client does after silence.
-func (w *world) resend() {
-	t := w.pick(claiming, closingClaim, settlingRunning, settling)
+// resendCommand sends the last command of a task again, as the client does when
+// it gets no answer.
+func (w *world) resendCommand() {
+	t := w.pickTask(claiming, closingClaim, settlingRunning, settling)
 	if t != nil {
 		w.send(t, t.last)
 	}
 }
 
-func (w *world) settled(t *task, asked message.Settle, s message.Settled) {
+func (w *world) settleAnswered(t *task, asked message.Settle, s message.Settled) {
 	switch {
 	case t.stage == settlingRunning && asked.State == message.RecordRunning && asked.Attempt == t.attempt:
 		t.stage = done
@@ -503,50 +513,50 @@
 	case t.stage == settling && asked.State == t.last.Settle[0].State:
 		t.stage = done
 		if s.Accepted {
-			w.tell(t, asked.State, s.Attempt, asked.Answer)
+			w.checkAnswer(t, asked.State, s.Attempt, asked.Answer)
 		}
 	}
 }
 
-// tell checks what a caller is told.
-func (w *world) tell(t *task, state message.RecordState, attempt uint32, a *message.Answer) {
+// checkAnswer checks the outcome that a caller gets.
+func (w *world) checkAnswer(t *task, state message.RecordState, attempt uint32, a *message.Answer) {
 	switch {
 	case state == message.RecordNotRun:
-		w.toldNotRun(t.key, attempt)
+		w.checkNotRun(t.key, attempt)
 	case state == message.RecordAnswered && a != nil:
-		w.toldAnswer(t, string(a.Body))
+		w.checkSameAnswer(t, string(a.Body))
 	}
 }
 
-func (w *world) toldNotRun(key string, attempt uint32) {
+func (w *world) checkNotRun(key string, attempt uint32) {
 	for _, a := range w.executed[key] {
 		if a.Number <= attempt {
-			w.t.Fatalf("%s: not run was told up to attempt %d, but %d ran", key, attempt, a.Number)
+			w.t.Fatalf("%s: attempts up to %d were reported as not run, but attempt %d ran", key, attempt, a.Number)
 		}
 	}
-	w.closed[key] = max(w.closed[key], attempt)
+	w.closedAttempt[key] = max(w.closedAttempt[key], attempt)
 }
 
-func (w *world) toldAnswer(t *task, body string) {
-	if first, ok := w.final[t.key]; ok && first != body {
+func (w *world) checkSameAnswer(t *task, body string) {
+	if first, ok := w.firstAnswer[t.key]; ok && first != body {
 		w.t.Fatalf("%s: answered %q, then %q", t.key, first, body)
 	}
-	w.final[t.key] = body
+	w.firstAnswer[t.key] = body
 }
 
-// crash restarts an entry under a new owner name.
-func (w *world) crash() {
-	rapid.SampledFrom(w.entries).Draw(w.t, "entry").start++
+// crashEntry restarts an entry under a new owner name.
+func (w *world) crashEntry() {
+	rapid.SampledFrom(w.entries).Draw(w.t, "entry").incarnation++
 }
 
-// cut stops or resumes the renewals of an entry.
-func (w *world) cut() {
+// togglePartition stops or resumes the renewals of an entry.
+func (w *world) togglePartition() {
 	e := rapid.SampledFrom(w.entries).Draw(w.t, "entry")
-	e.cut = !e.cut
+	e.partitioned = !e.partitioned
 }
 
-// endSession has a gate give up a reservation that was not used.
-func (w *world) endSession() {
+// closeReservations closes some of the unused reservations at the gates.
+func (w *world) closeReservations() {
 	for _, gate := range w.gates {
 		for _, t := range w.tasks {
 			a := message.Attempt{RequestID: t.id, Number: t.attempt}
@@ -557,20 +567,21 @@
 	}
 }
 
-// restartGate empties the memory of a gate; what it had not let through it
-// will never let through, since the sessions are gone with it.
+// restartGate removes all sessions of a gate. An attempt that the gate had not
+// let through is never let through, because its session no longer exists.
 func (w *world) restartGate() {
 	clear(w.gates[rapid.IntRange(0, len(w.gates)-1).Draw(w.t, "gate")])
 }
 
-// pass lets time go by; entries that are not cut off renew.
-func (w *world) pass() {
+// advanceClock advances the time and renews the leases of the entries that are
+// not partitioned.
+func (w *world) advanceClock() {
 	ticks := rapid.SampledFrom([]int{1, 1, 1, 3, 4, 4, 12, 25}).Draw(w.t, "ticks")
 	for range ticks {
 		w.now = w.now.Add(maxClockGap - time.Second)
 		c := Command{Expire: &Expire{Limit: 2}}
 		for _, e := range w.entries {
-			if !e.cut {
+			if !e.partitioned {
 				c.Renew = append(c.Renew, message.Renew{Owner: e.owner(), LeaseFor: modelLease})
 			}
 		}
@@ -578,15 +589,16 @@
 	}
 }
 
-// resolve asks the gate or the service for the outcome of unknown records.
-func (w *world) resolve() {
+// resolveUnknown sends the outcomes of unknown records, as the gate or the
+// service reports them.
+func (w *world) resolveUnknown() {
 	for _, u := range w.state.Unknown(10, false) {
 		a := message.Attempt{RequestID: u.RequestID, Number: u.Attempt}
 		m := Resolve{RequestID: u.RequestID, Attempt: u.Attempt}
 		switch {
 		case w.ran[a]:
 			m.State = message.RecordAnswered
-			m.Answer = &message.Answer{Status: 200, Body: []byte(answerOf(a))}
+			m.Answer = &message.Answer{Status: 200, Body: []byte(answerBody(a))}
 		case w.closeAtGate(a):
 			m.State = message.RecordNotRun
 		default:
@@ -596,7 +608,8 @@
 	}
 }
 
-// closeAtGate closes an attempt at the gate that has it, if one remembers it.
+// closeAtGate closes an attempt at the gate where it is reserved or closed, and
+// reports whether there is one.
 func (w *world) closeAtGate(a message.Attempt) bool {
 	for _, gate := range w.gates {
 		if gate[a] == reserved || gate[a] == closed {
@@ -607,24 +620,25 @@
 	return false
 }
 
-// restore replaces a replica by its snapshot, as a restart does.
-func (w *world) restore() {
-	data := shotOf(w.t, w.replica)
+// restoreReplica replaces the second replica by one that is restored from its
+// snapshot, as a restart does.
+func (w *world) restoreReplica() {
+	data := snapshotOf(w.t, w.replica)
 	w.replica = New()
 	if err := w.replica.Restore([]byte(data)); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// settle ends the run: everything on its way arrives, all entries die, and
-// their leases end. Then no record may be open.
-func (w *world) settle() {
+// finish ends the run: all commands are delivered, all entries crash and their
+// leases end. Then no record may be open and both replicas must be equal.
+func (w *world) finish() {
 	for len(w.commands) > 0 {
-		w.deliver(false, false)
+		w.deliverCommand(false, false)
 	}
 	for _, e := range w.entries {
-		e.start++
-		e.cut = true
+		e.incarnation++
+		e.partitioned = true
 	}
 	for range 30 {
 		w.now = w.now.Add(time.Second)
@@ -632,15 +646,15 @@
 	}
 	for _, r := range w.state.records {
 		if r.open() {
-			w.t.Fatalf("%s is left %s", r.scope.Key, r.state)
+			w.t.Fatalf("%s is still %s after all leases ended", r.scope.Key, r.state)
 		}
 	}
-	if shotOf(w.t, w.state) != shotOf(w.t, w.replica) {
-		w.t.Fatal("replicas end with different snapshots")
+	if snapshotOf(w.t, w.state) != snapshotOf(w.t, w.replica) {
+		w.t.Fatal("replicas have different snapshots at the end")
 	}
 }
 
-func shotOf(t *rapid.T, s *State) string {
+func snapshotOf(t *rapid.T, s *State) string {
 	data, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/reducer/record/property_test.go
+++ b/internal/reducer/record/property_test.go
@@ -8,59 +8,63 @@
 	"pgregory.net/rapid"
 )
 
-// modelSeeds is how many random runs one test makes, unless -rapid.checks
-// says otherwise.
-const modelSeeds = "2000"
+// modelChecks is the number of random runs of a test without -rapid.checks.
+const modelChecks = "2000"
 
-// modelSeed is that of the first run: without -rapid.seed every run of the test
-// plays the same interleavings and comes to the same verdict.
+// modelSeed is the seed of the first run without -rapid.seed. It makes every run
+// of the test check the same interleavings, so the result is reproducible.
 const modelSeed = "5"
 
 // modelSteps is the mean number of steps of one run.
 const modelSteps = "150"
 
-// TestInterleavings plays random interleavings of callers, entries that crash
-// or are cut off, late and doubled commands, late and doubled dispatches, lost
-// answers and restarts. For a request that may run at most once the service
-// must never execute twice within one window, never after "not run" was told
-// and never before it is told; a key is never told two answers; no record is
-// left open; a replica restored from a snapshot stays the same.
+// TestInterleavings runs random interleavings of callers, entries that crash or
+// are disconnected, late and duplicate commands, late and duplicate dispatches,
+// lost answers and restarts. It checks that
+//
+//   - the service executes a request that may run at most once not more than
+//     once within the retention of its record;
+//   - it executes no attempt of such a request before or after the attempt is
+//     reported as not run;
+//   - a key is answered with one answer only;
+//   - no record stays open;
+//   - a replica that was restored from a snapshot equals the other one.
 func TestInterleavings(t *testing.T) {
-	setChecks(t)
+	setRapidFlags(t)
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		t.Repeat(w.actions())
-		w.settle()
+		w.finish()
 	})
 }
 
-// actions are the steps of a run. Rapid draws the first names more often, so
-// what moves requests on stands first: most runs would otherwise end in faults
-// before anything was executed.
+// actions returns the steps of a run. Rapid draws the first names more often, so
+// the steps by which requests progress come first. Otherwise faults would end
+// most runs before any request was executed.
 func (w *world) actions() map[string]func(*rapid.T) {
 	steps := []struct {
 		name string
 		step func()
 	}{
-		{"deliver", func() { w.deliver(false, false) }},
-		{"dispatch", w.dispatchOwned},
-		{"arrive", func() { w.arrive(false) }},
-		{"receive", w.receive},
-		{"request", w.request},
-		{"deliver", func() { w.deliver(false, false) }},
-		{"double", func() { w.deliver(true, false) }},
-		{"arriveTwice", func() { w.arrive(true) }},
-		{"lose", func() { w.deliver(false, true) }},
-		{"giveUp", w.giveUp},
-		{"resend", w.resend},
-		{"endSession", w.endSession},
-		{"resolve", w.resolve},
-		{"closeAny", w.closeAny},
-		{"pass", w.pass},
-		{"crash", w.crash},
-		{"cut", w.cut},
+		{"deliver", func() { w.deliverCommand(false, false) }},
+		{"dispatch", w.startDispatch},
+		{"arrive", func() { w.deliverDispatch(false) }},
+		{"receive", w.deliverReply},
+		{"request", w.sendRequest},
+		{"deliver", func() { w.deliverCommand(false, false) }},
+		{"double", func() { w.deliverCommand(true, false) }},
+		{"arriveTwice", func() { w.deliverDispatch(true) }},
+		{"lose", func() { w.deliverCommand(false, true) }},
+		{"giveUp", w.abandonRequest},
+		{"resend", w.resendCommand},
+		{"endSession", w.closeReservations},
+		{"resolve", w.resolveUnknown},
+		{"closeAny", w.closeAnyClaim},
+		{"pass", w.advanceClock},
+		{"crash", w.crashEntry},
+		{"cut", w.togglePartition},
 		{"restartGate", w.restartGate},
-		{"restore", w.restore},
+		{"restore", w.restoreReplica},
 	}
 	actions := map[string]func(*rapid.T){}
 	for i, s := range steps {
@@ -69,9 +73,9 @@
 	return actions
 }
 
-func setChecks(t *testing.T) {
+func setRapidFlags(t *testing.T) {
 	t.Helper()
-	setFlag(t, "rapid.checks", modelSeeds)
+	setFlag(t, "rapid.checks", modelChecks)
 	setFlag(t, "rapid.steps", modelSteps)
 	setFlag(t, "rapid.seed", modelSeed)
 }
--- a/internal/reducer/record/script_test.go
+++ b/internal/reducer/record/script_test.go
@@ -13,29 +13,31 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// scriptStart is when scripts begin.
+// scriptStart is the time at the start of a script.
 var scriptStart = time.Date(2131, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// script runs one data file on two states: one that lives on and one that is
-// restored from a snapshot after each command. They must not differ.
+// script runs one script on two states. The second one is replaced after each
+// command by a state that was restored from its snapshot. The two must not
+// differ.
 type script struct {
-	t       *testing.T
-	now     time.Time
-	index   uint64
-	state   *State
-	restore *State
+	t        *testing.T
+	now      time.Time
+	index    uint64
+	state    *State
+	restored *State
 }
 
-// TestScripts plays the second requests × states of the first, and the moves.
+// TestScripts runs the scripts in testdata: a second request in each state of
+// the first one, the transitions, and the limits.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		s := &script{t: t, now: scriptStart, state: New(), restore: New()}
+		s := &script{t: t, now: scriptStart, state: New(), restored: New()}
 		datadriven.RunTest(t, path, s.run)
 	})
 }
 
-// run plays each line of a block as one command of its own; "group" as the
-// block's command puts all lines into one.
+// run applies each line of a block as a separate command. In a "group" block all
+// lines form one command.
 func (s *script) run(_ *testing.T, d *datadriven.TestData) string {
 	var out strings.Builder
 	lines := strings.Split(strings.TrimSpace(d.Input), "\n")
@@ -48,13 +50,13 @@
 		return out.String()
 	}
 	for _, line := range lines {
-		s.line(line, &out)
+		s.runLine(line, &out)
 	}
 	return out.String()
 }
 
-func (s *script) line(line string, out *strings.Builder) {
-	args := fields(line)
+func (s *script) runLine(line string, out *strings.Builder) {
+	args := parseLine(line)
 	switch args.verb {
 	case "pass":
 		s.pass(args.duration("for"), out)
@@ -76,7 +78,8 @@
 	}
 }
 
-// pass lets time go by as a leader does, with an Expire each second.
+// pass advances the time with an Expire each second, as a leader does, or every
+// four seconds if the time is longer than an hour.
 func (s *script) pass(d time.Duration, out *strings.Builder) {
 	step := time.Second
 	if d > time.Hour {
@@ -85,41 +88,41 @@
 	var total Expired
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(step)
-		total = sum(total, s.one(Command{Expire: &Expire{Limit: 1000}}).Expired)
+		total = addExpired(total, s.applyToBoth(Command{Expire: &Expire{Limit: 1000}}).Expired)
 	}
 	if total != (Expired{}) {
 		fmt.Fprintf(out, "%s\n", strings.ReplaceAll(fmt.Sprintf("%+v", total), " More:false", ""))
 	}
 }
 
-func sum(a, b Expired) Expired {
+func addExpired(a, b Expired) Expired {
 	return Expired{
 		Owners: a.Owners + b.Owners, NotRun: a.NotRun + b.NotRun, Unknown: a.Unknown + b.Unknown,
 		Failed: a.Failed + b.Failed, Answers: a.Answers + b.Answers, Records: a.Records + b.Records,
 	}
 }
 
-// one applies a command to both states and compares them.
-func (s *script) one(c Command) Result {
+// applyToBoth applies a command to both states and compares the results.
+func (s *script) applyToBoth(c Command) Result {
 	s.t.Helper()
 	c.At = s.now
 	s.index++
 	result := s.state.Apply(s.index, c)
-	other := s.restore.Apply(s.index, c)
-	if !sameResult(s.t, result, other) {
-		s.t.Fatalf("restored state answers otherwise: %+v, want %+v", other, result)
+	other := s.restored.Apply(s.index, c)
+	if !equalResults(s.t, result, other) {
+		s.t.Fatalf("result of the restored state is %+v, want %+v", other, result)
 	}
 	return result
 }
 
-// sameResult reports whether the proposer gets the same of both; results may
-// differ in what the encoding leaves out.
-func sameResult(t interface{ Fatal(...any) }, a, b Result) bool {
-	return reflect.DeepEqual(a, b) || encoded(t, a) == encoded(t, b)
+// equalResults reports whether two results are equal or have the same encoding.
+// The encoding omits empty values, so results that differ may have the same one.
+func equalResults(t interface{ Fatal(...any) }, a, b Result) bool {
+	return reflect.DeepEqual(a, b) || encodeResult(t, a) == encodeResult(t, b)
 }
 
-// encoded is a result as the proposer gets it.
-func encoded(t interface{ Fatal(...any) }, r Result) string {
+// encodeResult returns a result in the form that the proposer receives.
+func encodeResult(t interface{ Fatal(...any) }, r Result) string {
 	data, err := r.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -129,7 +132,7 @@
 
 func (s *script) apply(c Command, out *strings.Builder) {
 	s.t.Helper()
-	result := s.one(c)
+	result := s.applyToBoth(c)
 	for _, t := range result.Settled {
 		writeSettled(out, t)
 	}
@@ -145,28 +148,29 @@
 	s.restart()
 }
 
-// restart replaces the second state by one restored from its snapshot.
+// restart compares the snapshots of both states and replaces the second state by
+// one that is restored from its snapshot.
 func (s *script) restart() {
 	s.t.Helper()
 	shot, err := s.state.Snapshot()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	other, err := s.restore.Snapshot()
+	other, err := s.restored.Snapshot()
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	if string(shot) != string(other) {
-		s.t.Fatal("restored state has another snapshot")
+		s.t.Fatal("snapshot of the restored state differs")
 	}
-	s.restore = New()
-	if err := s.restore.Restore(other); err != nil {
+	s.restored = New()
+	if err := s.restored.Restore(other); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
 func (s *script) parse(line string, c *Command) {
-	a := fields(line)
+	a := parseLine(line)
 	switch a.verb {
 	case "claim":
 		c.Claim = append(c.Claim, message.Claim{
@@ -199,13 +203,13 @@
 	}
 }
 
-// line is one line of a script: a verb and name=value words.
+// scriptLine is one line of a script: a verb and name=value arguments.
 type scriptLine struct {
 	verb   string
 	values map[string]string
 }
 
-func fields(line string) scriptLine {
+func parseLine(line string) scriptLine {
 	words := strings.Fields(line)
 	a := scriptLine{verb: words[0], values: map[string]string{
 		"org": "asociacion", "op": "tip", "key": "k1", "fp": "v1:aa", "id": "r1", "by": "e1", "n": "1",
--- a/internal/reducer/record/settle.go
+++ b/internal/reducer/record/settle.go
@@ -191,9 +191,9 @@
 	s.answerBytes += size
 }
 
-// IsTransient reports whether a failure is transient, so that a retry may succeed. A
-// brief that failed together with its server must not be answered with that
-// failure for a day. An error in the command itself recurs with every retry.
+// IsTransient reports whether a retry may succeed after a failure. A brief that
+// failed together with its server must not be answered with that failure for a
+// day. An error in the command itself recurs with every retry.
 func IsTransient(reason oriolebend.Reason) bool {
 	switch reason {
 	case oriolebend.ReasonMalformed, oriolebend.ReasonTooLarge, oriolebend.ReasonForbidden,
