--- a/internal/reducer/once/doc.go
+++ b/internal/reducer/once/doc.go
@@ -1,5 +1,5 @@
-// Package once holds a test only: the reducers of entries, of gates and of the
-// request records together, with a service that counts what it executes. Each
-// of them is tested alone against fakes of the others; this test sees that what
-// they assume of each other is so.
+// Package once contains only a test. It runs the reducers of entries, of gates
+// and of the request records together with a service that counts its
+// executions. Each reducer has its own tests with fakes of the others; this
+// test checks that the fakes' assumptions about the real reducers hold.
 package once
--- a/internal/reducer/once/fleet_test.go
+++ b/internal/reducer/once/fleet_test.go
@@ -15,70 +15,71 @@
 
 const serviceName = "liquidacion"
 
-// fleet is two entries and two gates over one log of records. What they send
-// each other waits on lists, from which the test takes it.
+// fleet is two entries and two gates with one log of records. Their messages to
+// each other are in lists, from which the test delivers them.
 type fleet struct {
 	t       *rapid.T
 	now     time.Time
 	index   uint64
 	records *record.State
 
-	entries  []*process
-	gates    []*sidecar
-	links    []*link
+	entries  []*entryProcess
+	gates    []*gateProcess
+	sessions []*session
 	commands []command
 	calls    []call
 	nextID   int
 
-	// executed counts executions by identity and by request.
-	executed map[string]int
-	ranAs    map[string]int
-	// toldNotRun and ended are by request.
-	toldNotRun map[string]bool
-	ended      map[string]int
-	alive      map[string]*process
+	// executed counts executions by identity, executedAs by request.
+	executed   map[string]int
+	executedAs map[string]int
+	// reportedNotRun and answerCount are by request.
+	reportedNotRun map[string]bool
+	answerCount    map[string]int
+	callers        map[string]*entryProcess
 }
 
-// process is one start of an entry.
-type process struct {
+// entryProcess is one incarnation of an entry.
+type entryProcess struct {
 	name  string
 	owner string
 	state *entry.State
-	held  map[string]bool
+	owned map[string]bool
 	dead  bool
-	// cut entries reach no control VM.
-	cut bool
+	// partitioned is true while the entry can't renew its lease.
+	partitioned bool
 }
 
-// sidecar is one start of a gate.
-type sidecar struct {
+// gateProcess is one incarnation of a gate.
+type gateProcess struct {
 	name  string
 	state *gate.State
 	dead  bool
 }
 
-// link is one session. A nil message is the end of the session, as the other
-// side comes to see it.
-type link struct {
+// session is one session between an entry and a gate. A nil message in a list
+// stands for the end of the session, as the receiver sees it.
+type session struct {
 	key             entry.SessionKey
 	id              gate.SessionID
-	from            *process
-	to              *sidecar
+	from            *entryProcess
+	to              *gateProcess
 	toGate, toEntry []message.Message
-	left            bool
+	closed          bool
 }
 
-// command is on its way to the log; p gets the answer, if it still lives.
+// command is a command that the log has not applied yet. Its result goes to p,
+// unless p has crashed.
 type command struct {
-	p       *process
+	p       *entryProcess
 	command record.Command
-	// doubled commands were applied once before.
-	doubled bool
+	// duplicate is true for the copy of a command that was applied before.
+	duplicate bool
 }
 
-// call is on its way from a gate to the service.
+// call is a call or status query that a gate has sent to the service.
 type call struct {
-	from   *sidecar
+	from   *gateProcess
 	call   message.Call
 	status *message.StatusQuery
 }
@@ -86,8 +87,8 @@
 func newFleet(t *rapid.T) *fleet {
 	f := &fleet{
 		t: t, now: time.Date(2131, 3, 1, 0, 0, 0, 0, time.UTC), records: record.New(),
-		executed: map[string]int{}, ranAs: map[string]int{}, toldNotRun: map[string]bool{},
-		ended: map[string]int{}, alive: map[string]*process{},
+		executed: map[string]int{}, executedAs: map[string]int{}, reportedNotRun: map[string]bool{},
+		answerCount: map[string]int{}, callers: map[string]*entryProcess{},
 	}
 	for _, name := range []string{"s1", "s2"} {
 		f.gates = append(f.gates, f.startGate(name))
@@ -98,9 +99,9 @@
 	return f
 }
 
-func (f *fleet) startEntry(name string) *process {
+func (f *fleet) startEntry(name string) *entryProcess {
 	f.nextID++
-	p := &process{name: name, owner: fmt.Sprintf("%s/%d", name, f.nextID), held: map[string]bool{}}
+	p := &entryProcess{name: name, owner: fmt.Sprintf("%s/%d", name, f.nextID), owned: map[string]bool{}}
 	p.state = entry.New(entry.Config{Name: name, Owner: p.owner, Seed: uint64(f.nextID)})
 	servers := make([]oriolebend.Server, 0, len(f.gates))
 	for _, g := range f.gates {
@@ -109,18 +110,18 @@
 			State: oriolebend.ServerServing, Incarnation: 1,
 		})
 	}
-	f.entry(p, entry.ServersChanged{At: f.now, Servers: servers, Complete: true})
+	f.reduceEntry(p, entry.ServersChanged{At: f.now, Servers: servers, Complete: true})
 	return p
 }
 
-func (f *fleet) startGate(name string) *sidecar {
-	g := &sidecar{name: name, state: gate.New(gate.Config{Role: oriolebend.Service, Service: serviceName})}
-	f.gate(g, gate.Ticked{At: f.now})
+func (f *fleet) startGate(name string) *gateProcess {
+	g := &gateProcess{name: name, state: gate.New(gate.Config{Role: oriolebend.Service, Service: serviceName})}
+	f.reduceGate(g, gate.Ticked{At: f.now})
 	return g
 }
 
-// entry hands an event to an entry and takes its effects.
-func (f *fleet) entry(p *process, e entry.Event) {
+// reduceEntry passes an event to an entry and applies its effects.
+func (f *fleet) reduceEntry(p *entryProcess, e entry.Event) {
 	if p.dead {
 		return
 	}
@@ -131,26 +132,26 @@
 		case entry.SendSettle:
 			f.commands = append(f.commands, command{p: p, command: record.Command{Settle: []message.Settle{x.Settle}}})
 			if x.Settle.State != message.RecordRunning {
-				delete(p.held, x.Settle.RequestID)
+				delete(p.owned, x.Settle.RequestID)
 			}
 		case entry.OpenSession:
-			f.open(p, x)
+			f.openSession(p, x)
 		case entry.Send:
-			if l := f.link(p, x.Session); l != nil {
-				l.toGate = append(l.toGate, x.Message)
+			if s := f.findSession(p, x.Session); s != nil {
+				s.toGate = append(s.toGate, x.Message)
 			}
 		case entry.CloseSession:
-			if l := f.link(p, x.Session); l != nil {
-				l.left = true
-				l.toGate = append(l.toGate, nil)
+			if s := f.findSession(p, x.Session); s != nil {
+				s.closed = true
+				s.toGate = append(s.toGate, nil)
 			}
 		default:
-			f.answer(effect)
+			f.checkEffect(effect)
 		}
 	}
 }
 
-func (f *fleet) open(p *process, x entry.OpenSession) {
+func (f *fleet) openSession(p *entryProcess, x entry.OpenSession) {
 	f.nextID++
 	var first message.Message = x.Reserve
 	if x.Status != nil {
@@ -158,7 +159,7 @@
 	}
 	for _, g := range f.gates {
 		if g.name == x.Address {
-			f.links = append(f.links, &link{
+			f.sessions = append(f.sessions, &session{
 				key: x.Session, id: gate.SessionID(fmt.Sprint(f.nextID)), from: p, to: g,
 				toGate: []message.Message{first},
 			})
@@ -166,58 +167,58 @@
 	}
 }
 
-func (f *fleet) link(p *process, key entry.SessionKey) *link {
-	for _, l := range f.links {
-		if l.from == p && l.key == key && !l.left {
-			return l
+func (f *fleet) findSession(p *entryProcess, key entry.SessionKey) *session {
+	for _, s := range f.sessions {
+		if s.from == p && s.key == key && !s.closed {
+			return s
 		}
 	}
 	return nil
 }
 
-// answer checks what a caller is told.
-func (f *fleet) answer(effect entry.Effect) {
+// checkEffect checks the answer that a caller gets.
+func (f *fleet) checkEffect(effect entry.Effect) {
 	switch x := effect.(type) {
 	case entry.AnswerCall:
-		f.end(x.RequestID)
-		f.whole(string(x.Answer.Body))
+		f.countAnswer(x.RequestID)
+		f.checkExecutedOnce(string(x.Answer.Body))
 	case entry.AnswerReplay:
-		f.end(x.RequestID)
+		f.countAnswer(x.RequestID)
 		if x.Answer.Reason == "" {
-			f.whole(string(x.Answer.Body))
+			f.checkExecutedOnce(string(x.Answer.Body))
 		}
 	case entry.AnswerAttach:
-		f.end(x.RequestID)
+		f.countAnswer(x.RequestID)
 	case entry.AnswerProblem:
-		f.end(x.RequestID)
+		f.countAnswer(x.RequestID)
 		if x.Problem.Ran == oriolebend.RanNo {
-			f.notRun(x.RequestID)
+			f.noteNotRun(x.RequestID)
 		}
 	}
 }
 
-func (f *fleet) end(id string) {
-	f.ended[id]++
-	if f.ended[id] > 1 {
+func (f *fleet) countAnswer(id string) {
+	f.answerCount[id]++
+	if f.answerCount[id] > 1 {
 		f.t.Fatalf("%s was answered twice", id)
 	}
 }
 
-func (f *fleet) whole(identity string) {
+func (f *fleet) checkExecutedOnce(identity string) {
 	if f.executed[identity] != 1 {
-		f.t.Fatalf("%q was told as answered after %d executions", identity, f.executed[identity])
+		f.t.Fatalf("%q was reported as answered after %d executions", identity, f.executed[identity])
 	}
 }
 
-func (f *fleet) notRun(id string) {
-	f.toldNotRun[id] = true
-	if f.ranAs[id] > 0 {
-		f.t.Fatalf("%s was told as not run, and it ran", id)
+func (f *fleet) noteNotRun(id string) {
+	f.reportedNotRun[id] = true
+	if f.executedAs[id] > 0 {
+		f.t.Fatalf("%s was reported as not run, but it ran", id)
 	}
 }
 
-// gate hands an event to a gate and takes its effects.
-func (f *fleet) gate(g *sidecar, e gate.Event) {
+// reduceGate passes an event to a gate and applies its effects.
+func (f *fleet) reduceGate(g *gateProcess, e gate.Event) {
 	if g.dead {
 		return
 	}
@@ -235,25 +236,25 @@
 	}
 }
 
-func (f *fleet) reply(g *sidecar, id gate.SessionID, m message.Message) {
-	for _, l := range f.links {
-		if l.to == g && l.id == id {
-			l.toEntry = append(l.toEntry, m)
+func (f *fleet) reply(g *gateProcess, id gate.SessionID, m message.Message) {
+	for _, s := range f.sessions {
+		if s.to == g && s.id == id {
+			s.toEntry = append(s.toEntry, m)
 		}
 	}
 }
 
-// serve has the service take what waits longest: with "run" it executes and
-// answers, with "lose" it executes and the answer is lost, with "miss" the
-// call does not reach it.
-func (f *fleet) serve(how string) {
+// runService processes the oldest call to the service. With "run" the service
+// executes the call and answers; with "lose" it executes the call and the answer
+// is lost; with "miss" the call does not reach the service.
+func (f *fleet) runService(how string) {
 	if len(f.calls) == 0 {
 		return
 	}
 	c := f.calls[0]
 	f.calls = f.calls[1:]
 	if c.status != nil {
-		f.tellStatus(c)
+		f.answerStatus(c)
 		return
 	}
 	a := c.call.Attempt
@@ -263,42 +264,43 @@
 	}
 	if how == "miss" {
 		failed.Ran = oriolebend.RanNo
-		f.gate(c.from, failed)
+		f.reduceGate(c.from, failed)
 		return
 	}
 	f.execute(c.call)
 	if how == "lose" {
-		f.gate(c.from, failed)
+		f.reduceGate(c.from, failed)
 		return
 	}
-	f.gate(c.from, gate.ServiceAnswered{At: f.now, Answer: message.CallAnswer{
+	f.reduceGate(c.from, gate.ServiceAnswered{At: f.now, Answer: message.CallAnswer{
 		Attempt: a, Status: 200, Body: []byte(c.call.Identity),
 	}})
 }
 
 func (f *fleet) execute(c message.Call) {
 	f.executed[c.Identity]++
-	f.ranAs[c.Attempt.RequestID]++
+	f.executedAs[c.Attempt.RequestID]++
 	if f.executed[c.Identity] > 1 {
 		f.t.Fatalf("%s ran twice", c.Identity)
 	}
-	if f.toldNotRun[c.Attempt.RequestID] {
-		f.t.Fatalf("%s ran after it was told as not run", c.Attempt.RequestID)
+	if f.reportedNotRun[c.Attempt.RequestID] {
+		f.t.Fatalf("%s ran after it was reported as not run", c.Attempt.RequestID)
 	}
 }
 
-func (f *fleet) tellStatus(c call) {
+func (f *fleet) answerStatus(c call) {
 	answer := message.CallAnswer{Attempt: c.status.Attempt, Status: 404}
 	if f.executed[c.status.Identity] > 0 {
 		answer.Status = 200
 		answer.Body = []byte(c.status.Identity)
 	}
-	f.gate(c.from, gate.ServiceAnswered{At: f.now, Answer: answer})
+	f.reduceGate(c.from, gate.ServiceAnswered{At: f.now, Answer: answer})
 }
 
-// apply lets a command reach the log. Doubled ones come again later; the
-// answer of a lost one does not reach its entry, which gets a problem.
-func (f *fleet) apply(at int, double, lost bool) {
+// applyCommand applies the command at an index of the list. With double a copy
+// of the command is applied again later. With lost the entry gets a problem
+// instead of the result.
+func (f *fleet) applyCommand(at int, double, lost bool) {
 	if len(f.commands) == 0 {
 		return
 	}
@@ -306,13 +308,13 @@
 	f.commands = append(f.commands[:at%len(f.commands):at%len(f.commands)], f.commands[at%len(f.commands)+1:]...)
 	result := f.commit(c.command)
 	if double {
-		f.commands = append(f.commands, command{p: c.p, command: c.command, doubled: true})
+		f.commands = append(f.commands, command{p: c.p, command: c.command, duplicate: true})
 	}
-	if c.p == nil || c.doubled {
+	if c.p == nil || c.duplicate {
 		return
 	}
 	for i, m := range c.command.Claim {
-		f.claimed(c.p, m, result.Claimed[i], lost)
+		f.answerClaim(c.p, m, result.Claimed[i], lost)
 	}
 	for i, m := range c.command.Settle {
 		event := entry.Settled{
@@ -322,27 +324,27 @@
 		if lost {
 			event.Problem = &oriolebend.Problem{Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanUnknown}
 		}
-		f.entry(c.p, event)
+		f.reduceEntry(c.p, event)
 	}
 }
 
-// claimed answers a claim as the client does, which closes in the background
-// what it gave up on.
-func (f *fleet) claimed(p *process, m message.Claim, a message.ClaimAnswer, lost bool) {
+// answerClaim answers a claim as the client does: if the answer is lost, the
+// client closes the claim in the background.
+func (f *fleet) answerClaim(p *entryProcess, m message.Claim, a message.ClaimAnswer, lost bool) {
 	if !lost {
 		if a.Outcome == message.ClaimOwned {
-			p.held[m.RequestID] = true
+			p.owned[m.RequestID] = true
 		}
-		f.entry(p, entry.Claimed{At: f.now, RequestID: m.RequestID, Answer: a})
+		f.reduceEntry(p, entry.Claimed{At: f.now, RequestID: m.RequestID, Answer: a})
 		return
 	}
-	if !p.held[m.RequestID] {
+	if !p.owned[m.RequestID] {
 		f.commands = append(f.commands, command{command: record.Command{Settle: []message.Settle{{
 			RequestID: m.RequestID, Scope: m.Scope, Owner: m.Owner,
 			Attempt: message.AnyAttempt, State: message.RecordNotRun,
 		}}}})
 	}
-	f.entry(p, entry.Claimed{At: f.now, RequestID: m.RequestID, Problem: &oriolebend.Problem{
+	f.reduceEntry(p, entry.Claimed{At: f.now, RequestID: m.RequestID, Problem: &oriolebend.Problem{
 		Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanUnknown,
 	}})
 }
@@ -353,11 +355,11 @@
 	return f.records.Apply(f.index, c)
 }
 
-// carry moves the next message of a session on, to its gate or its entry.
-func (f *fleet) carry(l *link, toGate bool) {
-	queue := &l.toEntry
+// deliver delivers the next message of a session to its gate or its entry.
+func (f *fleet) deliver(s *session, toGate bool) {
+	queue := &s.toEntry
 	if toGate {
-		queue = &l.toGate
+		queue = &s.toGate
 	}
 	if len(*queue) == 0 {
 		return
@@ -366,45 +368,45 @@
 	*queue = (*queue)[1:]
 	switch {
 	case toGate && m == nil:
-		f.gate(l.to, gate.Closed{At: f.now, Session: l.id})
+		f.reduceGate(s.to, gate.Closed{At: f.now, Session: s.id})
 	case toGate:
-		f.gate(l.to, gate.Received{At: f.now, Session: l.id, Message: m})
-	case l.left:
+		f.reduceGate(s.to, gate.Received{At: f.now, Session: s.id, Message: m})
+	case s.closed:
 	case m == nil:
-		l.left = true
-		f.entry(l.from, entry.SessionLost{At: f.now, Session: l.key, Opened: true})
+		s.closed = true
+		f.reduceEntry(s.from, entry.SessionLost{At: f.now, Session: s.key, Opened: true})
 	default:
-		f.entry(l.from, entry.Received{At: f.now, Session: l.key, Message: m})
+		f.reduceEntry(s.from, entry.Received{At: f.now, Session: s.key, Message: m})
 	}
 }
 
-// tick passes time for all; entries that are not cut off renew their leases.
+// tick advances the time of all processes. Entries that are not partitioned
+// renew their leases.
 func (f *fleet) tick(d time.Duration) {
 	f.now = f.now.Add(d)
 	c := record.Command{Expire: &record.Expire{Limit: 100}}
 	for _, p := range f.entries {
-		if !p.cut {
+		if !p.partitioned {
 			c.Renew = append(c.Renew, message.Renew{Owner: p.owner, LeaseFor: 10 * time.Second})
 		}
 	}
 	f.commit(c)
-	for _, l := range f.links {
-		if !l.left && !l.from.dead {
-			f.gate(l.to, gate.Renewed{At: f.now, Session: l.id})
+	for _, s := range f.sessions {
+		if !s.closed && !s.from.dead {
+			f.reduceGate(s.to, gate.Renewed{At: f.now, Session: s.id})
 		}
 	}
 	for _, g := range f.gates {
-		f.gate(g, gate.Ticked{At: f.now})
+		f.reduceGate(g, gate.Ticked{At: f.now})
 	}
 	for _, p := range f.entries {
-		f.entry(p, entry.Ticked{At: f.now})
+		f.reduceEntry(p, entry.Ticked{At: f.now})
 	}
 }
 
-// request has a caller send one of two tips, which may run once, through an
-// entry.
-// within bounds how long its caller waits, zero does not.
-func (f *fleet) request(p *process, key string, status bool, within time.Duration) {
+// sendRequest sends a call that may run at most once through an entry. within is
+// the deadline of the call; zero means none.
+func (f *fleet) sendRequest(p *entryProcess, key string, status bool, within time.Duration) {
 	f.nextID++
 	r := entry.Request{
 		ID:          fmt.Sprintf("r%d", f.nextID),
@@ -418,37 +420,38 @@
 	if within > 0 {
 		r.Deadline = f.now.Add(within)
 	}
-	f.alive[r.ID] = p
-	f.entry(p, entry.Arrived{At: f.now, Request: r})
+	f.callers[r.ID] = p
+	f.reduceEntry(p, entry.Arrived{At: f.now, Request: r})
 }
 
-// crash replaces an entry; what it sent may still arrive.
-func (f *fleet) crash(i int) {
+// crashEntry replaces an entry. Messages that it has sent may still arrive.
+func (f *fleet) crashEntry(i int) {
 	old := f.entries[i]
 	old.dead = true
-	for _, l := range f.links {
-		if l.from == old {
-			l.toGate = append(l.toGate, nil)
+	for _, s := range f.sessions {
+		if s.from == old {
+			s.toGate = append(s.toGate, nil)
 		}
 	}
 	f.entries[i] = f.startEntry(old.name)
 }
 
-// restart replaces a gate; what was on its way to it is gone, what it gave the
-// service is not.
-func (f *fleet) restart(i int) {
+// restartGate replaces a gate. Messages to the old gate are lost; its calls to
+// the service are not.
+func (f *fleet) restartGate(i int) {
 	old := f.gates[i]
 	old.dead = true
-	for _, l := range f.links {
-		if l.to == old {
-			l.toGate, l.toEntry = nil, append(l.toEntry, nil)
+	for _, s := range f.sessions {
+		if s.to == old {
+			s.toGate, s.toEntry = nil, append(s.toEntry, nil)
 		}
 	}
 	f.gates[i] = f.startGate(old.name)
 }
 
-// lose ends a session in between, for both sides.
-func (f *fleet) lose(l *link) {
-	l.toEntry = []message.Message{nil}
-	l.toGate = append(l.toGate, nil)
+// loseSession ends a session for both sides, as a broken connection does. The
+// messages to the entry that were not delivered are lost.
+func (f *fleet) loseSession(s *session) {
+	s.toEntry = []message.Message{nil}
+	s.toGate = append(s.toGate, nil)
 }
--- a/internal/reducer/once/once_test.go
+++ b/internal/reducer/once/once_test.go
@@ -13,12 +13,16 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/entry"
 )
 
-// TestAtMostOnce plays random interleavings of the real reducers for calls that
-// may run at most once: late, lost and doubled messages to the records, late
-// sessions, lost answers of the service, entries and gates that restart, a cut
-// to the control VMs. The service never executes twice for one key, nothing
-// runs under an id that was told as not run, nobody is answered twice, and once
-// the faults end every caller of a living entry is answered.
+// TestAtMostOnce runs random interleavings of the real reducers for calls that
+// may run at most once: late, lost and duplicate messages to the records, late
+// sessions, lost answers of the service, restarts of entries and gates, and
+// entries that can't renew their leases. It checks that
+//
+//   - the service never executes a key twice;
+//   - no call runs under a request id that was reported as not run;
+//   - no caller is answered twice;
+//   - after the faults end, every caller of an entry that did not crash is
+//     answered.
 func TestAtMostOnce(t *testing.T) {
 	setFlag(t, "rapid.checks", "2000")
 	setFlag(t, "rapid.steps", "120")
@@ -26,7 +30,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t)
 		t.Repeat(f.actions())
-		f.calm()
+		f.finish()
 	})
 }
 
@@ -41,29 +45,29 @@
 	}
 }
 
-// actions are the steps; rapid draws the first ones more often.
+// actions returns the steps of a run. Rapid draws the first ones more often.
 func (f *fleet) actions() map[string]func(*rapid.T) {
 	steps := []struct {
 		name string
 		step func()
 	}{
-		{"carry", f.carryAny},
-		{"apply", func() { f.apply(0, false, false) }},
-		{"carry", f.carryAny},
-		{"tick", func() { f.tick(f.pause()) }},
+		{"deliver", f.deliverAny},
+		{"apply", func() { f.applyCommand(0, false, false) }},
+		{"deliver", f.deliverAny},
+		{"tick", func() { f.tick(f.drawPause()) }},
 		{"request", f.requestAny},
-		{"serve", func() { f.serve("run") }},
-		{"carry", f.carryAny},
-		{"applyLate", func() { f.apply(f.draw("at", 5), false, false) }},
-		{"applyTwice", func() { f.apply(0, true, false) }},
-		{"loseAnswer", func() { f.apply(0, false, true) }},
-		{"serveAndLose", func() { f.serve("lose") }},
-		{"serveNot", func() { f.serve("miss") }},
-		{"loseSession", f.loseAny},
-		{"crash", func() { f.crash(f.draw("entry", len(f.entries))) }},
-		{"restartGate", func() { f.restart(f.draw("gate", len(f.gates))) }},
-		{"cut", f.cutAny},
-		{"leave", f.leaveAny},
+		{"run", func() { f.runService("run") }},
+		{"deliver", f.deliverAny},
+		{"applyLate", func() { f.applyCommand(f.draw("at", 5), false, false) }},
+		{"applyTwice", func() { f.applyCommand(0, true, false) }},
+		{"loseAnswer", func() { f.applyCommand(0, false, true) }},
+		{"runAndLose", func() { f.runService("lose") }},
+		{"dropCall", func() { f.runService("miss") }},
+		{"loseSession", f.loseAnySession},
+		{"crash", func() { f.crashEntry(f.draw("entry", len(f.entries))) }},
+		{"restartGate", func() { f.restartGate(f.draw("gate", len(f.gates))) }},
+		{"partition", f.togglePartitionOfAny},
+		{"leave", f.leaveAnyCaller},
 	}
 	actions := map[string]func(*rapid.T){}
 	for i, s := range steps {
@@ -76,7 +80,7 @@
 	return rapid.IntRange(0, below-1).Draw(f.t, name)
 }
 
-func (f *fleet) pause() time.Duration {
+func (f *fleet) drawPause() time.Duration {
 	return rapid.SampledFrom([]time.Duration{
 		20 * time.Millisecond, 100 * time.Millisecond, time.Second, 4 * time.Second,
 	}).Draw(f.t, "pause")
@@ -85,78 +89,78 @@
 func (f *fleet) requestAny() {
 	p := f.entries[f.draw("entry", len(f.entries))]
 	within := time.Duration(f.draw("deadline", 3)) * 2 * time.Second
-	f.request(p, fmt.Sprintf("k%d", f.draw("key", 2)), f.draw("status", 2) == 1, within)
+	f.sendRequest(p, fmt.Sprintf("k%d", f.draw("key", 2)), f.draw("status", 2) == 1, within)
 }
 
-// carryAny moves a message of one of the sessions that have some.
-func (f *fleet) carryAny() {
-	var waiting []func()
-	for _, l := range f.links {
-		if len(l.toGate) > 0 {
-			waiting = append(waiting, func() { f.carry(l, true) })
+// deliverAny delivers the next message of any session that has one.
+func (f *fleet) deliverAny() {
+	var deliveries []func()
+	for _, s := range f.sessions {
+		if len(s.toGate) > 0 {
+			deliveries = append(deliveries, func() { f.deliver(s, true) })
 		}
-		if len(l.toEntry) > 0 {
-			waiting = append(waiting, func() { f.carry(l, false) })
+		if len(s.toEntry) > 0 {
+			deliveries = append(deliveries, func() { f.deliver(s, false) })
 		}
 	}
-	if len(waiting) > 0 {
-		waiting[f.draw("message", len(waiting))]()
+	if len(deliveries) > 0 {
+		deliveries[f.draw("message", len(deliveries))]()
 	}
 }
 
-func (f *fleet) loseAny() {
-	if len(f.links) > 0 {
-		f.lose(f.links[f.draw("link", len(f.links))])
+func (f *fleet) loseAnySession() {
+	if len(f.sessions) > 0 {
+		f.loseSession(f.sessions[f.draw("session", len(f.sessions))])
 	}
 }
 
-// leaveAny has a caller leave; whether it gets an answer no longer counts.
-func (f *fleet) leaveAny() {
-	ids := slices.Sorted(maps.Keys(f.alive))
+// leaveAnyCaller has a caller leave. It then need not be answered.
+func (f *fleet) leaveAnyCaller() {
+	ids := slices.Sorted(maps.Keys(f.callers))
 	if len(ids) == 0 {
 		return
 	}
 	id := ids[f.draw("caller", len(ids))]
-	p := f.alive[id]
-	delete(f.alive, id)
-	f.entry(p, entry.CallerLeft{At: f.now, RequestID: id})
+	p := f.callers[id]
+	delete(f.callers, id)
+	f.reduceEntry(p, entry.CallerLeft{At: f.now, RequestID: id})
 }
 
-func (f *fleet) cutAny() {
+func (f *fleet) togglePartitionOfAny() {
 	p := f.entries[f.draw("entry", len(f.entries))]
-	p.cut = !p.cut
+	p.partitioned = !p.partitioned
 }
 
-// calm ends all faults and lets everything arrive, until each caller of a
-// living entry has its answer.
-func (f *fleet) calm() {
+// finish ends all faults and delivers all messages until every caller of an
+// entry that did not crash is answered.
+func (f *fleet) finish() {
 	for _, p := range f.entries {
-		p.cut = false
+		p.partitioned = false
 	}
 	for range 1500 {
 		for len(f.commands) > 0 {
-			f.apply(0, false, false)
+			f.applyCommand(0, false, false)
 		}
-		for _, l := range f.links {
-			f.carry(l, true)
-			f.carry(l, false)
+		for _, s := range f.sessions {
+			f.deliver(s, true)
+			f.deliver(s, false)
 		}
-		f.serve("run")
+		f.runService("run")
 		if f.allAnswered() && len(f.commands) == 0 {
 			return
 		}
 		f.tick(50 * time.Millisecond)
 	}
-	for id, p := range f.alive {
-		if !p.dead && f.ended[id] == 0 {
+	for id, p := range f.callers {
+		if !p.dead && f.answerCount[id] == 0 {
 			f.t.Fatalf("%s was never answered", id)
 		}
 	}
 }
 
 func (f *fleet) allAnswered() bool {
-	for id, p := range f.alive {
-		if !p.dead && f.ended[id] == 0 {
+	for id, p := range f.callers {
+		if !p.dead && f.answerCount[id] == 0 {
 			return false
 		}
 	}
