--- a/internal/reducer/order/advance.go
+++ b/internal/reducer/order/advance.go
@@ -9,127 +9,133 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// advance does the next thing that the state allows, and no more: one order
-// is in flight at a time, and each waits for what came before it.
+// advance takes the next step that the state allows. Only one order is in flight
+// at a time, and each step waits for the step before it.
 func (s *State) advance(at time.Time) []Effect {
 	if s.stopping {
 		return nil
 	}
 	if s.inFlight != nil {
-		return s.renew(at)
+		return s.renewPermit(at)
 	}
 	if s.info == nil {
-		return s.learn(at)
+		return s.learnEngine(at)
 	}
-	if !s.declared {
+	if !s.hasTarget {
 		return nil
 	}
 	if s.target.State != oriolebend.ServerServing {
-		return s.leave(at)
+		return s.takeOutOfWork(at)
 	}
-	orders := steps(s.target, *s.info)
+	orders := ordersFor(s.target, *s.info)
 	if len(orders) == 0 {
-		return s.settle(at)
+		return s.putToWork(at)
 	}
-	return s.change(at, orders)
+	return s.issueNextOrder(at, orders)
 }
 
-// learn asks the engine what it is; it may have been given anything by an
-// earlier life of this process.
-func (s *State) learn(at time.Time) []Effect {
-	effects := s.tell(message.ProgressLearning, "asking the engine what it holds")
-	effects = append(effects, s.askEngine(at, s.config.AskEvery)...)
-	return append(effects, s.renew(at)...)
+// learnEngine queries the state of the engine, which an earlier incarnation of
+// this sidecar may have changed.
+func (s *State) learnEngine(at time.Time) []Effect {
+	effects := s.sendReport(message.ProgressLearning, "asking the engine what it holds")
+	effects = append(effects, s.queryEngine(at, s.config.AskEvery)...)
+	return append(effects, s.renewPermit(at)...)
 }
 
-// askEngine asks the engine, if that is at least a period ago.
-func (s *State) askEngine(at time.Time, period time.Duration) []Effect {
-	if s.config.Service || !s.askedAt.IsZero() && at.Sub(s.askedAt) < period {
+// queryEngine queries the engine if the last query was at least a period ago. A
+// plain service is not queried.
+func (s *State) queryEngine(at time.Time, period time.Duration) []Effect {
+	if s.config.Service || !s.queriedAt.IsZero() && at.Sub(s.queriedAt) < period {
 		return nil
 	}
-	s.askedAt = at
-	s.asked++
-	return []Effect{AskEngine{Number: s.asked}}
+	s.queriedAt = at
+	s.queryNumber++
+	return []Effect{AskEngine{Number: s.queryNumber}}
 }
 
-// leave takes a server that is declared leaving or stopping out of work, and
-// orders nothing.
-func (s *State) leave(at time.Time) []Effect {
+// takeOutOfWork takes a server that is declared leaving or stopping out of work
+// and issues no order.
+func (s *State) takeOutOfWork(at time.Time) []Effect {
 	effects := s.setState(oriolebend.ServerLeaving)
-	effects = append(effects, s.release(at)...)
+	effects = append(effects, s.releasePermit(at)...)
 	if !s.drained {
-		return append(effects, s.tell(message.ProgressDraining, "work in progress has to end")...)
+		return append(effects, s.sendReport(message.ProgressDraining, "work in progress has to end")...)
 	}
-	effects = append(effects, s.tell(message.ProgressLeft, "out of work")...)
-	if s.target.State == oriolebend.ServerStopping && !s.left {
-		s.left = true
+	effects = append(effects, s.sendReport(message.ProgressLeft, "out of work")...)
+	if s.target.State == oriolebend.ServerStopping && !s.leftSent {
+		s.leftSent = true
 		effects = append(effects, Left{})
 	}
 	return effects
 }
 
-// settle puts a server that is as declared to work. While a lost order may
-// still act, it stays out: the order would cut work short. An engine that
-// checks fencing numbers is no better here, for it has seen no higher one.
-func (s *State) settle(at time.Time) []Effect {
-	if s.mayAct() {
-		return s.quiet(at)
+// putToWork puts a server whose engine is in the declared state to work. While a
+// lost order may still act, the server stays out of work, because the order
+// would abort running work. This holds for an engine that checks fencing numbers
+// too, because it has seen no number above that of the lost order.
+func (s *State) putToWork(at time.Time) []Effect {
+	if s.lostOrderMayAct() {
+		return s.waitForLostOrder(at)
 	}
 	effects := s.setState(oriolebend.ServerServing)
-	effects = append(effects, s.release(at)...)
-	effects = append(effects, s.tell(message.ProgressSettled, "")...)
-	return append(effects, s.askEngine(at, settledAsks*s.config.AskEvery)...)
+	effects = append(effects, s.releasePermit(at)...)
+	effects = append(effects, s.sendReport(message.ProgressSettled, "")...)
+	return append(effects, s.queryEngine(at, settledQueryPeriods*s.config.AskEvery)...)
 }
 
-// settledAsks is how many periods pass between questions to an engine that is
-// as declared; they find out that it restarted empty.
-const settledAsks = 5
+// settledQueryPeriods is the number of periods between queries to an engine that
+// is in the declared state. The queries detect an engine that restarted empty.
+const settledQueryPeriods = 5
 
-// mayAct reports whether a lost order may have changed, or may yet change,
-// what the engine was last known to hold.
-func (s *State) mayAct() bool {
-	return s.infoAt.Before(s.quietUntil)
+// lostOrderMayAct reports whether a lost order may have changed the engine since
+// its last known state, or may still change it.
+func (s *State) lostOrderMayAct() bool {
+	return s.infoAt.Before(s.mayActUntil)
 }
 
-func (s *State) quiet(at time.Time) []Effect {
-	return append(s.tell(message.ProgressQuiet, "an earlier order may still act"), s.askAgain(at)...)
+// waitForLostOrder waits until no lost order can act any more.
+func (s *State) waitForLostOrder(at time.Time) []Effect {
+	return append(s.sendReport(message.ProgressQuiet, "an earlier order may still act"), s.renewAndQuery(at)...)
 }
 
-// askAgain asks the engine now and then whether a lost order has acted.
-func (s *State) askAgain(at time.Time) []Effect {
-	return append(s.renew(at), s.askEngine(at, s.config.AskEvery)...)
+// renewAndQuery renews the permit and queries the engine once a period, such as
+// to detect that a lost order has acted.
+func (s *State) renewAndQuery(at time.Time) []Effect {
+	return append(s.renewPermit(at), s.queryEngine(at, s.config.AskEvery)...)
 }
 
-// change brings the engine one step nearer to the target.
-func (s *State) change(at time.Time, orders []engine.Order) []Effect {
+// issueNextOrder prepares and issues the first of the orders that bring the
+// engine to the target.
+func (s *State) issueNextOrder(at time.Time, orders []engine.Order) []Effect {
 	if s.info.Fencing > s.fencing {
 		detail := fmt.Sprintf("the engine has seen order %d, this sidecar is at revision %d", s.info.Fencing, s.fencing)
-		return append(s.tell(message.ProgressOutdated, detail), s.askAgain(at)...)
+		return append(s.sendReport(message.ProgressOutdated, detail), s.renewAndQuery(at)...)
 	}
-	if s.mayAct() && !s.config.ChecksFencing {
-		return s.quiet(at)
+	if s.lostOrderMayAct() && !s.config.ChecksFencing {
+		return s.waitForLostOrder(at)
 	}
 	if at.Before(s.retryAt) {
-		return append(s.tell(message.ProgressFailing, s.failure), s.askAgain(at)...)
+		return append(s.sendReport(message.ProgressFailing, s.failureDetail), s.renewAndQuery(at)...)
 	}
-	out, load := needsOut(orders), needsLoad(orders)
+	out, load := needsOutOfWork(orders), needsLoad(orders)
 	if !s.permitted(at, out, load) {
-		return s.await(at, out, load)
+		return s.awaitPermit(at, out, load)
 	}
-	effects := s.renew(at)
+	effects := s.renewPermit(at)
 	if out {
 		effects = append(effects, s.setState(oriolebend.ServerLoading)...)
-		if detail := s.stillIn(); detail != "" {
-			return append(effects, s.tell(message.ProgressDraining, detail)...)
+		if detail := s.drainObstacle(); detail != "" {
+			return append(effects, s.sendReport(message.ProgressDraining, detail)...)
 		}
 	}
 	return append(effects, s.issue(orders[0])...)
 }
 
-// stillIn says why the server is not out of work yet; empty if it is. The
-// declared state must show it as loading first: entries then know, and after
-// a crash the next life of this process finds that an order may be in flight.
-func (s *State) stillIn() string {
+// drainObstacle returns why the server is not out of work yet, or an empty
+// string if it is. The declared state must first show the server as loading.
+// Then entries know it, and after a crash the next incarnation of this sidecar
+// knows that an order may be in flight.
+func (s *State) drainObstacle() string {
 	if !s.drained {
 		return "work in progress has to end"
 	}
@@ -142,33 +148,34 @@
 
 func (s *State) issue(o engine.Order) []Effect {
 	o.Fencing = s.fencing
-	s.overlaps = s.mayAct()
-	s.issuedTo = s.info.Incarnation
+	s.overlapsLost = s.lostOrderMayAct()
+	s.issuedIncarnation = s.info.Incarnation
 	s.inFlight = &o
-	s.ordered = true
-	s.asked++ // what the engine was asked before no longer counts
-	s.unsure = nil
-	s.issued = s.state != oriolebend.ServerServing
-	s.permit.held = true
+	s.hasOrdered = true
+	s.queryNumber++ // answers to earlier queries are dropped
+	s.lostOrder = nil
+	s.issuedOutOfWork = s.gateState != oriolebend.ServerServing
+	s.permit.used = true
 	detail := fmt.Sprintf("%s of %s", o.Action, orderObject(o))
-	return append(s.tell(message.ProgressOrdering, detail), Issue{Order: o})
+	return append(s.sendReport(message.ProgressOrdering, detail), Issue{Order: o})
 }
 
-// setState tells the gate once. A server that is out of work starts over
-// with draining when it is to be out for another cause.
+// setState sends a changed state to the gate. If the state changes to or from
+// serving, the server must drain again before an order.
 func (s *State) setState(state oriolebend.ServerState) []Effect {
-	if s.state == state {
+	if s.gateState == state {
 		return nil
 	}
-	if state == oriolebend.ServerServing || s.state == oriolebend.ServerServing {
+	if state == oriolebend.ServerServing || s.gateState == oriolebend.ServerServing {
 		s.drained = false
-		s.issued = false
+		s.issuedOutOfWork = false
 	}
-	s.state = state
+	s.gateState = state
 	return []Effect{SetState{State: state}}
 }
 
-func (s *State) tell(progress message.Progress, detail string) []Effect {
+// sendReport reports the progress if it has changed.
+func (s *State) sendReport(progress message.Progress, detail string) []Effect {
 	report := Report{Progress: progress, Detail: detail}
 	if s.report == report {
 		return nil
--- a/internal/reducer/order/event.go
+++ b/internal/reducer/order/event.go
@@ -1,6 +1,6 @@
-// Package order is the reducer that makes a backend server's engine become
-// what is declared for it: model, version, adapters and pool role. It runs
-// beside the gate in the sidecar and is the only one that orders the engine.
+// Package order is the reducer that brings the engine of a backend server to its
+// declared model, version, adapters and pool role. It runs next to the gate in
+// the sidecar, and nothing else issues orders to the engine.
 package order
 
 import (
@@ -15,45 +15,44 @@
 // Event is something that happened. At is when, by the sidecar's clock.
 type Event interface{ orderEvent() }
 
-// Started begins; the sidecar's process just started.
+// Started is the first event; the process of the sidecar has started.
 type Started struct{ At time.Time }
 
-// Declared tells of the declared state that is in force in the sidecar.
+// Declared reports the declared state that is in force in the sidecar.
 type Declared struct {
 	At       time.Time
 	Revision uint64
 	Target   declared.Target
-	// Self is this server as the declared state holds it; nil if it is no
-	// member.
+	// Self is this server's member entry in the declared state; nil if the server
+	// is not a member.
 	Self *oriolebend.Server
 }
 
-// EngineKnown answers the AskEngine of that number: what the engine is and
-// holds.
+// EngineKnown is the engine's answer to the AskEngine with that number.
 type EngineKnown struct {
 	At     time.Time
 	Number uint64
 	Info   engine.Info
 }
 
-// EngineLost tells that the engine did not answer the AskEngine of that
+// EngineLost reports that the engine did not answer the AskEngine with that
 // number.
 type EngineLost struct {
 	At     time.Time
 	Number uint64
 }
 
-// Clean tells that the leader answered an announcement of this start of the
-// sidecar with Clean: no order of an earlier start can be on its way.
+// Clean reports that the leader answered an announcement of this incarnation of
+// the sidecar with Clean: no order of an earlier incarnation can be in flight.
 type Clean struct{ At time.Time }
 
-// WorkEnded tells that the gate refuses new work and has none left.
+// WorkEnded reports that the gate refuses new work and has no work in progress.
 type WorkEnded struct{ At time.Time }
 
-// Ended tells how the order in flight did.
+// Ended reports the outcome of the order in flight.
 type Ended struct {
 	At time.Time
-	// Reason is empty if the engine carried the order out.
+	// Reason is empty if the engine executed the order.
 	Reason oriolebend.Reason
 	// Unsure is true if the engine did not answer, so that the order may
 	// still act.
@@ -67,13 +66,13 @@
 	Answer message.Permitted
 }
 
-// PermitLost tells that the last AskPermit got no answer.
+// PermitLost reports that the last AskPermit got no answer.
 type PermitLost struct{ At time.Time }
 
-// Stopping tells that the sidecar was asked to stop: no new order is begun.
+// Stopping reports that the sidecar is stopping. No further order is issued.
 type Stopping struct{ At time.Time }
 
-// Ticked passes time; it comes at least every TickEvery.
+// Ticked advances the time. It must arrive at least every TickEvery.
 type Ticked struct{ At time.Time }
 
 func (Started) orderEvent()        {}
@@ -88,51 +87,53 @@
 func (Stopping) orderEvent()       {}
 func (Ticked) orderEvent()         {}
 
-// Effect is something that the sidecar is to do, in order.
+// Effect is an action that the sidecar performs. Effects are performed in order.
 type Effect interface{ orderEffect() }
 
-// SetState tells the gate whether to take new work, and has control told.
+// SetState sets the state of the gate, which decides whether it accepts new
+// work, and reports the state to the control VMs.
 type SetState struct{ State oriolebend.ServerState }
 
-// AskEngine reads the engine's Info; EngineKnown or EngineLost of the same
+// AskEngine queries the engine's Info. EngineKnown or EngineLost with the same
 // number follows.
 type AskEngine struct{ Number uint64 }
 
-// Issue gives the engine an order, once: the adapter must not send it again
-// by itself. Ended follows, once.
+// Issue sends an order to the engine once. The adapter must not send it again
+// by itself. Exactly one Ended follows.
 type Issue struct{ Order engine.Order }
 
-// AskPermit sends a message to the leader; PermitAnswered or PermitLost
+// AskPermit sends a permit request to the leader. PermitAnswered or PermitLost
 // follows.
 type AskPermit struct{ Permit message.Permit }
 
-// Report has control told how far the server is, with its next announcement.
+// Report reports the progress of the server to the control VMs with its next
+// announcement.
 type Report struct {
 	Progress message.Progress
 	Detail   string
 }
 
-// Left tells that a server that is declared stopping has no work left: the
-// sidecar is to end.
+// Left reports that a server that is declared stopping has no work in progress.
+// The sidecar then stops.
 type Left struct{}
 
-// Count adds one to the counter of orders that did not go well.
+// Count increments the counter of orders that failed or were not issued.
 type Count struct {
 	What   CountName
 	Reason oriolebend.Reason
 }
 
-// CountName names what is counted.
+// CountName is the name of a counter.
 type CountName string
 
-// What is counted.
+// Counters of orders.
 const (
-	// CountRefused: the engine refused an order or failed at it.
+	// CountRefused counts orders that the engine refused or failed to execute.
 	CountRefused CountName = "refused"
-	// CountUnsure: the engine did not answer an order.
+	// CountUnsure counts orders that the engine did not answer.
 	CountUnsure CountName = "unsure"
-	// CountGivenUp: the server went back to work before any order, since the
-	// permit ended meanwhile.
+	// CountGivenUp counts permits that ended before any order was issued, so that
+	// the server went back to work.
 	CountGivenUp CountName = "givenUp"
 )
 
--- a/internal/reducer/order/state.go
+++ b/internal/reducer/order/state.go
@@ -12,31 +12,33 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TickEvery is how often Ticked comes at least.
+// TickEvery is the longest time between two Ticked events.
 const TickEvery = 500 * time.Millisecond
 
-// Config sets times; zero fields take the defaults named.
+// Config configures the reducer of one sidecar. Zero durations take the defaults
+// given at the fields.
 type Config struct {
-	// Server and Incarnation name this start of the sidecar.
+	// Server and Incarnation identify this incarnation of the sidecar.
 	Server      string
 	Incarnation uint64
-	// Service is true beside a plain service, which has no engine and takes no
-	// orders.
+	// Service is true for the sidecar of a plain service, which has no engine and
+	// accepts no orders.
 	Service bool
-	// ChecksFencing is true if the engine refuses orders of an old number.
+	// ChecksFencing is true if the engine refuses orders with an old fencing
+	// number.
 	ChecksFencing bool
-	// QuietFor is the longest that an order may still act after its sender
-	// lost it; zero means 60s. It must cover the engine's longest load if the
-	// engine goes on with an order whose connection ended.
+	// QuietFor is the longest time that an order may still act after its outcome
+	// was lost; zero means 60s. It must cover the longest load of the engine if
+	// the engine continues an order whose connection has ended.
 	QuietFor time.Duration
-	// AskEvery is how often the engine is asked while its state is not known,
-	// and a refused permit is asked for again; zero means 1s.
+	// AskEvery is the period of queries to the engine while its state is not
+	// known, and of requests for a refused permit; zero means 1s.
 	AskEvery time.Duration
-	// RetryFirst and RetryMost bound the waits after a failed order; zero
-	// means 1s and 60s.
+	// RetryFirst and RetryMost are the first and the longest retry delay after a
+	// failed order; zero means 1s and 60s.
 	RetryFirst time.Duration
 	RetryMost  time.Duration
-	// Seed feeds the jitter.
+	// Seed seeds the jitter.
 	Seed uint64
 }
 
@@ -48,66 +50,72 @@
 	return c
 }
 
-// State is what the sidecar knows of its engine and of what is wanted.
+// State is the state of a sidecar that brings its engine to the declared target.
 type State struct {
 	config   Config
 	random   *rand.Rand
 	stopping bool
 
-	// What is declared. fencing is the revision at which the target is known
-	// to be wanted; orders carry it. Revisions never go back in a follower, also
-	// not over its restart, so neither do the numbers.
-	declared bool
-	target   declared.Target
-	fencing  uint64
-	self     *oriolebend.Server
+	// The declared state. fencing is the highest revision at which the target is
+	// known to be declared; orders carry it. The revisions of a follower never go
+	// back, not even over its restart, so the fencing numbers never do either.
+	hasTarget bool
+	target    declared.Target
+	fencing   uint64
+	self      *oriolebend.Server
 
-	// What the engine is; info is nil while that is not known for sure.
+	// The state of the engine. info is nil while that state is not known for sure.
 	info        *engine.Info
-	infoAt      time.Time // when it was asked for
+	infoAt      time.Time // when info was requested
 	incarnation uint64
-	askedAt     time.Time
-	// asked numbers the last AskEngine; answers to earlier ones tell of the
-	// engine as it was before an order, and are dropped.
-	asked uint64
+	queriedAt   time.Time
+	// queryNumber is the number of the last AskEngine. Answers to earlier ones
+	// may describe the engine before an order and are dropped.
+	queryNumber uint64
 
-	// What is in flight. Before quietUntil an order that was lost, or one of an
-	// earlier life of this process, may still act.
-	inFlight *engine.Order
-	ordered  bool // an order was issued in this life
-	unsure   *engine.Order
-	// overlaps is true if the last order was issued while a lost one could
-	// still act: its effect may then be that of the lost one.
-	overlaps bool
-	// issuedTo is the start of the engine that the last order was meant for.
-	issuedTo   uint64
-	quietUntil time.Time
-	// lost is the highest number of an order that was lost in this life.
-	lost     uint64
-	failures int
-	retryAt  time.Time
-	failure  string
+	// Orders. Before mayActUntil an order whose outcome was lost, or an order of
+	// an earlier incarnation of this sidecar, may still act.
+	inFlight   *engine.Order
+	hasOrdered bool // an order was issued in this incarnation
+	lostOrder  *engine.Order
+	// overlapsLost is true if the last order was issued while a lost order could
+	// still act. An effect that the engine shows may then be that of the lost
+	// order.
+	overlapsLost bool
+	// issuedIncarnation is the incarnation of the engine at the time of the last
+	// order.
+	issuedIncarnation uint64
+	mayActUntil       time.Time
+	// highestLost is the highest fencing number of a lost order of this
+	// incarnation.
+	highestLost   uint64
+	failures      int
+	retryAt       time.Time
+	failureDetail string
 
-	// What the gate was told, and whether its work has ended since.
-	state   oriolebend.ServerState
-	drained bool
-	// issued is true once an order was issued since the server left work.
-	issued bool
+	// The state that was sent to the gate, and whether the gate's work in
+	// progress has ended since.
+	gateState oriolebend.ServerState
+	drained   bool
+	// issuedOutOfWork is true once an order was issued since the server was taken
+	// out of work.
+	issuedOutOfWork bool
 
-	permit permitState
-	report Report
-	left   bool
+	permit   permitState
+	report   Report
+	leftSent bool
 }
 
-// permitState is the sidecar's permit as it knows it.
+// permitState is the permit that the leader last granted, and the request for
+// it that is outstanding.
 type permitState struct {
 	out, load bool
 	until     time.Time
-	asking    *message.Permit
-	askAt     time.Time
+	pending   *message.Permit
+	requestAt time.Time
 	detail    string
-	// held is true once an order was issued under the permit.
-	held bool
+	// used is true once an order was issued under the permit.
+	used bool
 }
 
 // New returns the state of a sidecar that has not started.
@@ -117,43 +125,43 @@
 	return s
 }
 
-// Settled reports whether the engine is as declared.
+// Settled reports whether the engine is in the declared state.
 func (s *State) Settled() bool {
 	return s.report.Progress == message.ProgressSettled
 }
 
-// Reduce takes one event and returns what is to be done.
+// Reduce applies one event and returns the effects to perform.
 func Reduce(s *State, e Event) []Effect {
 	switch e := e.(type) {
 	case Started:
-		s.started(e.At)
+		s.applyStarted(e.At)
 		return append(s.setState(oriolebend.ServerLoading), s.advance(e.At)...)
 	case Declared:
-		s.takeDeclared(e)
+		s.applyDeclared(e)
 		return s.advance(e.At)
 	case Clean:
-		s.clean()
+		s.skipInitialWait()
 		return s.advance(e.At)
 	case EngineKnown:
-		s.engineKnown(e)
+		s.applyEngineInfo(e)
 		return s.advance(e.At)
 	case EngineLost:
-		if e.Number == s.asked {
+		if e.Number == s.queryNumber {
 			s.info = nil
 		}
 		return s.advance(e.At)
 	case WorkEnded:
-		s.drained = s.state != oriolebend.ServerServing
+		s.drained = s.gateState != oriolebend.ServerServing
 		return s.advance(e.At)
 	case Ended:
-		effects := s.orderEnded(e)
+		effects := s.applyOrderEnd(e)
 		return append(effects, s.advance(e.At)...)
 	case PermitAnswered:
-		s.permitAnswered(e.At, e.Answer)
+		s.applyPermitAnswer(e.At, e.Answer)
 		return s.advance(e.At)
 	case PermitLost:
-		s.permit.asking = nil
-		s.permit.askAt = e.At.Add(s.config.AskEvery)
+		s.permit.pending = nil
+		s.permit.requestAt = e.At.Add(s.config.AskEvery)
 		return s.advance(e.At)
 	case Stopping:
 		s.stopping = true
@@ -164,107 +172,108 @@
 	return nil
 }
 
-func (s *State) started(at time.Time) {
+func (s *State) applyStarted(at time.Time) {
 	if s.config.Service {
 		s.info = &engine.Info{Role: oriolebend.Service}
 		return
 	}
-	s.quietUntil = at.Add(s.config.QuietFor)
+	s.mayActUntil = at.Add(s.config.QuietFor)
 }
 
-// takeDeclared takes the declared state. The first one of this life also
-// tells whether an order of an earlier life can be in flight: a server is
-// written down as loading before any order that its work could not bear, so
-// one that stands there in another state had none.
-func (s *State) takeDeclared(e Declared) {
-	if !s.declared && e.Self != nil && e.Self.State != oriolebend.ServerLoading {
-		s.clean()
+// applyDeclared applies the declared state. The first one of this incarnation
+// also shows whether an order of an earlier incarnation can be in flight. A
+// server is recorded as loading before any order that requires it to be out of
+// work, so a server that is recorded in another state has no such order.
+func (s *State) applyDeclared(e Declared) {
+	if !s.hasTarget && e.Self != nil && e.Self.State != oriolebend.ServerLoading {
+		s.skipInitialWait()
 	}
 	s.self = e.Self
 	s.fencing = max(s.fencing, e.Revision)
-	if s.declared && s.target.Same(e.Target) {
+	if s.hasTarget && s.target.Same(e.Target) {
 		return
 	}
-	s.declared = true
+	s.hasTarget = true
 	s.target = e.Target
 	s.failures = 0
 	s.retryAt = time.Time{}
-	s.failure = ""
+	s.failureDetail = ""
 }
 
-// clean ends the wait for orders of an earlier life, unless this life has
-// ordered something itself.
-func (s *State) clean() {
-	if !s.ordered {
-		s.quietUntil = time.Time{}
+// skipInitialWait ends the wait for orders of an earlier incarnation, unless
+// this incarnation has issued an order itself.
+func (s *State) skipInitialWait() {
+	if !s.hasOrdered {
+		s.mayActUntil = time.Time{}
 	}
 }
 
-// engineKnown takes the engine's word, unless it was asked for before the
-// last order.
-func (s *State) engineKnown(e EngineKnown) {
-	if e.Number != s.asked {
+// applyEngineInfo applies the state that the engine reported, unless it was
+// queried before the last order.
+func (s *State) applyEngineInfo(e EngineKnown) {
+	if e.Number != s.queryNumber {
 		return
 	}
 	restarted := s.incarnation != 0 && e.Info.Incarnation != s.incarnation
 	s.incarnation = e.Info.Incarnation
 	s.info = &e.Info
-	s.infoAt = s.askedAt
-	if restarted || s.shows(e.Info) {
-		// Orders die with the engine that was to carry them out, and one whose
-		// effect shows has acted.
-		s.quietUntil = time.Time{}
-		s.unsure = nil
-		s.lost = 0
+	s.infoAt = s.queriedAt
+	if restarted || s.showsLostOrder(e.Info) {
+		// An order ends with the incarnation of the engine that it was sent to. An
+		// order whose effect shows has acted.
+		s.mayActUntil = time.Time{}
+		s.lostOrder = nil
+		s.highestLost = 0
 	}
 }
 
-// shows reports whether the engine shows the effect of the lost order, and
-// nothing else can have caused it: no other order was about, and the engine has
-// not restarted since, which would have emptied it.
-func (s *State) shows(info engine.Info) bool {
-	if s.unsure == nil || s.overlaps || s.issuedTo == 0 || info.Incarnation != s.issuedTo {
+// showsLostOrder reports whether the engine shows the effect of the lost order
+// and nothing else can have caused it: no other order could act at the time, and
+// the engine has not restarted since, which would have emptied it.
+func (s *State) showsLostOrder(info engine.Info) bool {
+	if s.lostOrder == nil || s.overlapsLost || s.issuedIncarnation == 0 || info.Incarnation != s.issuedIncarnation {
 		return false
 	}
-	return acted(*s.unsure, info)
+	return hasEffect(*s.lostOrder, info)
 }
 
-func (s *State) orderEnded(e Ended) []Effect {
+func (s *State) applyOrderEnd(e Ended) []Effect {
 	if s.inFlight == nil {
 		return nil
 	}
 	ended := *s.inFlight
 	s.inFlight = nil
 	s.info = nil
-	s.askedAt = time.Time{}
+	s.queriedAt = time.Time{}
 	if e.Reason == "" && !e.Unsure {
 		s.failures = 0
-		s.failure = ""
-		s.fenceOff(ended)
+		s.failureDetail = ""
+		s.endWaitIfFenced(ended)
 		return nil
 	}
 	wait := min(s.config.RetryFirst<<min(s.failures, 10), s.config.RetryMost)
 	s.failures++
 	s.retryAt = e.At.Add(wait/2 + time.Duration(s.random.Int64N(int64(wait/2)+1)))
-	s.failure = fmt.Sprintf("%s of %s: %s %s", ended.Action, orderObject(ended), e.Reason, e.Detail)
+	s.failureDetail = fmt.Sprintf("%s of %s: %s %s", ended.Action, orderObject(ended), e.Reason, e.Detail)
 	if !e.Unsure {
 		return []Effect{Count{What: CountRefused, Reason: e.Reason}}
 	}
-	s.lost = max(s.lost, ended.Fencing)
-	s.unsure = &ended
-	// The order may have gone to a start of the engine that was not seen yet;
-	// only a restart after this point ends it.
+	s.highestLost = max(s.highestLost, ended.Fencing)
+	s.lostOrder = &ended
+	// The order may have reached an incarnation of the engine that was not seen
+	// yet. Only a restart after this point ends it.
 	s.incarnation = 0
-	s.quietUntil = e.At.Add(s.config.QuietFor)
+	s.mayActUntil = e.At.Add(s.config.QuietFor)
 	return []Effect{Count{What: CountUnsure, Reason: e.Reason}}
 }
 
-// fenceOff ends the wait for lost orders once an engine that checks numbers
-// has carried out a higher one: it refuses the lost ones from now on.
-func (s *State) fenceOff(done engine.Order) {
-	if s.config.ChecksFencing && s.lost > 0 && done.Fencing > s.lost {
-		s.quietUntil = time.Time{}
-		s.lost = 0
+// endWaitIfFenced ends the wait for lost orders once an engine that checks
+// fencing numbers has executed an order with a higher number. The engine refuses
+// the lost orders from then on.
+func (s *State) endWaitIfFenced(done engine.Order) {
+	if s.config.ChecksFencing && s.highestLost > 0 && done.Fencing > s.highestLost {
+		s.mayActUntil = time.Time{}
+		s.highestLost = 0
 	}
 }
 
--- a/internal/reducer/order/steps.go
+++ b/internal/reducer/order/steps.go
@@ -8,11 +8,11 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// steps lists the orders that turn an engine into the target, first things
-// first: memory is freed before it is needed, and adapters come after their
-// model. Adapters that are no longer wanted stay; they hold little memory and
-// engines have no order to drop them.
-func steps(t declared.Target, info engine.Info) []engine.Order {
+// ordersFor lists the orders that bring an engine to the target, in the order in
+// which they must be issued: memory is freed before it is needed, and adapters
+// come after their model. Adapters that are no longer declared stay loaded,
+// because they use little memory and engines have no order to unload them.
+func ordersFor(t declared.Target, info engine.Info) []engine.Order {
 	if t.Pool == "" || t.Role == oriolebend.Service {
 		return nil
 	}
@@ -43,21 +43,21 @@
 	return orders
 }
 
-// needsOut reports whether the server must be out of work for an order.
-// Adapters load beside running work.
-func needsOut(orders []engine.Order) bool {
+// needsOutOfWork reports whether the server must be out of work for any of the
+// orders. Adapters are loaded while work is running.
+func needsOutOfWork(orders []engine.Order) bool {
 	return slices.ContainsFunc(orders, func(o engine.Order) bool { return o.Action != engine.OrderAdapter })
 }
 
-// needsLoad reports whether an order fetches from the weight store.
+// needsLoad reports whether any of the orders fetches from the weight store.
 func needsLoad(orders []engine.Order) bool {
 	return slices.ContainsFunc(orders, func(o engine.Order) bool {
 		return o.Action == engine.OrderLoad || o.Action == engine.OrderAdapter
 	})
 }
 
-// acted reports whether an engine shows the effect of an order.
-func acted(o engine.Order, info engine.Info) bool {
+// hasEffect reports whether the engine shows the effect of an order.
+func hasEffect(o engine.Order, info engine.Info) bool {
 	at := slices.IndexFunc(info.Models, func(m oriolebend.LoadedModel) bool {
 		return m.Model == o.Model && m.Version == o.Version
 	})
--- a/internal/reducer/order/world_test.go
+++ b/internal/reducer/order/world_test.go
@@ -12,75 +12,75 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// sent is an order on its way to the engine.
-type sent struct {
-	order engine.Order
-	at    time.Time // when it acts
-	life  uint64
-	lost  bool // its end was told as unsure already
+// orderOnWay is an order on its way to the engine.
+type orderOnWay struct {
+	order       engine.Order
+	at          time.Time // when the engine executes the order
+	incarnation uint64
+	answerLost  bool // the sidecar was already informed that the outcome is lost
 }
 
-// world is one engine with its sidecar, a leader that grants permits and a
-// gate; what is late or lost is decided by its hooks.
+// world is an engine with its sidecar, a gate and a leader that grants permits.
+// Its hooks decide which orders and answers are late or lost.
 type world struct {
-	now      time.Time
-	config   Config
-	sidecar  *State
-	life     uint64
-	revision uint64
-	target   declared.Target
-	self     *oriolebend.Server // as the log has it
-	gate     oriolebend.ServerState
-	info     engine.Info
-	// interrupted is the log's memory of a membership that ended out of work.
-	interrupted bool
-	way         []sent
-	acted       []uint64
-	faults      []string
-	log         []string
-	deny        bool
-	known       []EngineKnown // late answers of the engine
-	late        func() bool
-	busy        bool // the gate has work in progress
-	// fate decides when an order acts, and whether its answer is lost.
-	fate func(o engine.Order) (delay time.Duration, lost bool)
+	now         time.Time
+	config      Config
+	sidecar     *State
+	incarnation uint64
+	revision    uint64
+	target      declared.Target
+	self        *oriolebend.Server // the member entry in the declared state
+	gate        oriolebend.ServerState
+	info        engine.Info
+	// interrupted is true if the membership ended while the server was loading.
+	interrupted  bool
+	onWay        []orderOnWay
+	actedFencing []uint64
+	faults       []string
+	log          []string
+	deny         bool
+	lateAnswers  []EngineKnown // answers of the engine that are delivered late
+	answersLate  func() bool
+	busy         bool // the gate has work in progress
+	// orderFate decides when an order acts and whether its answer is lost.
+	orderFate func(o engine.Order) (delay time.Duration, lost bool)
 }
 
 func newWorld(config Config) *world {
 	w := &world{
 		now: time.Unix(0, 0), config: config, revision: 1,
-		target: declared.Target{State: oriolebend.ServerServing},
-		info:   engine.Info{Role: oriolebend.Decode, Incarnation: 1},
-		fate:   func(engine.Order) (time.Duration, bool) { return time.Second, false },
+		target:    declared.Target{State: oriolebend.ServerServing},
+		info:      engine.Info{Role: oriolebend.Decode, Incarnation: 1},
+		orderFate: func(engine.Order) (time.Duration, bool) { return time.Second, false },
 	}
 	w.restart()
 	return w
 }
 
-// restart ends the sidecar's process at once and starts another. Orders on
-// their way stay there.
+// restart crashes the sidecar and starts its next incarnation. Orders on their
+// way are still executed.
 func (w *world) restart() {
-	w.life++
-	w.config.Incarnation = w.life
+	w.incarnation++
+	w.config.Incarnation = w.incarnation
 	w.sidecar = New(w.config)
 	w.gate = ""
-	w.known = nil
+	w.lateAnswers = nil
 	w.reduce(Started{At: w.now})
 	w.declare()
 }
 
-// lapse ends the membership, as the log then has it.
-func (w *world) lapse() {
+// endMembership ends the membership of the server.
+func (w *world) endMembership() {
 	if w.self != nil {
 		w.interrupted = w.self.State == oriolebend.ServerLoading
 		w.self = nil
 	}
 }
 
-// announced is the leader's answer to the first announcement.
-func (w *world) announced() {
+// answerAnnouncement sends the leader's answer to the first announcement.
+func (w *world) answerAnnouncement() {
 	clean := w.self == nil && !w.interrupted
-	if w.self != nil && w.self.Incarnation < w.life {
+	if w.self != nil && w.self.Incarnation < w.incarnation {
 		clean = w.self.State != oriolebend.ServerLoading
 	}
 	if clean {
@@ -100,11 +100,11 @@
 func (w *world) reduce(e Event) {
 	for _, effect := range Reduce(w.sidecar, e) {
 		w.log = append(w.log, strings.TrimPrefix(fmt.Sprintf("%T%+v", effect, effect), "order."))
-		w.carryOut(effect)
+		w.applyEffect(effect)
 	}
 }
 
-func (w *world) carryOut(effect Effect) {
+func (w *world) applyEffect(effect Effect) {
 	switch e := effect.(type) {
 	case SetState:
 		w.gate = e.State
@@ -112,11 +112,11 @@
 		info := w.info
 		info.Models = slices.Clone(info.Models)
 		known := EngineKnown{At: w.now, Number: e.Number, Info: info}
-		if w.late == nil || !w.late() {
+		if w.answersLate == nil || !w.answersLate() {
 			w.reduce(known)
 			return
 		}
-		w.known = append(w.known, known)
+		w.lateAnswers = append(w.lateAnswers, known)
 	case AskPermit:
 		answer := message.Permitted{Granted: !w.deny, LeaseFor: 15 * time.Second, RetryAfter: time.Second}
 		if w.deny {
@@ -124,21 +124,22 @@
 		}
 		w.reduce(PermitAnswered{At: w.now, Answer: answer})
 	case Issue:
-		delay, lost := w.fate(e.Order)
-		w.way = append(w.way, sent{order: e.Order, at: w.now.Add(delay), life: w.life, lost: lost})
+		delay, lost := w.orderFate(e.Order)
+		w.onWay = append(w.onWay, orderOnWay{order: e.Order, at: w.now.Add(delay), incarnation: w.incarnation, answerLost: lost})
 		if lost {
 			w.reduce(Ended{At: w.now, Unsure: true, Reason: oriolebend.ReasonOutcomeLost})
 		}
 	}
 }
 
-// pass lets time go by in ticks, and what is on its way arrive.
-func (w *world) pass(d time.Duration) {
+// advanceClock advances the time in ticks and delivers orders and answers that
+// are due.
+func (w *world) advanceClock(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(TickEvery)
-		w.arrive()
-		if w.gate != "" && (w.self == nil || w.self.State != w.gate || w.self.Incarnation != w.life) {
-			w.self = &oriolebend.Server{State: w.gate, Incarnation: w.life}
+		w.deliverDue()
+		if w.gate != "" && (w.self == nil || w.self.State != w.gate || w.self.Incarnation != w.incarnation) {
+			w.self = &oriolebend.Server{State: w.gate, Incarnation: w.incarnation}
 			w.interrupted = false
 			w.declare()
 		}
@@ -149,46 +150,47 @@
 	}
 }
 
-func (w *world) arrive() {
-	if len(w.known) > 0 && w.now.Sub(w.known[0].At) > time.Second {
-		known := w.known[0]
-		w.known = w.known[1:]
+func (w *world) deliverDue() {
+	if len(w.lateAnswers) > 0 && w.now.Sub(w.lateAnswers[0].At) > time.Second {
+		known := w.lateAnswers[0]
+		w.lateAnswers = w.lateAnswers[1:]
 		known.At = w.now
 		w.reduce(known)
 	}
-	way := w.way
-	w.way = nil
+	way := w.onWay
+	w.onWay = nil
 	for i, s := range way {
 		if s.at.After(w.now) {
-			w.way = append(w.way, way[i])
+			w.onWay = append(w.onWay, way[i])
 			continue
 		}
-		w.act(s.order)
-		if s.life == w.life && !s.lost {
+		w.executeOrder(s.order)
+		if s.incarnation == w.incarnation && !s.answerLost {
 			w.reduce(Ended{At: w.now})
 		}
 	}
 }
 
-// act is an engine that takes any order, or one that checks numbers.
-func (w *world) act(o engine.Order) {
+// executeOrder executes an order at the engine, which checks fencing numbers if
+// it is configured so, and notes faults.
+func (w *world) executeOrder(o engine.Order) {
 	if w.config.ChecksFencing && o.Fencing < w.info.Fencing {
 		return
 	}
 	if w.config.ChecksFencing {
 		w.info.Fencing = o.Fencing
 	}
-	if n := len(w.acted); n > 0 && w.acted[n-1] > o.Fencing {
-		w.faults = append(w.faults, fmt.Sprintf("order %d after order %d", o.Fencing, w.acted[n-1]))
+	if n := len(w.actedFencing); n > 0 && w.actedFencing[n-1] > o.Fencing {
+		w.faults = append(w.faults, fmt.Sprintf("order %d after order %d", o.Fencing, w.actedFencing[n-1]))
 	}
-	w.acted = append(w.acted, o.Fencing)
+	w.actedFencing = append(w.actedFencing, o.Fencing)
 	if w.gate == oriolebend.ServerServing && o.Action != engine.OrderAdapter {
 		w.faults = append(w.faults, fmt.Sprintf("%s while at work", o.Action))
 	}
-	w.apply(o)
+	w.applyToEngine(o)
 }
 
-func (w *world) apply(o engine.Order) {
+func (w *world) applyToEngine(o engine.Order) {
 	at := slices.IndexFunc(w.info.Models, func(m oriolebend.LoadedModel) bool {
 		return m.Model == o.Model && m.Version == o.Version
 	})
@@ -206,8 +208,8 @@
 	}
 }
 
-// want declares another target.
-func (w *world) want(t declared.Target) {
+// declareTarget declares another target.
+func (w *world) declareTarget(t declared.Target) {
 	w.revision++
 	w.target = t
 	w.declare()
