--- a/internal/reducer/member/rollout_test.go
+++ b/internal/reducer/member/rollout_test.go
@@ -170,7 +170,7 @@
 		switch e := effect.(type) {
 		case order.SetState:
 			s.state = e.State
-		case order.AskEngine:
+		case order.QueryEngine:
 			info := s.info
 			s.reduce(order.EngineKnown{At: s.fleet.now, Number: e.Number, Info: info})
 		case order.AskPermit:
--- a/internal/reducer/order/advance.go
+++ b/internal/reducer/order/advance.go
@@ -50,7 +50,7 @@
 	}
 	s.queriedAt = at
 	s.queryNumber++
-	return []Effect{AskEngine{Number: s.queryNumber}}
+	return []Effect{QueryEngine{Number: s.queryNumber}}
 }
 
 // takeOutOfWork takes a server that is declared leaving or stopping out of work
--- a/internal/reducer/order/event.go
+++ b/internal/reducer/order/event.go
@@ -28,14 +28,14 @@
 	Self *oriolebend.Server
 }
 
-// EngineKnown is the engine's answer to the AskEngine with that number.
+// EngineKnown is the engine's answer to the QueryEngine with that number.
 type EngineKnown struct {
 	At     time.Time
 	Number uint64
 	Info   engine.Info
 }
 
-// EngineLost reports that the engine did not answer the AskEngine with that
+// EngineLost reports that the engine did not answer the QueryEngine with that
 // number.
 type EngineLost struct {
 	At     time.Time
@@ -94,9 +94,9 @@
 // work, and reports the state to the control VMs.
 type SetState struct{ State oriolebend.ServerState }
 
-// AskEngine queries the engine's Info. EngineKnown or EngineLost with the same
+// QueryEngine queries the engine's Info. EngineKnown or EngineLost with the same
 // number follows.
-type AskEngine struct{ Number uint64 }
+type QueryEngine struct{ Number uint64 }
 
 // Issue sends an order to the engine once. The adapter must not send it again
 // by itself. Exactly one Ended follows.
@@ -138,7 +138,7 @@
 )
 
 func (SetState) orderEffect()  {}
-func (AskEngine) orderEffect() {}
+func (QueryEngine) orderEffect() {}
 func (Issue) orderEffect()     {}
 func (AskPermit) orderEffect() {}
 func (Report) orderEffect()    {}
--- a/internal/reducer/order/state.go
+++ b/internal/reducer/order/state.go
@@ -69,7 +69,7 @@
 	infoAt      time.Time // when info was requested
 	incarnation uint64
 	queriedAt   time.Time
-	// queryNumber is the number of the last AskEngine. Answers to earlier ones
+	// queryNumber is the number of the last QueryEngine. Answers to earlier ones
 	// may describe the engine before an order and are dropped.
 	queryNumber uint64
 
--- a/internal/reducer/order/state_test.go
+++ b/internal/reducer/order/state_test.go
@@ -35,7 +35,7 @@
 func renderLog(log []string) string {
 	var lines strings.Builder
 	for _, line := range log {
-		if !strings.HasPrefix(line, "AskEngine") && !strings.Contains(line, "HeldOut:true HeldLoad:false") {
+		if !strings.HasPrefix(line, "QueryEngine") && !strings.Contains(line, "HeldOut:true HeldLoad:false") {
 			lines.WriteString(line + "\n")
 		}
 	}
--- a/internal/reducer/order/world_test.go
+++ b/internal/reducer/order/world_test.go
@@ -108,7 +108,7 @@
 	switch e := effect.(type) {
 	case SetState:
 		w.gate = e.State
-	case AskEngine:
+	case QueryEngine:
 		info := w.info
 		info.Models = slices.Clone(info.Models)
 		known := EngineKnown{At: w.now, Number: e.Number, Info: info}
--- a/internal/role/orders.go
+++ b/internal/role/orders.go
@@ -72,7 +72,7 @@
 	switch f := effect.(type) {
 	case order.SetState:
 		o.SetState(f.State)
-	case order.AskEngine:
+	case order.QueryEngine:
 		go o.ask(f.Number)
 	case order.Issue:
 		go o.issue(f.Order)
