--- a/internal/reducer/member/rollout_test.go
+++ b/internal/reducer/member/rollout_test.go
@@ -173,7 +173,7 @@
 		case order.QueryEngine:
 			info := s.info
 			s.reduce(order.EngineKnown{At: s.fleet.now, Number: e.Number, Info: info})
-		case order.AskPermit:
+		case order.RequestPermit:
 			s.permits = append(s.permits, e.Permit)
 		case order.Issue:
 			s.inFlight = append(s.inFlight, e.Order)
--- a/internal/reducer/order/event.go
+++ b/internal/reducer/order/event.go
@@ -60,13 +60,13 @@
 	Detail string
 }
 
-// PermitAnswered is the leader's answer to the last AskPermit.
+// PermitAnswered is the leader's answer to the last RequestPermit.
 type PermitAnswered struct {
 	At     time.Time
 	Answer message.Permitted
 }
 
-// PermitLost reports that the last AskPermit got no answer.
+// PermitLost reports that the last RequestPermit got no answer.
 type PermitLost struct{ At time.Time }
 
 // Stopping reports that the sidecar is stopping. No further order is issued.
@@ -102,9 +102,9 @@
 // by itself. Exactly one Ended follows.
 type Issue struct{ Order engine.Order }
 
-// AskPermit sends a permit request to the leader. PermitAnswered or PermitLost
+// RequestPermit sends a permit request to the leader. PermitAnswered or PermitLost
 // follows.
-type AskPermit struct{ Permit message.Permit }
+type RequestPermit struct{ Permit message.Permit }
 
 // Report reports the progress of the server to the control VMs with its next
 // announcement.
@@ -140,7 +140,7 @@
 func (SetState) orderEffect()  {}
 func (QueryEngine) orderEffect() {}
 func (Issue) orderEffect()     {}
-func (AskPermit) orderEffect() {}
+func (RequestPermit) orderEffect() {}
 func (Report) orderEffect()    {}
 func (Left) orderEffect()      {}
 func (Count) orderEffect()     {}
--- a/internal/reducer/order/permit.go
+++ b/internal/reducer/order/permit.go
@@ -56,7 +56,7 @@
 		return nil
 	}
 	s.permit.pending = &p
-	return []Effect{AskPermit{Permit: p}}
+	return []Effect{RequestPermit{Permit: p}}
 }
 
 func (s *State) applyPermitAnswer(at time.Time, answer message.Permitted) {
--- a/internal/reducer/order/world_test.go
+++ b/internal/reducer/order/world_test.go
@@ -117,7 +117,7 @@
 			return
 		}
 		w.lateAnswers = append(w.lateAnswers, known)
-	case AskPermit:
+	case RequestPermit:
 		answer := message.Permitted{Granted: !w.deny, LeaseFor: 15 * time.Second, RetryAfter: time.Second}
 		if w.deny {
 			answer = message.Permitted{Detail: "pool p would keep 1 of 2", RetryAfter: time.Second}
--- a/internal/role/orders.go
+++ b/internal/role/orders.go
@@ -76,7 +76,7 @@
 		go o.ask(f.Number)
 	case order.Issue:
 		go o.issue(f.Order)
-	case order.AskPermit:
+	case order.RequestPermit:
 		o.Announcer.Ask(f.Permit, o.permitted)
 	case order.Report:
 		o.Announcer.Progress(f.Progress, f.Detail)
