--- a/internal/reducer/order/event.go
+++ b/internal/reducer/order/event.go
@@ -49,8 +49,8 @@
 // WorkEnded reports that the gate refuses new work and has no work in progress.
 type WorkEnded struct{ At time.Time }
 
-// Ended reports the outcome of the order in flight.
-type Ended struct {
+// OrderEnded reports the outcome of the order in flight.
+type OrderEnded struct {
 	At time.Time
 	// Reason is empty if the engine executed the order.
 	Reason oriolebend.Reason
@@ -81,7 +81,7 @@
 func (EngineLost) orderEvent()     {}
 func (Clean) orderEvent()          {}
 func (WorkEnded) orderEvent()      {}
-func (Ended) orderEvent()          {}
+func (OrderEnded) orderEvent()     {}
 func (PermitAnswered) orderEvent() {}
 func (PermitLost) orderEvent()     {}
 func (Stopping) orderEvent()       {}
@@ -99,7 +99,7 @@
 type QueryEngine struct{ Number uint64 }
 
 // Issue sends an order to the engine once. The adapter must not send it again
-// by itself. Exactly one Ended follows.
+// by itself. Exactly one OrderEnded follows.
 type Issue struct{ Order engine.Order }
 
 // RequestPermit sends a permit request to the leader. PermitAnswered or PermitLost
@@ -137,10 +137,10 @@
 	CountGivenUp CountName = "givenUp"
 )
 
-func (SetState) orderEffect()  {}
-func (QueryEngine) orderEffect() {}
-func (Issue) orderEffect()     {}
+func (SetState) orderEffect()      {}
+func (QueryEngine) orderEffect()   {}
+func (Issue) orderEffect()         {}
 func (RequestPermit) orderEffect() {}
-func (Report) orderEffect()    {}
-func (Left) orderEffect()      {}
-func (Count) orderEffect()     {}
+func (Report) orderEffect()        {}
+func (Left) orderEffect()          {}
+func (Count) orderEffect()         {}
