--- a/internal/reducer/order/advance.go
+++ b/internal/reducer/order/advance.go
@@ -38,7 +38,7 @@
 // this sidecar may have changed.
 func (s *State) learnEngine(at time.Time) []Effect {
 	effects := s.sendReport(message.ProgressLearning, "asking the engine what it holds")
-	effects = append(effects, s.queryEngine(at, s.config.AskEvery)...)
+	effects = append(effects, s.queryEngine(at, s.config.QueryEvery)...)
 	return append(effects, s.renewPermit(at)...)
 }
 
@@ -80,7 +80,7 @@
 	effects := s.setState(oriolebend.ServerServing)
 	effects = append(effects, s.releasePermit(at)...)
 	effects = append(effects, s.sendReport(message.ProgressSettled, "")...)
-	return append(effects, s.queryEngine(at, settledQueryPeriods*s.config.AskEvery)...)
+	return append(effects, s.queryEngine(at, settledQueryPeriods*s.config.QueryEvery)...)
 }
 
 // settledQueryPeriods is the number of periods between queries to an engine that
@@ -101,7 +101,7 @@
 // renewAndQuery renews the permit and queries the engine once a period, such as
 // to detect that a lost order has acted.
 func (s *State) renewAndQuery(at time.Time) []Effect {
-	return append(s.renewPermit(at), s.queryEngine(at, s.config.AskEvery)...)
+	return append(s.renewPermit(at), s.queryEngine(at, s.config.QueryEvery)...)
 }
 
 // issueNextOrder prepares and issues the first of the orders that bring the
--- a/internal/reducer/order/permit.go
+++ b/internal/reducer/order/permit.go
@@ -39,7 +39,7 @@
 	}
 	effects = append(effects, s.sendReport(message.ProgressWaiting, s.permit.detail)...)
 	effects = append(effects, s.sendPermit(at, s.newPermit(out, load))...)
-	return append(effects, s.queryEngine(at, s.config.AskEvery)...)
+	return append(effects, s.queryEngine(at, s.config.QueryEvery)...)
 }
 
 func (s *State) newPermit(out, load bool) message.Permit {
@@ -70,7 +70,7 @@
 		s.permit.until = at.Add(answer.LeaseFor)
 	}
 	if !answer.Granted {
-		s.permit.requestAt = at.Add(max(answer.RetryAfter, s.config.AskEvery))
+		s.permit.requestAt = at.Add(max(answer.RetryAfter, s.config.QueryEvery))
 		return
 	}
 	s.permit.out = requested.Out
--- a/internal/reducer/order/state.go
+++ b/internal/reducer/order/state.go
@@ -31,9 +31,9 @@
 	// was lost; zero means 60s. It must cover the longest load of the engine if
 	// the engine continues an order whose connection has ended.
 	QuietFor time.Duration
-	// AskEvery is the period of queries to the engine while its state is not
+	// QueryEvery is the period of queries to the engine while its state is not
 	// known, and of requests for a refused permit; zero means 1s.
-	AskEvery time.Duration
+	QueryEvery time.Duration
 	// RetryFirst and RetryMost are the first and the longest retry delay after a
 	// failed order; zero means 1s and 60s.
 	RetryFirst time.Duration
@@ -44,7 +44,7 @@
 
 func (c Config) withDefaults() Config {
 	c.QuietFor = cmp.Or(c.QuietFor, time.Minute)
-	c.AskEvery = cmp.Or(c.AskEvery, time.Second)
+	c.QueryEvery = cmp.Or(c.QueryEvery, time.Second)
 	c.RetryFirst = cmp.Or(c.RetryFirst, time.Second)
 	c.RetryMost = cmp.Or(c.RetryMost, time.Minute)
 	return c
@@ -161,7 +161,7 @@
 		return s.advance(e.At)
 	case PermitLost:
 		s.permit.pending = nil
-		s.permit.requestAt = e.At.Add(s.config.AskEvery)
+		s.permit.requestAt = e.At.Add(s.config.QueryEvery)
 		return s.advance(e.At)
 	case Stopping:
 		s.stopping = true
