--- a/internal/reducer/declared/answers.go
+++ b/internal/reducer/declared/answers.go
@@ -2,20 +2,20 @@
 
 import "github.com/oriolebend/oriolebend/pkg/oriolebend"
 
-// answer is what an order was told.
+// answer is the answer that an order got.
 type answer struct {
-	// Fingerprint tells whether an order of the same id is the same order.
+	// Fingerprint distinguishes different orders with the same id.
 	Fingerprint uint64                  `cbor:"fingerprint"`
 	Result      oriolebend.ChangeResult `cbor:"result"`
 }
 
-// answerKey is an order id as one operator uses it.
+// answerKey identifies an order: order ids are unique per operator.
 type answerKey struct {
 	Who     string `cbor:"who"`
 	OrderID string `cbor:"orderID"`
 }
 
-// answers keeps the latest answers, oldest first in queue.
+// answers keeps the latest answers. queue holds their keys, oldest first.
 type answers struct {
 	byOrder map[answerKey]answer
 	queue   []answerKey
@@ -30,15 +30,15 @@
 	return known, found
 }
 
-func (a *answers) keep(o Order, given answer) {
+func (a *answers) store(o Order, result answer) {
 	if o.OrderID == "" {
 		return
 	}
-	a.put(answerKey{Who: o.Who, OrderID: o.OrderID}, given)
+	a.insert(answerKey{Who: o.Who, OrderID: o.OrderID}, result)
 }
 
-func (a *answers) put(key answerKey, given answer) {
-	a.byOrder[key] = given
+func (a *answers) insert(key answerKey, result answer) {
+	a.byOrder[key] = result
 	a.queue = append(a.queue, key)
 	for len(a.byOrder) > maxAnswers {
 		delete(a.byOrder, a.queue[0])
--- a/internal/reducer/declared/bench_test.go
+++ b/internal/reducer/declared/bench_test.go
@@ -11,9 +11,10 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// fleet is a state of the size in view: 34 models with three versions and two
-// pools each, and 1,100 servers that are declared and announced.
-func fleet() *State {
+// benchmarkState returns a state of the expected size: 34 models with three
+// versions and two pools each, and 1,100 servers that are declared and
+// announced.
+func benchmarkState() *State {
 	s := New()
 	apply := func(r oriolebend.Resource) {
 		s.Apply(0, Command{Order: &Order{Action: oriolebend.ActionApply, Kind: r.Kind, Name: r.Name, Resource: &r, Who: "ana"}})
@@ -36,12 +37,12 @@
 		pool := fmt.Sprintf("model-%d-%s", i/2%models, role)
 		name := fmt.Sprintf("server-%d", i)
 		apply(oriolebend.Resource{Kind: oriolebend.KindServer, Name: name, Spec: &oriolebend.DeclaredServer{Pool: pool}})
-		s.Apply(0, Command{Members: &Members{Announced: []oriolebend.Server{benchServer(name, role, i)}}})
+		s.Apply(0, Command{Members: &Members{Announced: []oriolebend.Server{benchmarkServer(name, role, i)}}})
 	}
 	return s
 }
 
-func benchServer(name string, role oriolebend.PoolRole, i int) oriolebend.Server {
+func benchmarkServer(name string, role oriolebend.PoolRole, i int) oriolebend.Server {
 	return oriolebend.Server{
 		Name: name, Region: "region-1", FailureDomain: fmt.Sprintf("domain-%d", i%12),
 		GateAddress: "10.20.30.40:7470", Incarnation: 1764690000000000000, Role: role, State: oriolebend.ServerServing,
@@ -50,8 +51,8 @@
 	}
 }
 
-// benchOrder is the i-th of many changes, spread over the servers.
-func benchOrder(i int) Command {
+// benchmarkOrder returns the i-th of many changes, spread over the servers.
+func benchmarkOrder(i int) Command {
 	state := []oriolebend.ServerState{oriolebend.ServerLeaving, oriolebend.ServerServing}[i/1100%2]
 	name := fmt.Sprintf("server-%d", i%1100)
 	return Command{At: time.Unix(int64(i), 0), Order: &Order{
@@ -64,32 +65,32 @@
 	}}
 }
 
-// BenchmarkApply is one operator's change, decoded and applied.
+// BenchmarkApply decodes and applies one change of an operator.
 func BenchmarkApply(b *testing.B) {
-	s := fleet()
+	s := benchmarkState()
 	b.ReportAllocs()
 	bytes := 0
 	for i := 0; b.Loop(); i++ {
-		data, err := cbor.Marshal(benchOrder(i))
+		data, err := cbor.Marshal(benchmarkOrder(i))
 		if err != nil {
 			b.Fatal(err)
 		}
 		bytes = len(data)
-		s.Apply(0, viaLog(b, benchOrder(i)))
+		s.Apply(0, throughEncoding(b, benchmarkOrder(i)))
 	}
 	b.ReportMetric(float64(bytes), "logBytes/op")
 }
 
-// BenchmarkFeed is one change told to every follower: making the update for
-// each, and encoding it.
+// BenchmarkFeed applies one change, and makes and encodes the update for every
+// follower.
 func BenchmarkFeed(b *testing.B) {
 	for _, followers := range []int{320, 1420} {
 		b.Run(fmt.Sprintf("followers=%d", followers), func(b *testing.B) {
-			s := fleet()
+			s := benchmarkState()
 			bytes := 0
 			for i := 0; b.Loop(); i++ {
 				from := s.Revision()
-				s.Apply(0, benchOrder(i))
+				s.Apply(0, benchmarkOrder(i))
 				for range followers {
 					bytes = encodedUpdate(b, s, from)
 				}
@@ -111,15 +112,15 @@
 	return len(data)
 }
 
-// BenchmarkCatchUp is a follower that comes back after many changes, and one
-// that takes everything.
+// BenchmarkCatchUp makes the update for a follower that reconnects after many
+// changes, and for one that needs the complete state.
 func BenchmarkCatchUp(b *testing.B) {
 	for _, missed := range []int{1, 400, 100000} {
 		b.Run(fmt.Sprintf("missed=%d", missed), func(b *testing.B) {
-			s := fleet()
+			s := benchmarkState()
 			from := s.Revision()
 			for i := range missed {
-				s.Apply(0, benchOrder(i))
+				s.Apply(0, benchmarkOrder(i))
 			}
 			bytes := 0
 			for b.Loop() {
@@ -129,7 +130,7 @@
 		})
 	}
 	b.Run("everything", func(b *testing.B) {
-		s := fleet()
+		s := benchmarkState()
 		bytes := 0
 		for b.Loop() {
 			bytes = encodedUpdate(b, s, 0)
@@ -138,12 +139,12 @@
 	})
 }
 
-// BenchmarkAtRest is what a follower and a control VM tell each other while
-// nothing changes.
+// BenchmarkAtRest reports the sizes of the messages between a follower and a
+// control VM while nothing changes.
 func BenchmarkAtRest(b *testing.B) {
 	update, _ := cbor.Marshal(message.Update{Revision: 1 << 30, From: 1 << 30, Confirmed: true, Age: time.Second})
 	reached, _ := cbor.Marshal(message.Reached{Node: "entry-region1-domain12-320", Revision: 1 << 30, Role: "entry"})
-	announce, _ := cbor.Marshal(message.Announce{Server: benchServer("server-1099", oriolebend.Decode, 1099), Reached: 1 << 30})
+	announce, _ := cbor.Marshal(message.Announce{Server: benchmarkServer("server-1099", oriolebend.Decode, 1099), Reached: 1 << 30})
 	for b.Loop() {
 	}
 	b.ReportMetric(float64(len(update)), "updateBytes")
@@ -151,12 +152,12 @@
 	b.ReportMetric(float64(len(announce)), "announceBytes")
 }
 
-// BenchmarkSnapshot writes and reads a snapshot after many changes.
+// BenchmarkSnapshot encodes and restores a snapshot after many changes.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, changes := range []int{0, 400, 100000} {
-		s := fleet()
+		s := benchmarkState()
 		for i := range changes {
-			s.Apply(0, benchOrder(i))
+			s.Apply(0, benchmarkOrder(i))
 		}
 		data, err := s.Snapshot()
 		if err != nil {
@@ -180,9 +181,10 @@
 	}
 }
 
-// BenchmarkPoolServers is what the leader and a status do once for a revision.
+// BenchmarkPoolServers computes the pools of all members, as the leader and a
+// status query do once for a revision.
 func BenchmarkPoolServers(b *testing.B) {
-	view := fleet().View()
+	view := benchmarkState().View()
 	for b.Loop() {
 		view.PoolServers()
 	}
--- a/internal/reducer/declared/command.go
+++ b/internal/reducer/declared/command.go
@@ -1,7 +1,7 @@
-// Package declared is the part of the replicated state machine that holds
-// what operators declared and which backend servers are members. It is
-// deterministic: every control VM that applies the same commands in the same
-// order holds the same state, and time comes inside the commands.
+// Package declared is the part of the replicated state machine that holds the
+// resources that operators declared and the backend servers that are members. It
+// is deterministic: every control VM that applies the same commands in the same
+// order has the same state. The package reads no clock; commands carry the time.
 package declared
 
 import (
@@ -13,54 +13,56 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Command is one entry of the agreed log. Exactly one part is set.
+// Command is one entry of the replicated log. Exactly one of Order, Members and
+// Advance is set.
 type Command struct {
-	// At is when the leader proposed the command, by its clock.
+	// At is the leader's clock when it proposed the command.
 	At      time.Time `cbor:"at"`
 	Order   *Order    `cbor:"order,omitempty"`
 	Members *Members  `cbor:"members,omitempty"`
 	Advance *Advance  `cbor:"advance,omitempty"`
 }
 
-// Order is what an operator wants done to one resource.
+// Order is an operator's request to apply or delete one resource.
 type Order struct {
 	Action oriolebend.ChangeAction `cbor:"action"`
 	Kind   oriolebend.ResourceKind `cbor:"kind"`
 	Name   string                  `cbor:"name"`
 	// Resource is the new resource, for ActionApply; its revision is ignored.
 	Resource *oriolebend.Resource `cbor:"resource,omitempty"`
-	// Expect is the revision of the resource that the operator has seen; zero
-	// means that there must be none yet, nil that any will do.
+	// Expect is the revision that the resource must have. Zero means that the
+	// resource must not exist; nil accepts any revision.
 	Expect *uint64 `cbor:"expect,omitempty"`
-	// OrderID is chosen by the operator's program and kept over its retries.
+	// OrderID is chosen by the operator's program and stays the same over its
+	// retries.
 	OrderID string `cbor:"orderID,omitempty"`
-	// Who is the operator, by its token.
+	// Who is the operator, identified by its token.
 	Who string `cbor:"who"`
 }
 
-// Key names the resource that the order is about.
+// Key returns the key of the resource that the order applies to.
 func (o Order) Key() oriolebend.ResourceKey {
 	return oriolebend.ResourceKey{Kind: o.Kind, Name: o.Name}
 }
 
-// Members changes the membership: only what is announced anew or ended is
-// written, never a renewal.
+// Members changes the membership. It holds only changed announcements and ended
+// memberships, never renewals of leases.
 type Members struct {
 	Announced []oriolebend.Server `cbor:"announced,omitempty"`
 	Gone      []GoneServer        `cbor:"gone,omitempty"`
 }
 
-// GoneServer ends the membership of one start of a sidecar.
+// GoneServer ends the membership of one incarnation of a sidecar.
 type GoneServer struct {
 	Name        string `cbor:"name"`
 	Incarnation uint64 `cbor:"incarnation"`
 }
 
-// Advance lifts the revision counter. After the data folder was restored from
-// a backup, followers hold revisions that this state never gave out, and would
-// refuse all it says; engines have seen fencing numbers above its own. An
-// advance past the highest of them ends that: every follower is sent the whole
-// state.
+// Advance raises the revision counter. After the data folder was restored from a
+// backup, followers have revisions that this state never assigned, so they would
+// refuse all its updates, and engines have seen fencing numbers above its
+// revision. An advance past the highest of these numbers resolves both: every
+// follower is sent the complete state.
 type Advance struct {
 	To  uint64 `cbor:"to"`
 	Who string `cbor:"who"`
@@ -83,11 +85,11 @@
 	return encoding.Marshal(plain(c))
 }
 
-// fingerprint tells one order from another of the same order id.
+// fingerprint returns a hash that distinguishes orders with the same order id.
 func (o Order) fingerprint() uint64 {
 	data, err := encoding.Marshal(o)
 	if err != nil {
-		return 0 // an order that came out of CBOR goes back into it
+		return 0 // can't happen: the order was decoded from CBOR
 	}
 	return xxhash.Sum64(data)
 }
--- a/internal/reducer/declared/feed.go
+++ b/internal/reducer/declared/feed.go
@@ -8,7 +8,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// feedKey names what a change is about: a resource, or a member.
+// feedKey identifies the subject of a change: a resource or a member.
 type feedKey struct {
 	resource oriolebend.ResourceKey
 	server   string
@@ -23,16 +23,17 @@
 	key      feedKey
 }
 
-// feed orders everything by the revision of its last change. Only the last
-// change of each thing is kept, so that a follower which missed hundreds of
-// changes is sent each changed thing once, and the history never outgrows the
-// state. Deletions are kept up to a bound; a follower from before the oldest
-// that was forgotten needs a snapshot.
+// feed orders resources and members by the revision of their last change. Only
+// the last change of each is kept, so that a follower that missed hundreds of
+// changes is sent each changed resource or member once, and the history never
+// outgrows the state. A limited number of deletions is kept. A follower with a
+// revision below that of a removed deletion needs a snapshot.
 type feed struct {
-	entries []feedEntry
-	latest  map[feedKey]uint64
-	buried  []feedEntry
-	// floor is the revision before which deletions were forgotten.
+	entries   []feedEntry
+	latest    map[feedKey]uint64
+	deletions []feedEntry
+	// floor is the revision of the last deletion that was removed from the feed, or
+	// of the last advance. The changes after a lower revision are not all known.
 	floor uint64
 }
 
@@ -50,7 +51,7 @@
 	}
 }
 
-// compact drops the entries that a later change of the same thing replaced.
+// compact removes the entries that a later change of the same key replaced.
 func (f *feed) compact() {
 	kept := make([]feedEntry, 0, len(f.latest))
 	for _, e := range f.entries {
@@ -61,25 +62,25 @@
 	f.entries = kept
 }
 
-// bury notes that the last change of a thing was its deletion, and returns
-// the things whose deletion is forgotten for it.
-func (f *feed) bury(key feedKey, revision uint64) []feedKey {
-	f.buried = append(f.buried, feedEntry{revision: revision, key: key})
-	var forgotten []feedKey
-	for len(f.buried) > maxTombstones {
-		oldest := f.buried[0]
-		f.buried = f.buried[1:]
+// addDeletion notes that the last change of a key is its deletion. It returns the
+// keys whose deletions it removed to stay within the limit.
+func (f *feed) addDeletion(key feedKey, revision uint64) []feedKey {
+	f.deletions = append(f.deletions, feedEntry{revision: revision, key: key})
+	var removed []feedKey
+	for len(f.deletions) > maxTombstones {
+		oldest := f.deletions[0]
+		f.deletions = f.deletions[1:]
 		if f.latest[oldest.key] != oldest.revision {
 			continue
 		}
 		delete(f.latest, oldest.key)
 		f.floor = oldest.revision
-		forgotten = append(forgotten, oldest.key)
+		removed = append(removed, oldest.key)
 	}
-	return forgotten
+	return removed
 }
 
-// after returns the things that changed after a revision, oldest first.
+// after returns the last changes after a revision, oldest first.
 func (f *feed) after(revision uint64) []feedEntry {
 	first := sort.Search(len(f.entries), func(i int) bool { return f.entries[i].revision > revision })
 	var live []feedEntry
@@ -94,14 +95,16 @@
 // Change is the last change of one resource or member.
 type Change struct {
 	Revision uint64
-	// Resource is set for a resource; it has Deleted set if it is gone.
+	// Resource is set for a resource. Its field Deleted is true if the resource was
+	// deleted.
 	Resource *oriolebend.Resource
-	// Server is set for a member; its state is "gone" if its lease ended.
+	// Server is set for a member. Its state is "gone" if its membership ended.
 	Server *oriolebend.Server
 }
 
-// AheadError means that a follower has a revision that this control VM has
-// not: the VM is cut off or behind, and its state must not be taken.
+// AheadError is returned for a follower whose revision this control VM has not
+// reached. The VM is disconnected or behind, and the follower must not apply its
+// state.
 type AheadError struct{ Asked, Have uint64 }
 
 // Error implements error.
@@ -109,9 +112,10 @@
 	return fmt.Sprintf("revision %d was asked for, %d is here", e.Asked, e.Have)
 }
 
-// Since returns what changed after a revision, in order of revision, each
-// thing once. It reports false if that is no longer known; Everything then
-// takes its place. It returns an *AheadError for a revision not reached yet.
+// Since returns the changes after a revision in the order of revisions, each
+// resource and member once. known is false if these changes are no longer kept;
+// the caller then needs Everything. For a revision that this state has not
+// reached, Since returns an *AheadError.
 func (s *State) Since(revision uint64) (changes []Change, known bool, err error) {
 	if revision > s.view.Revision {
 		return nil, false, &AheadError{Asked: revision, Have: s.view.Revision}
@@ -120,17 +124,17 @@
 		return nil, false, nil
 	}
 	for _, e := range s.feed.after(revision) {
-		changes = append(changes, s.last(e))
+		changes = append(changes, s.lastChange(e))
 	}
 	return changes, true, nil
 }
 
-// Everything returns each resource and member, in order of last change,
-// without deletions.
+// Everything returns all resources and members, without deletions, in the order
+// of their last changes.
 func (s *State) Everything() []Change {
 	var changes []Change
 	for _, e := range s.feed.after(0) {
-		c := s.last(e)
+		c := s.lastChange(e)
 		if c.Resource != nil && c.Resource.Deleted || c.Server != nil && c.Server.State == oriolebend.ServerGone {
 			continue
 		}
@@ -139,7 +143,7 @@
 	return changes
 }
 
-func (s *State) last(e feedEntry) Change {
+func (s *State) lastChange(e feedEntry) Change {
 	if e.key.server == "" {
 		r, found := s.view.Resources[e.key.resource]
 		if !found {
@@ -155,15 +159,15 @@
 		server = oriolebend.Server{
 			Name:        e.key.server,
 			State:       oriolebend.ServerGone,
-			Incarnation: s.ended[e.key.server],
+			Incarnation: s.endedIncarnations[e.key.server],
 		}
 	}
 	return Change{Revision: e.revision, Server: &server}
 }
 
-// Update makes the message that brings a follower from a revision to this
-// state: the changes, or a snapshot if from is zero or too old. It returns an
-// *AheadError if the follower is ahead.
+// Update returns the message that brings a follower from a revision to this
+// state. It holds the changes, or a snapshot if from is zero or its changes are
+// no longer kept. Update returns an *AheadError if the follower is ahead.
 func (s *State) Update(from uint64) (message.Update, error) {
 	changes, known, err := s.Since(from)
 	if err != nil {
--- a/internal/reducer/declared/main_test.go
+++ b/internal/reducer/declared/main_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestMain sets how many random histories the property test runs, and a seed, so that the verdict is the
-// same every run. Flags of the command line go before both.
+// TestMain sets the number of random histories that the property test runs, and
+// a seed, so that the result is reproducible. Flags of the command line override
+// both.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.checks": "300", "rapid.seed": "1"} {
 		if err := flag.Set(name, value); err != nil {
--- a/internal/reducer/declared/refer.go
+++ b/internal/reducer/declared/refer.go
@@ -7,19 +7,19 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// broken lists the references of a resource that lead nowhere. They are
-// checked by the state machine and not before, since only its order of
-// commands decides between a deletion and an apply that race.
-func (v View) broken(r oriolebend.Resource) []oriolebend.FieldError {
+// brokenReferences lists the references of a resource to resources that do not
+// exist. They are checked by the state machine and not before, because only the
+// order of commands in the log decides a race between a deletion and an apply.
+func (v View) brokenReferences(r oriolebend.Resource) []oriolebend.FieldError {
 	switch s := r.Spec.(type) {
 	case *oriolebend.Version:
-		return v.needModel(s.Model)
+		return v.checkModel(s.Model)
 	case *oriolebend.Adapter:
-		return v.needModel(s.Model)
+		return v.checkModel(s.Model)
 	case *oriolebend.Model:
 		return v.droppedVersions(r.Name, s)
 	case *oriolebend.Pool:
-		return v.brokenPool(s)
+		return v.checkPool(s)
 	case *oriolebend.DeclaredServer:
 		if s.Pool != "" && v.Pool(s.Pool) == nil {
 			return []oriolebend.FieldError{notDeclared("spec.pool", oriolebend.KindPool, s.Pool)}
@@ -36,18 +36,18 @@
 	}
 }
 
-func (v View) needModel(model string) []oriolebend.FieldError {
+func (v View) checkModel(model string) []oriolebend.FieldError {
 	if v.Model(model) != nil {
 		return nil
 	}
 	return []oriolebend.FieldError{notDeclared("spec.model", oriolebend.KindModel, model)}
 }
 
-func (v View) brokenPool(p *oriolebend.Pool) []oriolebend.FieldError {
+func (v View) checkPool(p *oriolebend.Pool) []oriolebend.FieldError {
 	if p.Role == oriolebend.Service {
 		return nil
 	}
-	broken := v.needModel(p.Model)
+	broken := v.checkModel(p.Model)
 	if m := v.Model(p.Model); m != nil && !slices.Contains(m.Versions, p.Version) {
 		broken = append(broken, oriolebend.FieldError{
 			Field:   "spec.version",
@@ -68,8 +68,8 @@
 	return broken
 }
 
-// droppedVersions finds pools that still serve a version that the model no
-// longer wants.
+// droppedVersions lists the pools that serve a version that the model no longer
+// declares.
 func (v View) droppedVersions(model string, m *oriolebend.Model) []oriolebend.FieldError {
 	var broken []oriolebend.FieldError
 	for _, r := range v.List(oriolebend.KindPool) {
@@ -85,19 +85,19 @@
 	return broken
 }
 
-// users lists the resources that refer to one.
-func (v View) users(key oriolebend.ResourceKey) []oriolebend.FieldError {
-	var users []oriolebend.FieldError
+// referrers lists the resources that refer to the resource with the key.
+func (v View) referrers(key oriolebend.ResourceKey) []oriolebend.FieldError {
+	var referrers []oriolebend.FieldError
 	for _, r := range v.List("") {
 		if refers(r, key) {
-			users = append(users, oriolebend.FieldError{
+			referrers = append(referrers, oriolebend.FieldError{
 				Field:   r.Key().String(),
 				Problem: "refers to " + key.String(),
 				Allowed: "delete or change it first",
 			})
 		}
 	}
-	return users
+	return referrers
 }
 
 func refers(r oriolebend.Resource, key oriolebend.ResourceKey) bool {
@@ -109,7 +109,7 @@
 	return false
 }
 
-// references lists what a resource refers to.
+// references lists the keys of the resources that a resource refers to.
 func references(r oriolebend.Resource) []oriolebend.ResourceKey {
 	switch s := r.Spec.(type) {
 	case *oriolebend.Version:
--- a/internal/reducer/declared/snapshot.go
+++ b/internal/reducer/declared/snapshot.go
@@ -10,7 +10,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// snapshotFormat grows when an older program could not read a snapshot.
+// snapshotFormat is the version of the snapshot format. It is incremented for a
+// change that an older program could not read.
 const snapshotFormat = 1
 
 type snapshot struct {
@@ -19,7 +20,7 @@
 	Floor     uint64                  `cbor:"floor"`
 	Resources []oriolebend.Resource   `cbor:"resources"`
 	Servers   []snapshotServer        `cbor:"servers"`
-	Buried    []snapshotBuried        `cbor:"buried"`
+	Deletions []snapshotDeletion      `cbor:"buried"`
 	Answers   []snapshotAnswer        `cbor:"answers"`
 	Audit     []oriolebend.AuditEntry `cbor:"audit"`
 }
@@ -29,7 +30,7 @@
 	Server   oriolebend.Server `cbor:"server"`
 }
 
-type snapshotBuried struct {
+type snapshotDeletion struct {
 	Revision    uint64                  `cbor:"revision"`
 	Kind        oriolebend.ResourceKind `cbor:"kind,omitempty"`
 	Name        string                  `cbor:"name,omitempty"`
@@ -43,9 +44,9 @@
 	Answer answer    `cbor:"answer"`
 }
 
-// SnapshotError means that a snapshot can't be read.
+// SnapshotError is returned for a snapshot that can't be read.
 type SnapshotError struct {
-	// Format is what the snapshot says of itself; zero if unread.
+	// Format is the format of the snapshot; zero if it could not be decoded.
 	Format int
 	Cause  error
 }
@@ -58,12 +59,12 @@
 	return fmt.Sprintf("declared snapshot of format %d, this program reads %d", e.Format, snapshotFormat)
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *SnapshotError) Unwrap() error { return e.Cause }
 
-// Snapshot encodes the whole state; equal states give equal bytes.
+// Snapshot encodes the complete state. Equal states have equal snapshots.
 func (s *State) Snapshot() ([]byte, error) {
-	form := snapshot{
+	snap := snapshot{
 		Format:    snapshotFormat,
 		Revision:  s.view.Revision,
 		Floor:     s.feed.floor,
@@ -72,73 +73,73 @@
 	}
 	for _, server := range s.view.Members() {
 		revision := s.feed.latest[serverFeedKey(server.Name)]
-		form.Servers = append(form.Servers, snapshotServer{Revision: revision, Server: server})
+		snap.Servers = append(snap.Servers, snapshotServer{Revision: revision, Server: server})
 	}
-	for _, e := range s.feed.buried {
-		form.Buried = append(form.Buried, s.buriedForm(e))
+	for _, e := range s.feed.deletions {
+		snap.Deletions = append(snap.Deletions, s.deletionOf(e))
 	}
 	for _, key := range s.answers.queue {
-		form.Answers = append(form.Answers, snapshotAnswer{Key: key, Answer: s.answers.byOrder[key]})
+		snap.Answers = append(snap.Answers, snapshotAnswer{Key: key, Answer: s.answers.byOrder[key]})
 	}
-	return encoding.Marshal(form)
+	return encoding.Marshal(snap)
 }
 
-func (s *State) buriedForm(e feedEntry) snapshotBuried {
-	return snapshotBuried{
+func (s *State) deletionOf(e feedEntry) snapshotDeletion {
+	return snapshotDeletion{
 		Revision: e.revision, Kind: e.key.resource.Kind, Name: e.key.resource.Name,
-		Server: e.key.server, Incarnation: s.ended[e.key.server],
+		Server: e.key.server, Incarnation: s.endedIncarnations[e.key.server],
 		Interrupted: s.view.Interrupted[e.key.server],
 	}
 }
 
-// Restore replaces the whole state; on an error, a *SnapshotError, the state
-// is left as it was.
+// Restore replaces the complete state by that of a snapshot. Its error is a
+// *SnapshotError and leaves the state unchanged.
 func (s *State) Restore(data []byte) error {
-	var form snapshot
-	if err := cbor.Unmarshal(data, &form); err != nil {
+	var snap snapshot
+	if err := cbor.Unmarshal(data, &snap); err != nil {
 		return &SnapshotError{Cause: err}
 	}
-	if form.Format != snapshotFormat {
-		return &SnapshotError{Format: form.Format}
+	if snap.Format != snapshotFormat {
+		return &SnapshotError{Format: snap.Format}
 	}
 	restored := New()
-	restored.view.Revision = form.Revision
-	restored.audit = form.Audit
-	restored.restoreFeed(form)
-	for _, kept := range form.Answers {
-		restored.answers.put(kept.Key, kept.Answer)
+	restored.view.Revision = snap.Revision
+	restored.audit = snap.Audit
+	restored.restoreFeed(snap)
+	for _, kept := range snap.Answers {
+		restored.answers.insert(kept.Key, kept.Answer)
 	}
 	*s = *restored
 	return nil
 }
 
-func (s *State) restoreFeed(form snapshot) {
+func (s *State) restoreFeed(snap snapshot) {
 	var entries []feedEntry
-	for _, r := range form.Resources {
+	for _, r := range snap.Resources {
 		s.view.Resources[r.Key()] = r
 		entries = append(entries, feedEntry{revision: r.Revision, key: resourceFeedKey(r.Key())})
 	}
-	for _, held := range form.Servers {
-		s.view.Servers[held.Server.Name] = held.Server
-		entries = append(entries, feedEntry{revision: held.Revision, key: serverFeedKey(held.Server.Name)})
+	for _, member := range snap.Servers {
+		s.view.Servers[member.Server.Name] = member.Server
+		entries = append(entries, feedEntry{revision: member.Revision, key: serverFeedKey(member.Server.Name)})
 	}
-	for _, b := range form.Buried {
+	for _, b := range snap.Deletions {
 		key := feedKey{resource: oriolebend.ResourceKey{Kind: b.Kind, Name: b.Name}, server: b.Server}
 		entry := feedEntry{revision: b.Revision, key: key}
 		entries = append(entries, entry)
-		s.feed.buried = append(s.feed.buried, entry)
+		s.feed.deletions = append(s.feed.deletions, entry)
 	}
 	slices.SortFunc(entries, func(a, b feedEntry) int { return cmp.Compare(a.revision, b.revision) })
 	for _, e := range entries {
 		s.feed.add(e.key, e.revision)
 	}
-	for _, b := range form.Buried {
+	for _, b := range snap.Deletions {
 		if b.Server != "" && s.feed.latest[serverFeedKey(b.Server)] == b.Revision {
-			s.ended[b.Server] = b.Incarnation
+			s.endedIncarnations[b.Server] = b.Incarnation
 			if b.Interrupted {
 				s.view.Interrupted[b.Server] = true
 			}
 		}
 	}
-	s.feed.floor = form.Floor
+	s.feed.floor = snap.Floor
 }
--- a/internal/reducer/declared/state.go
+++ b/internal/reducer/declared/state.go
@@ -11,16 +11,16 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Bounds of what is kept beside the resources themselves. At 4,000 changes a
-// day they keep the answers of two days and the audit of one.
+// Limits of the data that is kept besides the resources. At 4,000 changes a day
+// they keep the answers of two days and the audit of one day.
 const (
 	maxAnswers    = 8192
 	maxAudit      = 4096
 	maxTombstones = 4096
 )
 
-// maxAdvance bounds one lift of the revision counter; a slip of the hand must
-// not use the numbers up.
+// maxAdvance bounds one advance of the revision counter, so that a typing error
+// can't exhaust the revisions.
 const maxAdvance = 1 << 32
 
 // State is the declared state and the membership.
@@ -29,78 +29,79 @@
 	feed    feed
 	answers answers
 	audit   []oriolebend.AuditEntry
-	// ended holds the incarnation of each server that is gone, so that an
-	// announcement of an ended start that comes late is not taken for news.
-	ended map[string]uint64
+	// endedIncarnations holds the last incarnation of each server whose
+	// membership ended, so that late announcements of earlier incarnations are not
+	// applied.
+	endedIncarnations map[string]uint64
 }
 
 // New returns the empty state.
 func New() *State {
 	return &State{
-		view:    NewView(),
-		feed:    newFeed(),
-		answers: newAnswers(),
-		ended:   map[string]uint64{},
+		view:              NewView(),
+		feed:              newFeed(),
+		answers:           newAnswers(),
+		endedIncarnations: map[string]uint64{},
 	}
 }
 
 // Revision returns the revision of the last change.
 func (s *State) Revision() uint64 { return s.view.Revision }
 
-// View returns the resources and members; the caller must not change it, nor
-// keep it over the next Apply.
+// View returns the resources and members. The caller must not change the view
+// and must not use it after the next Apply.
 func (s *State) View() View { return s.view }
 
-// Audit returns the accepted changes after a revision, oldest first, as far
-// as they are kept.
+// Audit returns the accepted changes after a revision that are still kept,
+// oldest first.
 func (s *State) Audit(after uint64) []oriolebend.AuditEntry {
 	kept := s.keptAudit()
 	first := sort.Search(len(kept), func(i int) bool { return kept[i].Revision > after })
 	return kept[first:]
 }
 
-// keptAudit is the part of the audit that a snapshot holds. What is older may
-// still be in memory, but answers must not depend on it: a control VM that was
-// restored from a snapshot would answer otherwise than the rest.
+// keptAudit returns the part of the audit that a snapshot holds. Older entries
+// may still be in memory, but answers must not depend on them: a control VM that
+// was restored from a snapshot would otherwise answer differently.
 func (s *State) keptAudit() []oriolebend.AuditEntry {
 	first := max(0, len(s.audit)-maxAudit)
 	return s.audit[first:len(s.audit):len(s.audit)]
 }
 
-// Apply carries out one command. The index is that of the log; the state does
-// not depend on it.
+// Apply applies one command. The first argument is the index in the log, on
+// which the state does not depend.
 func (s *State) Apply(_ uint64, c Command) oriolebend.ChangeResult {
 	switch {
 	case c.Order != nil:
-		return s.order(c.At, *c.Order)
+		return s.applyOrder(c.At, *c.Order)
 	case c.Members != nil:
-		return s.members(*c.Members)
+		return s.applyMembers(*c.Members)
 	case c.Advance != nil:
-		return s.advance(c.At, *c.Advance)
+		return s.applyAdvance(c.At, *c.Advance)
 	}
 	return oriolebend.ChangeResult{Outcome: oriolebend.ChangeUnchanged, Revision: s.view.Revision}
 }
 
-// order answers an order, or gives the answer that it got before.
+// applyOrder applies an order, or returns the answer that the order got before.
 //
-// Without the kept answers an operator whose answer was lost would resend and
-// find its own change in the way: a lost race against itself.
-func (s *State) order(at time.Time, o Order) oriolebend.ChangeResult {
-	mark := o.fingerprint()
+// If the answers were not kept, an operator whose answer was lost would resend
+// the order and lose a race against its own change.
+func (s *State) applyOrder(at time.Time, o Order) oriolebend.ChangeResult {
+	fingerprint := o.fingerprint()
 	if known, found := s.answers.find(o); found {
-		return s.again(known, mark, o)
+		return s.repeatAnswer(known, fingerprint, o)
 	}
 	result := s.decide(o)
 	result.OrderID = o.OrderID
 	if result.Outcome == oriolebend.ChangeApplied {
-		result.Revision = s.change(at, o)
+		result.Revision = s.applyChange(at, o)
 	}
-	s.answers.keep(o, answer{Fingerprint: mark, Result: result})
+	s.answers.store(o, answer{Fingerprint: fingerprint, Result: result})
 	return result
 }
 
-func (s *State) again(known answer, mark uint64, o Order) oriolebend.ChangeResult {
-	if known.Fingerprint != mark {
+func (s *State) repeatAnswer(known answer, fingerprint uint64, o Order) oriolebend.ChangeResult {
+	if known.Fingerprint != fingerprint {
 		return oriolebend.ChangeResult{
 			Outcome:  oriolebend.ChangeOrderReused,
 			Revision: s.view.Revision,
@@ -112,17 +113,17 @@
 	return result
 }
 
-// Answered returns the answer that an operator's order got, if it is kept.
+// Answered returns the answer that an operator's order got, if it is still kept.
 func (s *State) Answered(who, orderID string) (oriolebend.ChangeResult, bool) {
 	known, found := s.answers.find(Order{Who: who, OrderID: orderID})
 	known.Result.Resent = found
 	return known.Result, found
 }
 
-// DryRun tells what an order would meet now, without carrying it out.
+// DryRun returns the result that an order would have now, without applying it.
 func (s *State) DryRun(o Order) oriolebend.ChangeResult {
 	if known, found := s.answers.find(o); found {
-		return s.again(known, o.fingerprint(), o)
+		return s.repeatAnswer(known, o.fingerprint(), o)
 	}
 	result := s.decide(o)
 	result.OrderID = o.OrderID
@@ -130,17 +131,17 @@
 	return result
 }
 
-// decide says what an order meets; it changes nothing.
+// decide returns the result of an order and changes nothing.
 func (s *State) decide(o Order) oriolebend.ChangeResult {
 	result := oriolebend.ChangeResult{Revision: s.view.Revision}
-	if problems := malformed(o); len(problems) > 0 {
+	if problems := orderProblems(o); len(problems) > 0 {
 		result.Outcome = oriolebend.ChangeInvalid
 		result.Problems = problems
 		return result
 	}
 	current, exists := s.view.Resources[o.Key()]
 	if o.Expect != nil && *o.Expect != current.Revision {
-		return s.raced(o, current, exists)
+		return s.raceResult(o, current, exists)
 	}
 	if o.Action == oriolebend.ActionDelete {
 		return s.decideDelete(o, exists, result)
@@ -151,7 +152,7 @@
 		return result
 	}
 	result.Outcome = oriolebend.ChangeApplied
-	if broken := s.view.broken(*o.Resource); len(broken) > 0 {
+	if broken := s.view.brokenReferences(*o.Resource); len(broken) > 0 {
 		result.Outcome = oriolebend.ChangeInvalid
 		result.Problems = broken
 	}
@@ -164,15 +165,16 @@
 		return result
 	}
 	result.Outcome = oriolebend.ChangeApplied
-	if users := s.view.users(o.Key()); len(users) > 0 {
+	if referrers := s.view.referrers(o.Key()); len(referrers) > 0 {
 		result.Outcome = oriolebend.ChangeInUse
-		result.Problems = users
+		result.Problems = referrers
 	}
 	return result
 }
 
-// raced tells the loser of a race what won.
-func (s *State) raced(o Order, current oriolebend.Resource, exists bool) oriolebend.ChangeResult {
+// raceResult returns the result of an order that lost a race, with the current
+// resource and the change that won.
+func (s *State) raceResult(o Order, current oriolebend.Resource, exists bool) oriolebend.ChangeResult {
 	result := oriolebend.ChangeResult{Outcome: oriolebend.ChangeRaced, Revision: s.view.Revision}
 	if exists {
 		result.Current = &current
@@ -189,9 +191,10 @@
 	return result
 }
 
-// malformed checks an order by itself. Orders are checked before they are
-// proposed; this keeps a faulty leader from spoiling the state of all.
-func malformed(o Order) []oriolebend.FieldError {
+// orderProblems checks an order without the state. Orders are also checked
+// before they are proposed; this check keeps a faulty leader from corrupting the
+// state of all control VMs.
+func orderProblems(o Order) []oriolebend.FieldError {
 	if o.Action == oriolebend.ActionDelete {
 		return nil
 	}
@@ -213,8 +216,8 @@
 	return []oriolebend.FieldError{{Field: "order", Problem: err.Error()}}
 }
 
-// change carries out an accepted order and returns its revision.
-func (s *State) change(at time.Time, o Order) uint64 {
+// applyChange applies an accepted order and returns its revision.
+func (s *State) applyChange(at time.Time, o Order) uint64 {
 	s.view.Revision++
 	revision := s.view.Revision
 	entry := oriolebend.AuditEntry{
@@ -223,7 +226,7 @@
 	}
 	if o.Action == oriolebend.ActionDelete {
 		delete(s.view.Resources, o.Key())
-		s.buried(resourceFeedKey(o.Key()), revision)
+		s.addDeletion(resourceFeedKey(o.Key()), revision)
 	} else {
 		r := *o.Resource
 		r.Revision = revision
@@ -231,11 +234,11 @@
 		entry.Resource = &r
 		s.feed.add(resourceFeedKey(o.Key()), revision)
 	}
-	s.record(entry)
+	s.addAuditEntry(entry)
 	return revision
 }
 
-func (s *State) advance(at time.Time, a Advance) oriolebend.ChangeResult {
+func (s *State) applyAdvance(at time.Time, a Advance) oriolebend.ChangeResult {
 	if a.To <= s.view.Revision {
 		return oriolebend.ChangeResult{Outcome: oriolebend.ChangeUnchanged, Revision: s.view.Revision}
 	}
@@ -249,27 +252,28 @@
 		}
 	}
 	s.view.Revision = a.To
-	s.feed.floor = a.To // what followers hold from before it may never have been here
-	s.record(oriolebend.AuditEntry{Revision: a.To, At: at, Who: a.Who, Action: oriolebend.ActionAdvance})
+	s.feed.floor = a.To // followers may have lower revisions that this state never had
+	s.addAuditEntry(oriolebend.AuditEntry{Revision: a.To, At: at, Who: a.Who, Action: oriolebend.ActionAdvance})
 	return oriolebend.ChangeResult{Outcome: oriolebend.ChangeApplied, Revision: a.To}
 }
 
-// record keeps an entry of the audit, and forgets the oldest beyond a bound.
-func (s *State) record(entry oriolebend.AuditEntry) {
+// addAuditEntry adds an entry to the audit and removes the oldest ones beyond
+// the limit.
+func (s *State) addAuditEntry(entry oriolebend.AuditEntry) {
 	s.audit = append(s.audit, entry)
 	if len(s.audit) > 2*maxAudit {
 		s.audit = slices.Clone(s.keptAudit())
 	}
 }
 
-// members carries out a change of the membership.
-func (s *State) members(m Members) oriolebend.ChangeResult {
+// applyMembers applies a change of the membership.
+func (s *State) applyMembers(m Members) oriolebend.ChangeResult {
 	before := s.view.Revision
 	for _, server := range m.Announced {
-		s.announced(server)
+		s.applyAnnouncement(server)
 	}
-	for _, gone := range m.Gone {
-		s.gone(gone)
+	for _, ended := range m.Gone {
+		s.endMembership(ended)
 	}
 	result := oriolebend.ChangeResult{Outcome: oriolebend.ChangeApplied, Revision: s.view.Revision}
 	if s.view.Revision == before {
@@ -278,9 +282,10 @@
 	return result
 }
 
-// announced takes a server's announcement. One of an earlier start of its
-// sidecar, or of a start that has ended, came late and says nothing.
-func (s *State) announced(server oriolebend.Server) {
+// applyAnnouncement applies the announcement of a server. A late announcement of
+// an incarnation of the sidecar before the current one, or before the last one
+// that ended, is ignored.
+func (s *State) applyAnnouncement(server oriolebend.Server) {
 	if server.Name == "" || server.State == oriolebend.ServerGone {
 		return
 	}
@@ -288,36 +293,38 @@
 	if member && (server.Incarnation < known.Incarnation || reflect.DeepEqual(known, server)) {
 		return
 	}
-	if server.Incarnation < s.ended[server.Name] {
+	if server.Incarnation < s.endedIncarnations[server.Name] {
 		return
 	}
 	s.view.Revision++
 	s.view.Servers[server.Name] = server
-	delete(s.ended, server.Name)
+	delete(s.endedIncarnations, server.Name)
 	delete(s.view.Interrupted, server.Name)
 	s.feed.add(serverFeedKey(server.Name), s.view.Revision)
 }
 
-// gone ends a membership, unless a later start has announced itself since.
-func (s *State) gone(g GoneServer) {
+// endMembership ends a membership, unless a later incarnation has announced
+// itself since.
+func (s *State) endMembership(g GoneServer) {
 	known, member := s.view.Servers[g.Name]
 	if !member || g.Incarnation < known.Incarnation {
 		return
 	}
 	s.view.Revision++
 	delete(s.view.Servers, g.Name)
-	s.ended[g.Name] = known.Incarnation
+	s.endedIncarnations[g.Name] = known.Incarnation
 	if known.State == oriolebend.ServerLoading {
 		s.view.Interrupted[g.Name] = true
 	}
-	s.buried(serverFeedKey(g.Name), s.view.Revision)
+	s.addDeletion(serverFeedKey(g.Name), s.view.Revision)
 }
 
-// buried keeps a deletion in the feed and forgets the oldest beyond a bound.
-func (s *State) buried(key feedKey, revision uint64) {
+// addDeletion adds a deletion to the feed and removes the data of deletions that
+// the feed no longer keeps.
+func (s *State) addDeletion(key feedKey, revision uint64) {
 	s.feed.add(key, revision)
-	for _, forgotten := range s.feed.bury(key, revision) {
-		delete(s.ended, forgotten.server)
-		delete(s.view.Interrupted, forgotten.server)
+	for _, removed := range s.feed.addDeletion(key, revision) {
+		delete(s.endedIncarnations, removed.server)
+		delete(s.view.Interrupted, removed.server)
 	}
 }
--- a/internal/reducer/declared/state_test.go
+++ b/internal/reducer/declared/state_test.go
@@ -15,8 +15,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TestScripts runs the races, resent orders and memberships of testdata. Every
-// command passes through its encoding, as it does through the log.
+// TestScripts runs the scripts in testdata: races, resent orders, references and
+// memberships. Every command is encoded and decoded, as by the log.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		s := New()
@@ -31,19 +31,19 @@
 func runScript(t *testing.T, s *State, at time.Time, d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "apply", "delete":
-		return renderResult(s.Apply(0, viaLog(t, Command{At: at, Order: scriptOrder(t, d)})))
+		return renderResult(s.Apply(0, throughEncoding(t, Command{At: at, Order: scriptOrder(t, d)})))
 	case "dryrun":
 		return renderResult(s.DryRun(*scriptOrder(t, d)))
 	case "announce":
-		server := oriolebend.Server{Name: scriptArg(d, "name"), State: oriolebend.ServerServing}
-		server.State = oriolebend.ServerState(scriptArg(d, "state"))
-		fmt.Sscan(scriptArg(d, "start"), &server.Incarnation)
-		return renderResult(s.Apply(0, viaLog(t, Command{Members: &Members{Announced: []oriolebend.Server{server}}})))
+		server := oriolebend.Server{Name: scriptArgument(d, "name"), State: oriolebend.ServerServing}
+		server.State = oriolebend.ServerState(scriptArgument(d, "state"))
+		fmt.Sscan(scriptArgument(d, "start"), &server.Incarnation)
+		return renderResult(s.Apply(0, throughEncoding(t, Command{Members: &Members{Announced: []oriolebend.Server{server}}})))
 	case "gone":
-		gone := GoneServer{Name: scriptArg(d, "name")}
-		fmt.Sscan(scriptArg(d, "start"), &gone.Incarnation)
-		return renderResult(s.Apply(0, viaLog(t, Command{Members: &Members{Gone: []GoneServer{gone}}})))
-	case "restart": // another control VM takes over from a snapshot
+		gone := GoneServer{Name: scriptArgument(d, "name")}
+		fmt.Sscan(scriptArgument(d, "start"), &gone.Incarnation)
+		return renderResult(s.Apply(0, throughEncoding(t, Command{Members: &Members{Gone: []GoneServer{gone}}})))
+	case "restart": // a control VM restarts from its snapshot
 		data, err := s.Snapshot()
 		is.New(t).NoErr(err)
 		*s = *New()
@@ -51,13 +51,13 @@
 		return ""
 	case "advance":
 		advance := &Advance{Who: "ana"}
-		fmt.Sscan(scriptArg(d, "to"), &advance.To)
-		return renderResult(s.Apply(0, viaLog(t, Command{Advance: advance})))
+		fmt.Sscan(scriptArgument(d, "to"), &advance.To)
+		return renderResult(s.Apply(0, throughEncoding(t, Command{Advance: advance})))
 	case "interrupted":
 		return fmt.Sprintln(s.View().Interrupted)
 	case "since":
 		var from uint64
-		fmt.Sscan(scriptArg(d, "from"), &from)
+		fmt.Sscan(scriptArgument(d, "from"), &from)
 		return renderChanges(s.Since(from))
 	case "audit":
 		var lines strings.Builder
@@ -70,7 +70,7 @@
 	return ""
 }
 
-func scriptArg(d *datadriven.TestData, key string) string {
+func scriptArgument(d *datadriven.TestData, key string) string {
 	for _, arg := range d.CmdArgs {
 		if arg.Key == key && len(arg.Vals) > 0 {
 			return arg.Vals[0]
@@ -80,10 +80,10 @@
 }
 
 func scriptOrder(t *testing.T, d *datadriven.TestData) *Order {
-	o := &Order{Action: oriolebend.ActionDelete, Who: scriptArg(d, "who"), OrderID: scriptArg(d, "id")}
-	kind, name, _ := strings.Cut(scriptArg(d, "key"), "/")
+	o := &Order{Action: oriolebend.ActionDelete, Who: scriptArgument(d, "who"), OrderID: scriptArgument(d, "id")}
+	kind, name, _ := strings.Cut(scriptArgument(d, "key"), "/")
 	o.Kind, o.Name = oriolebend.ResourceKind(kind), name
-	if expect := scriptArg(d, "expect"); expect != "" {
+	if expect := scriptArgument(d, "expect"); expect != "" {
 		o.Expect = new(uint64)
 		fmt.Sscan(expect, o.Expect)
 	}
@@ -96,7 +96,7 @@
 	return o
 }
 
-func viaLog(t testing.TB, c Command) Command {
+func throughEncoding(t testing.TB, c Command) Command {
 	data, err := cbor.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
@@ -147,13 +147,13 @@
 	return lines.String()
 }
 
-// TestSnapshotsAnswerAlike runs random commands on two states, one of which
-// is replaced by its restored snapshot now and then.
+// TestRestoredStateAnswersAlike runs random commands on two states, one of which
+// is replaced by its restored snapshot from time to time.
 //
-// Symptom: two control VMs give other answers to one order. Sequence: one of
-// them restarted from a snapshot. Cause: an answer drew on something that the
-// snapshot does not hold.
-func TestSnapshotsAnswerAlike(t *testing.T) {
+// It guards against two control VMs that answer the same order differently. This
+// happens if one of them restarted from a snapshot and an answer depends on data
+// that the snapshot does not hold.
+func TestRestoredStateAnswersAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lasting, restarted := New(), New()
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
@@ -214,8 +214,8 @@
 	return Command{Order: o}
 }
 
-// TestBounds checks that what is kept beside the resources stays bounded, and
-// that a follower from before a forgotten deletion is told to take a snapshot.
+// TestBounds checks the limits of the data that is kept besides the resources,
+// and that a follower with a revision before a removed deletion needs a snapshot.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -225,8 +225,8 @@
 		s.Apply(0, Command{Members: &Members{Announced: []oriolebend.Server{server}}})
 		s.Apply(0, Command{Members: &Members{Gone: []GoneServer{{Name: name, Incarnation: 1}}}})
 	}
-	is.Equal(len(s.feed.buried), maxTombstones)
-	is.Equal(len(s.ended), maxTombstones)
+	is.Equal(len(s.feed.deletions), maxTombstones)
+	is.Equal(len(s.endedIncarnations), maxTombstones)
 	is.True(len(s.feed.entries) < 2*maxTombstones+minFeedCompaction+2)
 	_, known, err := s.Since(5)
 	is.NoErr(err)
@@ -243,7 +243,7 @@
 	is.Equal(len(s.Audit(0)), maxAudit)
 }
 
-func TestRestoreRefusesWhatItCannotRead(t *testing.T) {
+func TestRestoreRefusesUnreadableSnapshots(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	s.Apply(0, Command{Members: &Members{Announced: []oriolebend.Server{{Name: "a", State: oriolebend.ServerServing}}}})
@@ -251,12 +251,12 @@
 	is.NoErr(err)
 	for _, data := range [][]byte{nil, []byte("torn"), newer} {
 		is.True(s.Restore(data) != nil)
-		is.Equal(len(s.View().Servers), 1) // left as it was
+		is.Equal(len(s.View().Servers), 1) // the state is unchanged
 	}
 }
 
-// FuzzCommand feeds the state commands as they could come out of a damaged or
-// foreign log; it must neither fail nor take a resource that is not valid.
+// FuzzCommand applies commands of a damaged or foreign log. Applying them must
+// neither panic nor accept an invalid resource.
 func FuzzCommand(f *testing.F) {
 	seed := Command{At: time.Unix(1, 0), Order: &Order{
 		Action: oriolebend.ActionApply, Kind: oriolebend.KindModel, Name: "m",
--- a/internal/reducer/declared/target.go
+++ b/internal/reducer/declared/target.go
@@ -7,8 +7,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Missing says in what a server, as it announces itself, is not yet as the
-// target wants it; empty if it is.
+// Missing describes the first difference between the announced state of a server
+// and its target. It is empty if there is none.
 func (t Target) Missing(s oriolebend.Server) string {
 	if t.State != oriolebend.ServerServing {
 		if s.State == oriolebend.ServerServing {
@@ -25,6 +25,8 @@
 	return ""
 }
 
+// missingHeld describes the first difference in the role, the model or the
+// adapters.
 func (t Target) missingHeld(s oriolebend.Server) string {
 	if t.Pool == "" || t.Role == oriolebend.Service {
 		return ""
@@ -33,20 +35,20 @@
 		return fmt.Sprintf("has role %s, declared %s", s.Role, t.Role)
 	}
 	wanted := oriolebend.VersionName(t.Held.Model, t.Held.Version)
-	held := false
+	loaded := false
 	for _, m := range s.Models {
 		name := oriolebend.VersionName(m.Model, m.Version)
 		if name != wanted {
 			return fmt.Sprintf("holds %s, declared %s", name, wanted)
 		}
-		held = true
+		loaded = true
 		for _, adapter := range t.Held.Adapters {
 			if !slices.Contains(m.Adapters, adapter) {
 				return fmt.Sprintf("lacks adapter %s", adapter)
 			}
 		}
 	}
-	if !held {
+	if !loaded {
 		return fmt.Sprintf("holds no model, declared %s", wanted)
 	}
 	return ""
--- a/internal/reducer/declared/view.go
+++ b/internal/reducer/declared/view.go
@@ -8,16 +8,16 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// View is the declared resources and the members at one revision. Resources
-// and servers in it are never changed in place.
+// View holds the declared resources and the members at one revision. Its
+// resources and servers are never changed in place.
 type View struct {
 	Revision  uint64
 	Resources map[oriolebend.ResourceKey]oriolebend.Resource
-	// Servers are the members as they announced themselves, by name.
+	// Servers holds the last announcement of each member, by name.
 	Servers map[string]oriolebend.Server
-	// Interrupted are the servers whose membership ended while they were
-	// loading, perhaps with an order on its way to the engine. Only control VMs
-	// know them; a follower's view has none.
+	// Interrupted holds the servers whose membership ended while they were
+	// loading. An order may still be on its way to their engines. It is filled on
+	// control VMs only; the view of a follower has none.
 	Interrupted map[string]bool
 }
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// Copy returns a view that later changes leave alone.
+// Copy returns a copy of the view that later changes do not affect.
 func (v View) Copy() View {
 	return View{
 		Revision:  v.Revision,
@@ -74,8 +74,8 @@
 	if !found {
 		return none
 	}
-	held, _ := r.Spec.(S)
-	return held
+	typed, _ := r.Spec.(S)
+	return typed
 }
 
 // Model returns a declared model, or nil.
@@ -98,7 +98,7 @@
 	return spec[*oriolebend.Pool](v, oriolebend.KindPool, name)
 }
 
-// Server returns what is declared of a server, or nil.
+// Server returns the declared server resource, or nil.
 func (v View) Server(name string) *oriolebend.DeclaredServer {
 	return spec[*oriolebend.DeclaredServer](v, oriolebend.KindServer, name)
 }
@@ -112,9 +112,10 @@
 	return oriolebend.Policy{}
 }
 
-// PoolOf names the pool that a server belongs to, empty if none: the pool that
-// its server resource names, else the first pool that lists it, else the first
-// whose selector picks it and whose role can be its own.
+// PoolOf returns the name of the pool that a server belongs to, or an empty
+// string. It is the pool that the server's resource names, else the first pool
+// that lists the server, else the first pool whose selector matches the server
+// and whose role the server can take.
 func (v View) PoolOf(s oriolebend.Server) string {
 	if d := v.Server(s.Name); d != nil && d.Pool != "" {
 		return d.Pool
@@ -129,26 +130,27 @@
 		}
 	}
 	for _, r := range pools {
-		if picks(r.Spec.(*oriolebend.Pool), s) {
+		if selectorMatches(r.Spec.(*oriolebend.Pool), s) {
 			return r.Name
 		}
 	}
 	return ""
 }
 
-// picks reports whether a pool's selector takes the server. A plain service is
-// never turned into a model engine by a selector, nor the reverse.
-func picks(p *oriolebend.Pool, s oriolebend.Server) bool {
+// selectorMatches reports whether the selector of a pool matches the server. A
+// selector never assigns a plain service to a pool of model engines, nor an
+// engine to a pool of a plain service.
+func selectorMatches(p *oriolebend.Pool, s oriolebend.Server) bool {
 	if p.Selector == nil {
 		return false
 	}
 	if p.Role == oriolebend.Service || s.Role == oriolebend.Service {
-		return p.Role == s.Role && p.Service == s.Service && selects(*p.Selector, s)
+		return p.Role == s.Role && p.Service == s.Service && matches(*p.Selector, s)
 	}
-	return selects(*p.Selector, s)
+	return matches(*p.Selector, s)
 }
 
-func selects(s oriolebend.Selector, server oriolebend.Server) bool {
+func matches(s oriolebend.Selector, server oriolebend.Server) bool {
 	if s.Region != "" && s.Region != server.Region {
 		return false
 	}
@@ -172,33 +174,34 @@
 	return result
 }
 
-// Target is what a backend server is declared to be.
+// Target is the declared state of a backend server.
 type Target struct {
 	// State is serving, leaving or stopping.
 	State oriolebend.ServerState
-	// Pool is empty if the server belongs to none; it then keeps what it has.
+	// Pool is empty if the server belongs to no pool. The server then keeps its
+	// role and models.
 	Pool string
 	Role oriolebend.PoolRole
-	// Held is the model that the server is to hold, and only that one; its
-	// adapters are sorted.
+	// Held is the only model that the server must have loaded. Its adapters are
+	// sorted.
 	Held oriolebend.LoadedModel
 	// WeightBytes is the size of the version's weights.
 	WeightBytes int64
 }
 
-// Same reports whether two targets ask the same of a server.
+// Same reports whether two targets are equal.
 func (t Target) Same(other Target) bool {
 	return t.State == other.State && t.Pool == other.Pool && t.Role == other.Role &&
 		t.WeightBytes == other.WeightBytes && t.Held.Model == other.Held.Model &&
 		t.Held.Version == other.Held.Version && slices.Equal(t.Held.Adapters, other.Held.Adapters)
 }
 
-// TargetOf works out what a server is declared to be.
+// TargetOf returns the declared state of a server.
 func (v View) TargetOf(s oriolebend.Server) Target {
 	return v.TargetIn(s, v.PoolOf(s))
 }
 
-// TargetIn works out what a server of a pool is declared to be; it spares
+// TargetIn returns the declared state of a server whose pool is known, without
 // the search for the pool.
 func (v View) TargetIn(s oriolebend.Server, name string) Target {
 	target := Target{State: oriolebend.ServerServing}
@@ -221,8 +224,8 @@
 	return target
 }
 
-// Merge brings the view to a revision by what changed: deleted resources and
-// servers that are gone are dropped.
+// Merge applies the changes up to a revision to the view. It removes deleted
+// resources and servers in the state gone.
 func (v *View) Merge(revision uint64, servers []oriolebend.Server, resources []oriolebend.Resource) {
 	v.Revision = revision
 	for _, server := range servers {
