--- a/internal/reducer/declared/command.go
+++ b/internal/reducer/declared/command.go
@@ -49,11 +49,11 @@
 // memberships, never renewals of leases.
 type Members struct {
 	Announced []oriolebend.Server `cbor:"announced,omitempty"`
-	Gone      []GoneServer        `cbor:"gone,omitempty"`
+	Gone      []EndedMember       `cbor:"gone,omitempty"`
 }
 
-// GoneServer ends the membership of one incarnation of a sidecar.
-type GoneServer struct {
+// EndedMember ends the membership of one incarnation of a sidecar.
+type EndedMember struct {
 	Name        string `cbor:"name"`
 	Incarnation uint64 `cbor:"incarnation"`
 }
--- a/internal/reducer/declared/state.go
+++ b/internal/reducer/declared/state.go
@@ -305,7 +305,7 @@
 
 // endMembership ends a membership, unless a later incarnation has announced
 // itself since.
-func (s *State) endMembership(g GoneServer) {
+func (s *State) endMembership(g EndedMember) {
 	known, member := s.view.Servers[g.Name]
 	if !member || g.Incarnation < known.Incarnation {
 		return
--- a/internal/reducer/member/state.go
+++ b/internal/reducer/member/state.go
@@ -298,7 +298,7 @@
 	written, member := s.view.Servers[name]
 	if !known || l.Expires.IsZero() {
 		if member {
-			into.Gone = append(into.Gone, declared.GoneServer{Name: name, Incarnation: written.Incarnation})
+			into.Gone = append(into.Gone, declared.EndedMember{Name: name, Incarnation: written.Incarnation})
 			return nil
 		}
 		delete(s.unwritten, name)
