--- a/internal/reducer/declared/command.go
+++ b/internal/reducer/declared/command.go
@@ -49,7 +49,7 @@
 // memberships, never renewals of leases.
 type Members struct {
 	Announced []oriolebend.Server `cbor:"announced,omitempty"`
-	Gone      []EndedMember       `cbor:"gone,omitempty"`
+	Ended     []EndedMember       `cbor:"gone,omitempty"`
 }
 
 // EndedMember ends the membership of one incarnation of a sidecar.
--- a/internal/reducer/declared/state.go
+++ b/internal/reducer/declared/state.go
@@ -272,7 +272,7 @@
 	for _, server := range m.Announced {
 		s.applyAnnouncement(server)
 	}
-	for _, ended := range m.Gone {
+	for _, ended := range m.Ended {
 		s.endMembership(ended)
 	}
 	result := oriolebend.ChangeResult{Outcome: oriolebend.ChangeApplied, Revision: s.view.Revision}
--- a/internal/reducer/declared/state_test.go
+++ b/internal/reducer/declared/state_test.go
@@ -42,7 +42,7 @@
 	case "gone":
 		gone := EndedMember{Name: scriptArgument(d, "name")}
 		fmt.Sscan(scriptArgument(d, "start"), &gone.Incarnation)
-		return renderResult(s.Apply(0, throughEncoding(t, Command{Members: &Members{Gone: []EndedMember{gone}}})))
+		return renderResult(s.Apply(0, throughEncoding(t, Command{Members: &Members{Ended: []EndedMember{gone}}})))
 	case "restart": // a control VM restarts from its snapshot
 		data, err := s.Snapshot()
 		is.New(t).NoErr(err)
@@ -193,7 +193,7 @@
 	start := rapid.Uint64Range(1, 3).Draw(t, "start")
 	switch rapid.IntRange(0, 4).Draw(t, "command") {
 	case 0:
-		return Command{Members: &Members{Gone: []EndedMember{{Name: name, Incarnation: start}}}}
+		return Command{Members: &Members{Ended: []EndedMember{{Name: name, Incarnation: start}}}}
 	case 1:
 		server := oriolebend.Server{Name: name, Incarnation: start, State: oriolebend.ServerServing}
 		return Command{Members: &Members{Announced: []oriolebend.Server{server}}}
@@ -223,7 +223,7 @@
 		name := fmt.Sprintf("s%d", i)
 		server := oriolebend.Server{Name: name, Incarnation: 1, State: oriolebend.ServerServing}
 		s.Apply(0, Command{Members: &Members{Announced: []oriolebend.Server{server}}})
-		s.Apply(0, Command{Members: &Members{Gone: []EndedMember{{Name: name, Incarnation: 1}}}})
+		s.Apply(0, Command{Members: &Members{Ended: []EndedMember{{Name: name, Incarnation: 1}}}})
 	}
 	is.Equal(len(s.feed.deletions), maxTombstones)
 	is.Equal(len(s.endedIncarnations), maxTombstones)
--- a/internal/reducer/member/state.go
+++ b/internal/reducer/member/state.go
@@ -278,12 +278,12 @@
 	var members declared.Members
 	var effects []Effect
 	for _, name := range slices.Sorted(maps.Keys(s.unwritten)) {
-		if len(members.Announced)+len(members.Gone) >= s.config.MaxBatch {
+		if len(members.Announced)+len(members.Ended) >= s.config.MaxBatch {
 			break
 		}
 		effects = append(effects, s.proposeServer(name, at, &members)...)
 	}
-	if len(members.Announced)+len(members.Gone) == 0 {
+	if len(members.Announced)+len(members.Ended) == 0 {
 		return effects
 	}
 	s.proposing = true
@@ -298,7 +298,7 @@
 	written, member := s.view.Servers[name]
 	if !known || l.Expires.IsZero() {
 		if member {
-			into.Gone = append(into.Gone, declared.EndedMember{Name: name, Incarnation: written.Incarnation})
+			into.Ended = append(into.Ended, declared.EndedMember{Name: name, Incarnation: written.Incarnation})
 			return nil
 		}
 		delete(s.unwritten, name)
--- a/internal/reducer/member/state_test.go
+++ b/internal/reducer/member/state_test.go
@@ -56,7 +56,7 @@
 	for _, s := range p.Members.Announced {
 		fmt.Fprintf(&l.out, "write %s %s\n", s.Name, s.State)
 	}
-	for _, g := range p.Members.Gone {
+	for _, g := range p.Members.Ended {
 		fmt.Fprintf(&l.out, "write %s gone\n", g.Name)
 	}
 	l.log.Apply(0, declared.Command{At: l.now, Members: &p.Members})
