--- a/internal/reducer/record/query.go
+++ b/internal/reducer/record/query.go
@@ -58,12 +58,12 @@
 	Since time.Time
 }
 
-// Unknown lists at most limit unknown records, the oldest first. If askable is
+// Unknown lists at most limit unknown records, the oldest first. If withStatus is
 // true, it lists only records whose service has a status call.
-func (s *State) Unknown(limit int, askable bool) []UnknownRequest {
+func (s *State) Unknown(limit int, withStatus bool) []UnknownRequest {
 	var found []UnknownRequest
 	for r := s.unknown.head; r != nil && len(found) < limit; r = r.next {
-		if askable && r.status == nil {
+		if withStatus && r.status == nil {
 			continue
 		}
 		found = append(found, UnknownRequest{
--- a/internal/reducer/record/record.go
+++ b/internal/reducer/record/record.go
@@ -106,9 +106,10 @@
 }
 
 // canReopen reports whether a retry may run the request again: either it never
-// ran, or it is repeatable and failed for a transient reason. The route may have
-// been declared again as once between the two claims; then the claim has once
-// set and does not reopen a record whose request may have run.
+// ran, or it is repeatable and failed for a transient reason. once is that of the
+// claim. It may be true for a record that is not once, if the route was declared
+// as at most once in between. Such a claim does not reopen a record whose request
+// may have run.
 func (r *record) canReopen(once bool) bool {
 	if r.attempt >= maxAttempt {
 		return false
--- a/internal/reducer/record/script_test.go
+++ b/internal/reducer/record/script_test.go
@@ -58,9 +58,9 @@
 func (s *script) runLine(line string, out *strings.Builder) {
 	args := parseLine(line)
 	switch args.verb {
-	case "pass":
-		s.pass(args.duration("for"), out)
-	case "jump":
+	case "advance":
+		s.advance(args.duration("for"), out)
+	case "jump": // no command is applied meanwhile
 		s.now = s.now.Add(args.duration("for"))
 	case "query":
 		writeAnswer(out, s.state.Query(message.Query{RequestID: args.get("id"), Organisation: args.get("org")}))
@@ -78,9 +78,9 @@
 	}
 }
 
-// pass advances the time with an Expire each second, as a leader does, or every
-// four seconds if the time is longer than an hour.
-func (s *script) pass(d time.Duration, out *strings.Builder) {
+// advance advances the time with an Expire each second, as a leader does, or
+// every four seconds if the time is longer than an hour.
+func (s *script) advance(d time.Duration, out *strings.Builder) {
 	step := time.Second
 	if d > time.Hour {
 		step = 4 * time.Second
--- a/internal/reducer/record/settle.go
+++ b/internal/reducer/record/settle.go
@@ -127,12 +127,12 @@
 	if t.Attempt == message.AnyAttempt {
 		return r.state == message.RecordClaimed && t.State != message.RecordRunning && isFinal(t.State)
 	}
-	allowed := transitions[transition{r.state, t.State}]
-	wanted := allowed.repeatable
+	rule := transitions[transition{r.state, t.State}]
+	attempts := rule.repeatable
 	if r.once {
-		wanted = allowed.once
+		attempts = rule.once
 	}
-	switch wanted {
+	switch attempts {
 	case sameAttempt:
 		return t.Attempt == r.attempt
 	case sameOrLaterAttempt:
--- a/internal/reducer/record/snapshot.go
+++ b/internal/reducer/record/snapshot.go
@@ -119,9 +119,9 @@
 	return names
 }
 
-func (shot *snapshot) appendList(l *list) {
+func (s *snapshot) appendList(l *list) {
 	for r := l.head; r != nil; r = r.next {
-		shot.Records = append(shot.Records, encodeRecord(r))
+		s.Records = append(s.Records, encodeRecord(r))
 	}
 }
 
