--- a/internal/reducer/member/rollout_test.go
+++ b/internal/reducer/member/rollout_test.go
@@ -152,7 +152,7 @@
 	s.inFlight = nil
 	for _, o := range inFlight {
 		if s.fleet.failing && o.Action == engine.OrderLoad {
-			s.reduce(order.OrderEnded{At: s.fleet.now, Reason: oriolebend.ReasonEngineFailed})
+			s.reduce(order.Finished{At: s.fleet.now, Reason: oriolebend.ReasonEngineFailed})
 			continue
 		}
 		switch o.Action {
@@ -161,7 +161,7 @@
 		case engine.OrderUnload:
 			s.info.Models = nil
 		}
-		s.reduce(order.OrderEnded{At: s.fleet.now})
+		s.reduce(order.Finished{At: s.fleet.now})
 	}
 }
 
--- a/internal/reducer/order/event.go
+++ b/internal/reducer/order/event.go
@@ -49,8 +49,8 @@
 // WorkEnded reports that the gate refuses new work and has no work in progress.
 type WorkEnded struct{ At time.Time }
 
-// OrderEnded reports the outcome of the order in flight.
-type OrderEnded struct {
+// Finished reports the outcome of the order in flight.
+type Finished struct {
 	At time.Time
 	// Reason is empty if the engine executed the order.
 	Reason oriolebend.Reason
@@ -81,7 +81,7 @@
 func (EngineLost) orderEvent()     {}
 func (Clean) orderEvent()          {}
 func (WorkEnded) orderEvent()      {}
-func (OrderEnded) orderEvent()     {}
+func (Finished) orderEvent()       {}
 func (PermitAnswered) orderEvent() {}
 func (PermitLost) orderEvent()     {}
 func (Stopping) orderEvent()       {}
@@ -99,7 +99,7 @@
 type QueryEngine struct{ Number uint64 }
 
 // Issue sends an order to the engine once. The adapter must not send it again
-// by itself. Exactly one OrderEnded follows.
+// by itself. Exactly one Finished follows.
 type Issue struct{ Order engine.Order }
 
 // RequestPermit sends a permit request to the leader. PermitAnswered or PermitLost
--- a/internal/reducer/order/state.go
+++ b/internal/reducer/order/state.go
@@ -153,7 +153,7 @@
 	case WorkEnded:
 		s.drained = s.gateState != oriolebend.ServerServing
 		return s.advance(e.At)
-	case OrderEnded:
+	case Finished:
 		effects := s.applyOrderEnd(e)
 		return append(effects, s.advance(e.At)...)
 	case PermitAnswered:
@@ -237,7 +237,7 @@
 	return hasEffect(*s.lostOrder, info)
 }
 
-func (s *State) applyOrderEnd(e OrderEnded) []Effect {
+func (s *State) applyOrderEnd(e Finished) []Effect {
 	if s.inFlight == nil {
 		return nil
 	}
--- a/internal/reducer/order/state_test.go
+++ b/internal/reducer/order/state_test.go
@@ -142,7 +142,7 @@
 		lost := len(w.onWay)
 		w.onWay = nil
 		if lost > 0 && w.sidecar.inFlight != nil {
-			w.reduce(OrderEnded{At: w.now, Unsure: true, Reason: oriolebend.ReasonOutcomeLost})
+			w.reduce(Finished{At: w.now, Unsure: true, Reason: oriolebend.ReasonOutcomeLost})
 		}
 	default:
 		w.advanceClock(time.Duration(rapid.IntRange(1, 30).Draw(t, "seconds")) * time.Second)
--- a/internal/reducer/order/world_test.go
+++ b/internal/reducer/order/world_test.go
@@ -127,7 +127,7 @@
 		delay, lost := w.orderFate(e.Order)
 		w.onWay = append(w.onWay, orderOnWay{order: e.Order, at: w.now.Add(delay), incarnation: w.incarnation, answerLost: lost})
 		if lost {
-			w.reduce(OrderEnded{At: w.now, Unsure: true, Reason: oriolebend.ReasonOutcomeLost})
+			w.reduce(Finished{At: w.now, Unsure: true, Reason: oriolebend.ReasonOutcomeLost})
 		}
 	}
 }
@@ -166,7 +166,7 @@
 		}
 		w.executeOrder(s.order)
 		if s.incarnation == w.incarnation && !s.answerLost {
-			w.reduce(OrderEnded{At: w.now})
+			w.reduce(Finished{At: w.now})
 		}
 	}
 }
--- a/internal/role/orders.go
+++ b/internal/role/orders.go
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(o.ctx, orderWithin)
 	defer cancel()
 	err := o.Engine.Order(ctx, f)
-	ended := order.OrderEnded{At: time.Now()}
+	ended := order.Finished{At: time.Now()}
 	if err != nil {
 		ended.Reason, ended.Detail, ended.Unsure = oriolebend.ReasonEngineFailed, err.Error(), true
 	}
