--- a/internal/reducer/member/rollout_test.go
+++ b/internal/reducer/member/rollout_test.go
@@ -152,7 +152,7 @@
 	s.inFlight = nil
 	for _, o := range inFlight {
 		if s.fleet.failing && o.Action == engine.OrderLoad {
-			s.reduce(order.Ended{At: s.fleet.now, Reason: oriolebend.ReasonEngineFailed})
+			s.reduce(order.Finished{At: s.fleet.now, Reason: oriolebend.ReasonEngineFailed})
 			continue
 		}
 		switch o.Action {
@@ -161,7 +161,7 @@
 		case engine.OrderUnload:
 			s.info.Models = nil
 		}
-		s.reduce(order.Ended{At: s.fleet.now})
+		s.reduce(order.Finished{At: s.fleet.now})
 	}
 }
 
@@ -170,10 +170,10 @@
 		switch e := effect.(type) {
 		case order.SetState:
 			s.state = e.State
-		case order.AskEngine:
+		case order.QueryEngine:
 			info := s.info
 			s.reduce(order.EngineKnown{At: s.fleet.now, Number: e.Number, Info: info})
-		case order.AskPermit:
+		case order.RequestPermit:
 			s.permits = append(s.permits, e.Permit)
 		case order.Issue:
 			s.inFlight = append(s.inFlight, e.Order)
--- a/internal/role/orders.go
+++ b/internal/role/orders.go
@@ -72,11 +72,11 @@
 	switch f := effect.(type) {
 	case order.SetState:
 		o.SetState(f.State)
-	case order.AskEngine:
+	case order.QueryEngine:
 		go o.queryEngine(f.Number)
 	case order.Issue:
 		go o.issue(f.Order)
-	case order.AskPermit:
+	case order.RequestPermit:
 		o.Announcer.RequestPermit(f.Permit, o.postPermit)
 	case order.Report:
 		o.Announcer.SetProgress(f.Progress, f.Detail)
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(o.ctx, orderTimeout)
 	defer cancel()
 	err := o.Engine.Order(ctx, f)
-	ended := order.Ended{At: time.Now()}
+	ended := order.Finished{At: time.Now()}
 	if err != nil {
 		ended.Reason, ended.Detail, ended.Unsure = oriolebend.ReasonEngineFailed, err.Error(), true
 	}
