--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -132,7 +132,7 @@
 func (k *Keeper) look() {
 	now := time.Now()
 	leader := k.Leader()
-	k.reduce(quota.Leads{At: now, Lead: leader == k.Self, Leader: leader, Members: k.Members()})
+	k.reduce(quota.LeadershipObserved{At: now, Lead: leader == k.Self, Leader: leader, Members: k.Members()})
 	if k.clock.Moved(now.Sub(k.start), now) {
 		k.reduce(quota.Doubted{At: now})
 		k.Logger.Warn("quotas are counted anew, time has passed that the clock did not count")
--- a/internal/reducer/quota/event.go
+++ b/internal/reducer/quota/event.go
@@ -15,8 +15,8 @@
 	Organisations []oriolebend.Organisation
 }
 
-// Leads tells who leads, and how many control VMs there are.
-type Leads struct {
+// LeadershipObserved tells who leads, and how many control VMs there are.
+type LeadershipObserved struct {
 	At time.Time
 	// Lead is set if this control VM leads. Leader names the one that does, empty if none
 	// is known.
@@ -49,7 +49,7 @@
 
 func (Declared) isQuotaEvent() {}
 
-func (Leads) isQuotaEvent() {}
+func (LeadershipObserved) isQuotaEvent() {}
 
 func (Asked) isQuotaEvent() {}
 
--- a/internal/reducer/quota/fleet_test.go
+++ b/internal/reducer/quota/fleet_test.go
@@ -74,7 +74,7 @@
 	if lead {
 		leader = "self"
 	}
-	Reduce(c.state, Leads{At: at, Lead: lead, Leader: leader, Members: len(f.controls)})
+	Reduce(c.state, LeadershipObserved{At: at, Lead: lead, Leader: leader, Members: len(f.controls)})
 	Reduce(c.state, Declared{At: at, Organisations: []oriolebend.Organisation{{Name: "a", Quota: f.quota}}})
 }
 
--- a/internal/reducer/quota/script_test.go
+++ b/internal/reducer/quota/script_test.go
@@ -60,7 +60,7 @@
 		if len(words) > 2 {
 			members = int(s.number(words[2]))
 		}
-		Reduce(s.state, Leads{At: s.now, Lead: words[1] == "self", Leader: strings.Trim(words[1], "-"), Members: members})
+		Reduce(s.state, LeadershipObserved{At: s.now, Lead: words[1] == "self", Leader: strings.Trim(words[1], "-"), Members: members})
 	case "ask":
 		s.ask(words, out)
 	case "return":
--- a/internal/reducer/quota/state.go
+++ b/internal/reducer/quota/state.go
@@ -41,7 +41,7 @@
 	switch e := event.(type) {
 	case Declared:
 		s.declared(e)
-	case Leads:
+	case LeadershipObserved:
 		s.leads(e)
 	case Asked:
 		return []Answer{s.asked(e)}
@@ -92,7 +92,7 @@
 	a.reserve.Level(at)
 }
 
-func (s *State) leads(e Leads) {
+func (s *State) leads(e LeadershipObserved) {
 	if members := max(1, e.Members); members != s.members {
 		s.members = members
 		for _, a := range s.accounts {
--- a/internal/reducer/quota/ways_test.go
+++ b/internal/reducer/quota/ways_test.go
@@ -115,8 +115,8 @@
 	config := Config{Window: wayWindow, Slack: waySlack}
 	l := &leading{leader: New(config), other: New(config)}
 	start := scriptStart.Add(-time.Minute)
-	Reduce(l.leader, Leads{At: start, Lead: true, Leader: "self", Members: 6})
-	Reduce(l.other, Leads{At: start, Leader: "self", Members: 6})
+	Reduce(l.leader, LeadershipObserved{At: start, Lead: true, Leader: "self", Members: 6})
+	Reduce(l.other, LeadershipObserved{At: start, Leader: "self", Members: 6})
 	var list []oriolebend.Organisation
 	for i := range wayOrganisations {
 		list = append(list, oriolebend.Organisation{Name: fmt.Sprint(i), Quota: oriolebend.Quota{PerSecond: wayRate, Burst: wayRate}})
