--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -121,7 +121,7 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.look()
-	effects := k.reduce(quota.Asked{
+	effects := k.reduce(quota.Requested{
 		At: time.Now(), Organisation: asked.Organisation, Cost: asked.Cost, Call: asked.Call, Late: asked.Late,
 	})
 	a, _ := effects[0].(quota.Answer)
--- a/internal/reducer/quota/event.go
+++ b/internal/reducer/quota/event.go
@@ -25,8 +25,8 @@
 	Members int
 }
 
-// Asked asks for a part of an organisation's quota.
-type Asked struct {
+// Requested asks for a part of an organisation's quota.
+type Requested struct {
 	At           time.Time
 	Organisation string
 	Cost         float64
@@ -51,7 +51,7 @@
 
 func (LeadershipObserved) isQuotaEvent() {}
 
-func (Asked) isQuotaEvent() {}
+func (Requested) isQuotaEvent() {}
 
 func (Returned) isQuotaEvent() {}
 
--- a/internal/reducer/quota/fleet_test.go
+++ b/internal/reducer/quota/fleet_test.go
@@ -137,7 +137,7 @@
 			continue
 		}
 		f.tell(c)
-		a := Reduce(c.state, Asked{At: f.clock(c), Organisation: "a", Cost: cost, Call: f.random.Uint64N(50)})[0]
+		a := Reduce(c.state, Requested{At: f.clock(c), Organisation: "a", Cost: cost, Call: f.random.Uint64N(50)})[0]
 		if a.Granted {
 			f.given = append(f.given, gift{f.now, cost})
 		}
@@ -206,7 +206,7 @@
 		}
 		c.lease = f.clock(c).Add(lease)
 		f.tell(c)
-		a := Reduce(c.state, Asked{At: f.now, Organisation: "a", Cost: 2350, Call: uint64(i)})[0]
+		a := Reduce(c.state, Requested{At: f.now, Organisation: "a", Cost: 2350, Call: uint64(i)})[0]
 		asked++
 		if !a.Granted {
 			refused++
--- a/internal/reducer/quota/promise.go
+++ b/internal/reducer/quota/promise.go
@@ -40,7 +40,7 @@
 
 // take takes a cost from the bucket: what was promised for a caller that comes back, what
 // is beyond all promises for others.
-func (a *account) take(e Asked) bool {
+func (a *account) take(e Requested) bool {
 	a.promises.expire(e.At)
 	p, promised := a.promises.byCall[e.Call]
 	kept := 0.0
@@ -61,7 +61,7 @@
 }
 
 // left is what a caller leaves to others in any case.
-func (a *account) left(e Asked) float64 {
+func (a *account) left(e Requested) float64 {
 	if !e.Late {
 		return 0
 	}
@@ -71,7 +71,7 @@
 // promise is when a caller that is refused can be served. Callers that were all told the
 // time at which the first of them can be served would meet, and all but one be refused
 // again.
-func (a *account) promise(e Asked) time.Duration {
+func (a *account) promise(e Requested) time.Duration {
 	if p, promised := a.promises.byCall[e.Call]; promised {
 		return max(promiseLeast, p.due.Sub(e.At), a.bucket.Wait(e.At, e.Cost))
 	}
--- a/internal/reducer/quota/script_test.go
+++ b/internal/reducer/quota/script_test.go
@@ -87,7 +87,7 @@
 		call = uint64(s.number(word))
 	}
 	for range times {
-		a := Reduce(s.state, Asked{At: s.now, Organisation: words[1], Cost: s.number(words[2]), Call: call, Late: late})[0]
+		a := Reduce(s.state, Requested{At: s.now, Organisation: words[1], Cost: s.number(words[2]), Call: call, Late: late})[0]
 		switch {
 		case a.Granted:
 			fmt.Fprintln(out, "granted")
--- a/internal/reducer/quota/state.go
+++ b/internal/reducer/quota/state.go
@@ -43,7 +43,7 @@
 		s.declared(e)
 	case LeadershipObserved:
 		s.leads(e)
-	case Asked:
+	case Requested:
 		return []Answer{s.asked(e)}
 	case Returned:
 		s.returned(e)
@@ -142,7 +142,7 @@
 	}
 }
 
-func (s *State) asked(e Asked) Answer {
+func (s *State) asked(e Requested) Answer {
 	a := s.accounts[e.Organisation]
 	if a == nil {
 		return Answer{}
@@ -166,7 +166,7 @@
 
 // takeReserve takes a cost from the reserve. Unlike the bucket it never gives more than it
 // holds: there is one of them in each control VM.
-func (a *account) takeReserve(e Asked) bool {
+func (a *account) takeReserve(e Requested) bool {
 	return e.Cost <= a.reserve.Level(e.At) && a.reserve.Take(e.At, e.Cost, 0)
 }
 
--- a/internal/reducer/quota/ways_test.go
+++ b/internal/reducer/quota/ways_test.go
@@ -131,7 +131,7 @@
 	if cutOff(at, forwarder) {
 		asked = l.other
 	}
-	return Reduce(asked, Asked{At: at, Organisation: fmt.Sprint(organisation), Cost: cost, Call: uint64(at.UnixNano())})[0].Granted
+	return Reduce(asked, Requested{At: at, Organisation: fmt.Sprint(organisation), Cost: cost, Call: uint64(at.UnixNano())})[0].Granted
 }
 
 // compared is what a way did on a minute in which one organisation is hot for a third of it.
