--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -134,7 +134,7 @@
 	leader := k.Leader()
 	k.reduce(quota.LeadershipObserved{At: now, Lead: leader == k.Self, Leader: leader, Members: k.Members()})
 	if k.clock.Moved(now.Sub(k.start), now) {
-		k.reduce(quota.Doubted{At: now})
+		k.reduce(quota.ClockJumped{At: now})
 		k.Logger.Warn("quotas are counted anew, time has passed that the clock did not count")
 	}
 }
--- a/internal/reducer/quota/event.go
+++ b/internal/reducer/quota/event.go
@@ -43,9 +43,9 @@
 	Cost         float64
 }
 
-// Doubted tells that time may have passed that the clock did not count, as while the VM
+// ClockJumped tells that time may have passed that the clock did not count, as while the VM
 // was suspended: another control VM may have led meanwhile.
-type Doubted struct{ At time.Time }
+type ClockJumped struct{ At time.Time }
 
 func (Declared) isQuotaEvent() {}
 
@@ -55,7 +55,7 @@
 
 func (Returned) isQuotaEvent() {}
 
-func (Doubted) isQuotaEvent() {}
+func (ClockJumped) isQuotaEvent() {}
 
 // Answer answers an Asked. It is the only effect.
 type Answer struct {
--- a/internal/reducer/quota/fleet_test.go
+++ b/internal/reducer/quota/fleet_test.go
@@ -120,7 +120,7 @@
 		f.elect()
 	}
 	f.now = c.up
-	Reduce(c.state, Doubted{At: f.clock(c)}) // it compares its clocks before it answers
+	Reduce(c.state, ClockJumped{At: f.clock(c)}) // it compares its clocks before it answers
 }
 
 // ask asks as a forwarder that reaches some control VMs, the leader among them or not.
--- a/internal/reducer/quota/script_test.go
+++ b/internal/reducer/quota/script_test.go
@@ -66,7 +66,7 @@
 	case "return":
 		Reduce(s.state, Returned{At: s.now, Organisation: words[1], Cost: s.number(words[2])})
 	case "doubt":
-		Reduce(s.state, Doubted{At: s.now})
+		Reduce(s.state, ClockJumped{At: s.now})
 	case "pass":
 		s.now = s.now.Add(s.duration(words[1]))
 	}
--- a/internal/reducer/quota/state.go
+++ b/internal/reducer/quota/state.go
@@ -47,7 +47,7 @@
 		return []Answer{s.asked(e)}
 	case Returned:
 		s.returned(e)
-	case Doubted:
+	case ClockJumped:
 		s.begin(e.At, 0)
 	}
 	return nil
