--- a/internal/reducer/quota/event.go
+++ b/internal/reducer/quota/event.go
@@ -61,9 +61,9 @@
 type Answer struct {
 	// Granted is set if the cost was taken.
 	Granted bool
-	// Known is set if a refusal means that the quota is used up. Otherwise another control
+	// Exhausted is set if a refusal means that the quota is used up. Otherwise another control
 	// VM may know better.
-	Known bool
+	Exhausted bool
 	// After is when a caller that is refused can be served.
 	After time.Duration
 	// Left is what could be taken, and Since for how long this control VM has counted.
--- a/internal/reducer/quota/fleet_test.go
+++ b/internal/reducer/quota/fleet_test.go
@@ -141,7 +141,7 @@
 		if a.Granted {
 			f.given = append(f.given, gift{f.now, cost})
 		}
-		if a.Granted || a.Known {
+		if a.Granted || a.Exhausted {
 			return
 		}
 	}
--- a/internal/reducer/quota/script_test.go
+++ b/internal/reducer/quota/script_test.go
@@ -91,7 +91,7 @@
 		switch {
 		case a.Granted:
 			fmt.Fprintln(out, "granted")
-		case a.Known:
+		case a.Exhausted:
 			fmt.Fprintln(out, "used up, back after", a.After.Round(time.Millisecond))
 		default:
 			fmt.Fprintln(out, "not known here")
--- a/internal/reducer/quota/state.go
+++ b/internal/reducer/quota/state.go
@@ -158,7 +158,7 @@
 	case !a.settled(e.At) && a.takeReserve(e):
 		answer.Granted = true
 	default:
-		answer.Known = true
+		answer.Exhausted = true
 		answer.After = a.promise(e)
 	}
 	return answer
