--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -125,7 +125,7 @@
 		At: time.Now(), Organisation: asked.Organisation, Cost: asked.Cost, Call: asked.Call, Late: asked.Late,
 	})
 	a, _ := effects[0].(quota.Answer)
-	return message.QuotaAnswer{ID: asked.ID, Granted: a.Granted, Known: a.Exhausted, RetryAfter: a.After, Left: a.Left, Since: a.Since}
+	return message.QuotaAnswer{ID: asked.ID, Granted: a.Granted, Known: a.Exhausted, RetryAfter: a.RetryAfter, Left: a.Left, Since: a.Since}
 }
 
 // look takes up who leads. The mutex is held.
--- a/internal/reducer/quota/event.go
+++ b/internal/reducer/quota/event.go
@@ -64,8 +64,8 @@
 	// Exhausted is set if a refusal means that the quota is used up. Otherwise another control
 	// VM may know better.
 	Exhausted bool
-	// After is when a caller that is refused can be served.
-	After time.Duration
+	// RetryAfter is when a caller that is refused can be served.
+	RetryAfter time.Duration
 	// Left is what could be taken, and Since for how long this control VM has counted.
 	Left  float64
 	Since time.Duration
--- a/internal/reducer/quota/script_test.go
+++ b/internal/reducer/quota/script_test.go
@@ -92,7 +92,7 @@
 		case a.Granted:
 			fmt.Fprintln(out, "granted")
 		case a.Exhausted:
-			fmt.Fprintln(out, "used up, back after", a.After.Round(time.Millisecond))
+			fmt.Fprintln(out, "used up, back after", a.RetryAfter.Round(time.Millisecond))
 		default:
 			fmt.Fprintln(out, "not known here")
 		}
--- a/internal/reducer/quota/state.go
+++ b/internal/reducer/quota/state.go
@@ -159,7 +159,7 @@
 		answer.Granted = true
 	default:
 		answer.Exhausted = true
-		answer.After = a.promise(e)
+		answer.RetryAfter = a.promise(e)
 	}
 	return answer
 }
