--- a/internal/forwarder/ownlimits.go
+++ b/internal/forwarder/ownlimits.go
@@ -19,7 +19,7 @@
 
 func newOwnLimits() *ownLimits {
 	l := &ownLimits{state: serverlimit.New()}
-	serverlimit.Reduce(l.state, serverlimit.Leads{At: time.Now(), Lead: true})
+	serverlimit.Reduce(l.state, serverlimit.LeadershipObserved{At: time.Now(), Lead: true})
 	return l
 }
 
--- a/internal/reducer/serverlimit/event.go
+++ b/internal/reducer/serverlimit/event.go
@@ -9,8 +9,8 @@
 // Event changes a State.
 type Event interface{ isServerLimitEvent() }
 
-// Leads tells whether this control VM counts.
-type Leads struct {
+// LeadershipObserved tells whether this control VM counts.
+type LeadershipObserved struct {
 	At   time.Time
 	Lead bool
 	// Term numbers the times that control VMs began to lead.
@@ -42,7 +42,7 @@
 	Sent   time.Time
 }
 
-func (Leads) isServerLimitEvent() {}
+func (LeadershipObserved) isServerLimitEvent() {}
 
 func (Asked) isServerLimitEvent() {}
 
--- a/internal/reducer/serverlimit/script_test.go
+++ b/internal/reducer/serverlimit/script_test.go
@@ -47,9 +47,9 @@
 	switch words[0] {
 	case "leads", "follows":
 		s.lead, s.term = words[0] == "leads", uint64(s.number(words[1]))
-		Reduce(s.state, Leads{At: s.now, Lead: s.lead, Term: s.term})
+		Reduce(s.state, LeadershipObserved{At: s.now, Lead: s.lead, Term: s.term})
 	case "doubt":
-		Reduce(s.state, Leads{At: s.now, Lead: s.lead, Term: s.term, Doubted: true})
+		Reduce(s.state, LeadershipObserved{At: s.now, Lead: s.lead, Term: s.term, Doubted: true})
 	case "ask":
 		s.ask(words, out)
 	case "return":
--- a/internal/reducer/serverlimit/state.go
+++ b/internal/reducer/serverlimit/state.go
@@ -60,7 +60,7 @@
 // Reduce moves the state on. Asked has exactly one effect, other events have none.
 func Reduce(s *State, event Event) []Answer {
 	switch e := event.(type) {
-	case Leads:
+	case LeadershipObserved:
 		s.leads(e)
 	case Asked:
 		return []Answer{s.asked(e)}
@@ -74,7 +74,7 @@
 
 // leads takes up whether this control VM counts. What another one has permitted a moment ago
 // is not known here: one that begins to count begins with nothing.
-func (s *State) leads(e Leads) {
+func (s *State) leads(e LeadershipObserved) {
 	if e.Term != s.term || e.Lead && !s.lead || e.Doubted {
 		clear(s.accounts)
 	}
--- a/internal/reducer/serverlimit/ways_test.go
+++ b/internal/reducer/serverlimit/ways_test.go
@@ -94,7 +94,7 @@
 
 func newLeading(forwarders int) *leading {
 	l := &leading{state: New(), next: make([]time.Time, forwarders)}
-	Reduce(l.state, Leads{At: scriptStart, Lead: true, Term: 1})
+	Reduce(l.state, LeadershipObserved{At: scriptStart, Lead: true, Term: 1})
 	return l
 }
 
