--- a/internal/reducer/serverlimit/event.go
+++ b/internal/reducer/serverlimit/event.go
@@ -15,9 +15,9 @@
 	Lead bool
 	// Term numbers the times that control VMs began to lead.
 	Term uint64
-	// Doubted is set if time may have passed that the clock did not count, as while the VM
+	// ClockJumped is set if time may have passed that the clock did not count, as while the VM
 	// was suspended: another control VM may have led meanwhile.
-	Doubted bool
+	ClockJumped bool
 }
 
 // Asked asks for the permission to send one request to a server.
--- a/internal/reducer/serverlimit/script_test.go
+++ b/internal/reducer/serverlimit/script_test.go
@@ -49,7 +49,7 @@
 		s.lead, s.term = words[0] == "leads", uint64(s.number(words[1]))
 		Reduce(s.state, LeadershipObserved{At: s.now, Lead: s.lead, Term: s.term})
 	case "doubt":
-		Reduce(s.state, LeadershipObserved{At: s.now, Lead: s.lead, Term: s.term, Doubted: true})
+		Reduce(s.state, LeadershipObserved{At: s.now, Lead: s.lead, Term: s.term, ClockJumped: true})
 	case "ask":
 		s.ask(words, out)
 	case "return":
--- a/internal/reducer/serverlimit/state.go
+++ b/internal/reducer/serverlimit/state.go
@@ -75,7 +75,7 @@
 // leads takes up whether this control VM counts. What another one has permitted a moment ago
 // is not known here: one that begins to count begins with nothing.
 func (s *State) leads(e LeadershipObserved) {
-	if e.Term != s.term || e.Lead && !s.lead || e.Doubted {
+	if e.Term != s.term || e.Lead && !s.lead || e.ClockJumped {
 		clear(s.accounts)
 	}
 	s.lead, s.term = e.Lead, e.Term
--- a/internal/serverlimit/keeper.go
+++ b/internal/serverlimit/keeper.go
@@ -85,7 +85,7 @@
 func (k *Keeper) look() {
 	now := time.Now()
 	doubted := k.clock.Moved(now.Sub(k.start), now)
-	k.reduce(serverlimit.LeadershipObserved{At: now, Lead: k.Leads(), Term: k.Term(), Doubted: doubted})
+	k.reduce(serverlimit.LeadershipObserved{At: now, Lead: k.Leads(), Term: k.Term(), ClockJumped: doubted})
 }
 
 // reduce feeds the reducer. The mutex is held.
