--- a/internal/reducer/serverlimit/event.go
+++ b/internal/reducer/serverlimit/event.go
@@ -20,8 +20,8 @@
 	ClockJumped bool
 }
 
-// Asked asks for the permission to send one request to a server.
-type Asked struct {
+// Requested asks for the permission to send one request to a server.
+type Requested struct {
 	At     time.Time
 	Server message.ServerStart
 	// PerSecond is the limit that the server named to the forwarder at Named.
@@ -44,7 +44,7 @@
 
 func (LeadershipObserved) isServerLimitEvent() {}
 
-func (Asked) isServerLimitEvent() {}
+func (Requested) isServerLimitEvent() {}
 
 func (Returned) isServerLimitEvent() {}
 
--- a/internal/reducer/serverlimit/state.go
+++ b/internal/reducer/serverlimit/state.go
@@ -62,7 +62,7 @@
 	switch e := event.(type) {
 	case LeadershipObserved:
 		s.leads(e)
-	case Asked:
+	case Requested:
 		return []Answer{s.asked(e)}
 	case Returned:
 		s.returned(e)
@@ -90,7 +90,7 @@
 	}
 }
 
-func (s *State) asked(e Asked) Answer {
+func (s *State) asked(e Requested) Answer {
 	if !s.lead {
 		return Answer{}
 	}
