--- a/internal/forwarder/ownlimits.go
+++ b/internal/forwarder/ownlimits.go
@@ -32,7 +32,7 @@
 // Permit implements Limits.
 func (l *ownLimits) Permit(_ context.Context, ask LimitAsk) Permission {
 	now := time.Now()
-	a := l.reduce(serverlimit.Requested{At: now, Server: ask.Server.Start(), PerSecond: ask.PerSecond, Named: now.Add(-ask.Age)})[0]
+	a := l.reduce(serverlimit.Requested{At: now, Server: ask.Server.Start(), PerSecond: ask.PerSecond, ReportedAt: now.Add(-ask.Age)})[0]
 	return Permission{Granted: a.Granted, Ended: a.Ended, After: a.After}
 }
 
--- a/internal/reducer/serverlimit/event.go
+++ b/internal/reducer/serverlimit/event.go
@@ -26,7 +26,7 @@
 	Server message.ServerStart
 	// PerSecond is the limit that the server named to the forwarder at Named.
 	PerSecond float64
-	Named     time.Time
+	ReportedAt     time.Time
 }
 
 // Returned gives back a permission that was not used.
--- a/internal/reducer/serverlimit/script_test.go
+++ b/internal/reducer/serverlimit/script_test.go
@@ -81,7 +81,7 @@
 		ago = s.duration(word)
 	}
 	for range times {
-		a := Reduce(s.state, Requested{At: s.now, Server: start(words[1]), PerSecond: s.number(words[2]), Named: s.now.Add(-ago)})[0]
+		a := Reduce(s.state, Requested{At: s.now, Server: start(words[1]), PerSecond: s.number(words[2]), ReportedAt: s.now.Add(-ago)})[0]
 		switch {
 		case a.Ended:
 			fmt.Fprintln(out, "no limit any more")
--- a/internal/reducer/serverlimit/state.go
+++ b/internal/reducer/serverlimit/state.go
@@ -100,8 +100,8 @@
 		s.accounts[e.Server] = a
 	}
 	a.asked = e.At
-	if e.Named.After(a.named) {
-		a.named = e.Named
+	if e.ReportedAt.After(a.named) {
+		a.named = e.ReportedAt
 		a.set(e.At, e.PerSecond)
 	}
 	if !a.limited() {
--- a/internal/reducer/serverlimit/ways_test.go
+++ b/internal/reducer/serverlimit/ways_test.go
@@ -103,7 +103,7 @@
 		return false
 	}
 	l.asked++
-	a := Reduce(l.state, Requested{At: at, Server: message.ServerStart{Instance: "a"}, PerSecond: wayLimit, Named: at})[0]
+	a := Reduce(l.state, Requested{At: at, Server: message.ServerStart{Instance: "a"}, PerSecond: wayLimit, ReportedAt: at})[0]
 	if !a.Granted {
 		l.next[forwarder] = at.Add(a.After)
 	}
--- a/internal/serverlimit/keeper.go
+++ b/internal/serverlimit/keeper.go
@@ -69,7 +69,7 @@
 		k.reduce(serverlimit.Ended{At: now, Server: m.Server, Sent: now.Add(-m.Age)})
 		return message.LimitAnswer{}, false
 	}
-	effects := k.reduce(serverlimit.Requested{At: now, Server: m.Server, PerSecond: m.PerSecond, Named: now.Add(-m.Age)})
+	effects := k.reduce(serverlimit.Requested{At: now, Server: m.Server, PerSecond: m.PerSecond, ReportedAt: now.Add(-m.Age)})
 	a, _ := effects[0].(serverlimit.Answer)
 	return message.LimitAnswer{ID: m.ID, Counted: a.Counted, Granted: a.Granted, Ended: a.Ended, After: a.After}, true
 }
