--- a/internal/forwarder/ownlimits.go
+++ b/internal/forwarder/ownlimits.go
@@ -44,5 +44,5 @@
 // Ended implements Limits.
 func (l *ownLimits) Ended(server message.BackendServer, age time.Duration) {
 	now := time.Now()
-	l.reduce(serverlimit.Ended{At: now, Server: server.Start(), Sent: now.Add(-age)})
+	l.reduce(serverlimit.LimitLifted{At: now, Server: server.Start(), Sent: now.Add(-age)})
 }
--- a/internal/reducer/serverlimit/event.go
+++ b/internal/reducer/serverlimit/event.go
@@ -35,8 +35,8 @@
 	Server message.ServerStart
 }
 
-// Ended tells that a server's answer to a request that was sent at Sent named no limit.
-type Ended struct {
+// LimitLifted tells that a server's answer to a request that was sent at Sent named no limit.
+type LimitLifted struct {
 	At     time.Time
 	Server message.ServerStart
 	Sent   time.Time
@@ -48,7 +48,7 @@
 
 func (Returned) isServerLimitEvent() {}
 
-func (Ended) isServerLimitEvent() {}
+func (LimitLifted) isServerLimitEvent() {}
 
 // Answer answers an Asked. It is the only effect.
 type Answer struct {
--- a/internal/reducer/serverlimit/script_test.go
+++ b/internal/reducer/serverlimit/script_test.go
@@ -55,7 +55,7 @@
 	case "return":
 		Reduce(s.state, Returned{At: s.now, Server: start(words[1])})
 	case "ended":
-		Reduce(s.state, Ended{At: s.now, Server: start(words[1]), Sent: s.now.Add(-s.duration(words[2]))})
+		Reduce(s.state, LimitLifted{At: s.now, Server: start(words[1]), Sent: s.now.Add(-s.duration(words[2]))})
 	case "pass":
 		s.now = s.now.Add(s.duration(words[1]))
 	}
--- a/internal/reducer/serverlimit/state.go
+++ b/internal/reducer/serverlimit/state.go
@@ -66,7 +66,7 @@
 		return []Answer{s.asked(e)}
 	case Returned:
 		s.returned(e)
-	case Ended:
+	case LimitLifted:
 		s.ended(e)
 	}
 	return nil
@@ -143,7 +143,7 @@
 }
 
 // ended takes in that a server named no limit in an answer to a request sent at a time.
-func (s *State) ended(e Ended) {
+func (s *State) ended(e LimitLifted) {
 	a := s.accounts[e.Server]
 	if a == nil {
 		a = &account{}
--- a/internal/serverlimit/keeper.go
+++ b/internal/serverlimit/keeper.go
@@ -66,7 +66,7 @@
 		k.reduce(serverlimit.Returned{At: now, Server: m.Server})
 		return message.LimitAnswer{}, false
 	case message.LimitEnded:
-		k.reduce(serverlimit.Ended{At: now, Server: m.Server, Sent: now.Add(-m.Age)})
+		k.reduce(serverlimit.LimitLifted{At: now, Server: m.Server, Sent: now.Add(-m.Age)})
 		return message.LimitAnswer{}, false
 	}
 	effects := k.reduce(serverlimit.Requested{At: now, Server: m.Server, PerSecond: m.PerSecond, ReportedAt: now.Add(-m.Age)})
