--- a/internal/reducer/serverlimit/event.go
+++ b/internal/reducer/serverlimit/event.go
@@ -55,8 +55,8 @@
 	// Counted is set if this control VM counts; otherwise the rest tells nothing.
 	Counted bool
 	Granted bool
-	// Ended is set if the server is known to have no limit any more.
-	Ended bool
+	// Unlimited is set if the server is known to have no limit any more.
+	Unlimited bool
 	// After is when a forwarder that is refused may ask again.
 	After time.Duration
 }
--- a/internal/reducer/serverlimit/script_test.go
+++ b/internal/reducer/serverlimit/script_test.go
@@ -83,7 +83,7 @@
 	for range times {
 		a := Reduce(s.state, Requested{At: s.now, Server: start(words[1]), PerSecond: s.number(words[2]), ReportedAt: s.now.Add(-ago)})[0]
 		switch {
-		case a.Ended:
+		case a.Unlimited:
 			fmt.Fprintln(out, "no limit any more")
 		case a.Granted:
 			fmt.Fprintln(out, "granted")
--- a/internal/reducer/serverlimit/state.go
+++ b/internal/reducer/serverlimit/state.go
@@ -105,7 +105,7 @@
 		a.set(e.At, e.PerSecond)
 	}
 	if !a.limited() {
-		return Answer{Counted: true, Granted: true, Ended: true}
+		return Answer{Counted: true, Granted: true, Unlimited: true}
 	}
 	if !a.bucket.Take(e.At, 1, 0) {
 		a.refused++
