--- a/internal/forwarder/ownlimits.go
+++ b/internal/forwarder/ownlimits.go
@@ -33,7 +33,7 @@
 func (l *ownLimits) Permit(_ context.Context, ask LimitAsk) Permission {
 	now := time.Now()
 	a := l.reduce(serverlimit.Requested{At: now, Server: ask.Server.Start(), PerSecond: ask.PerSecond, ReportedAt: now.Add(-ask.Age)})[0]
-	return Permission{Granted: a.Granted, Ended: a.Unlimited, After: a.After}
+	return Permission{Granted: a.Granted, Ended: a.Unlimited, After: a.RetryAfter}
 }
 
 // Return implements Limits.
--- a/internal/reducer/serverlimit/event.go
+++ b/internal/reducer/serverlimit/event.go
@@ -57,6 +57,6 @@
 	Granted bool
 	// Unlimited is set if the server is known to have no limit any more.
 	Unlimited bool
-	// After is when a forwarder that is refused may ask again.
-	After time.Duration
+	// RetryAfter is when a forwarder that is refused may ask again.
+	RetryAfter time.Duration
 }
--- a/internal/reducer/serverlimit/script_test.go
+++ b/internal/reducer/serverlimit/script_test.go
@@ -88,7 +88,7 @@
 		case a.Granted:
 			fmt.Fprintln(out, "granted")
 		case a.Counted:
-			fmt.Fprintln(out, "refused, again after", a.After.Round(time.Millisecond))
+			fmt.Fprintln(out, "refused, again after", a.RetryAfter.Round(time.Millisecond))
 		default:
 			fmt.Fprintln(out, "not counted here")
 		}
--- a/internal/reducer/serverlimit/state.go
+++ b/internal/reducer/serverlimit/state.go
@@ -110,7 +110,7 @@
 	if !a.bucket.Take(e.At, 1, 0) {
 		a.refused++
 		a.counted.Refused++
-		return Answer{Counted: true, After: a.after(e.At)}
+		return Answer{Counted: true, RetryAfter: a.after(e.At)}
 	}
 	a.refused = 0
 	a.counted.Granted++
--- a/internal/reducer/serverlimit/ways_test.go
+++ b/internal/reducer/serverlimit/ways_test.go
@@ -105,7 +105,7 @@
 	l.asked++
 	a := Reduce(l.state, Requested{At: at, Server: message.ServerStart{Instance: "a"}, PerSecond: wayLimit, ReportedAt: at})[0]
 	if !a.Granted {
-		l.next[forwarder] = at.Add(a.After)
+		l.next[forwarder] = at.Add(a.RetryAfter)
 	}
 	return a.Granted
 }
--- a/internal/serverlimit/keeper.go
+++ b/internal/serverlimit/keeper.go
@@ -71,7 +71,7 @@
 	}
 	effects := k.reduce(serverlimit.Requested{At: now, Server: m.Server, PerSecond: m.PerSecond, ReportedAt: now.Add(-m.Age)})
 	a, _ := effects[0].(serverlimit.Answer)
-	return message.LimitAnswer{ID: m.ID, Counted: a.Counted, Granted: a.Granted, Ended: a.Unlimited, After: a.After}, true
+	return message.LimitAnswer{ID: m.ID, Counted: a.Counted, Granted: a.Granted, Ended: a.Unlimited, After: a.RetryAfter}, true
 }
 
 // Limited reports whether a server has a limit, as far as this control VM counts.
