--- a/internal/reducer/quarantine/event.go
+++ b/internal/reducer/quarantine/event.go
@@ -25,8 +25,8 @@
 	Fingerprint Fingerprint
 }
 
-// Heard tells what another process knows.
-type Heard struct {
+// ReportsReceived tells what another process knows.
+type ReportsReceived struct {
 	At      time.Time
 	Reports []message.CrashReport
 	// Pass is set if what is new here is to be told on: who told it has not told
@@ -41,7 +41,7 @@
 
 func (Answered) isQuarantineEvent() {}
 
-func (Heard) isQuarantineEvent() {}
+func (ReportsReceived) isQuarantineEvent() {}
 
 func (Ticked) isQuarantineEvent() {}
 
--- a/internal/reducer/quarantine/state.go
+++ b/internal/reducer/quarantine/state.go
@@ -100,7 +100,7 @@
 		return s.crashed(e)
 	case Answered:
 		return s.answer(e)
-	case Heard:
+	case ReportsReceived:
 		return s.heard(e)
 	case Ticked:
 		s.forget(e.At)
@@ -164,7 +164,7 @@
 	return s.changed(e.At, e.Fingerprint, before, true)
 }
 
-func (s *State) heard(e Heard) []Effect {
+func (s *State) heard(e ReportsReceived) []Effect {
 	var effects []Effect
 	groups := byFingerprint(e.Reports)
 	for _, fingerprint := range slices.Sorted(maps.Keys(groups)) {
