--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -82,7 +82,7 @@
 
 // Heard takes in what another process knows; pass has it told on.
 func (s *Store) Heard(reports []message.CrashReport, pass bool) {
-	s.reduce(quarantine.ReportsReceived{At: s.now(), Reports: reports, Pass: pass})
+	s.reduce(quarantine.ReportsReceived{At: s.now(), Reports: reports, Forward: pass})
 }
 
 // Held is for how much longer a request is not sent to servers; false means that it may
--- a/internal/reducer/quarantine/event.go
+++ b/internal/reducer/quarantine/event.go
@@ -29,9 +29,9 @@
 type ReportsReceived struct {
 	At      time.Time
 	Reports []message.CrashReport
-	// Pass is set if what is new here is to be told on: who told it has not told
+	// Forward is set if what is new here is to be told on: who told it has not told
 	// everybody.
-	Pass bool
+	Forward bool
 }
 
 // Ticked passes time.
--- a/internal/reducer/quarantine/script_test.go
+++ b/internal/reducer/quarantine/script_test.go
@@ -75,7 +75,7 @@
 		s.show(words[1], out, Reduce(s.processes[words[1]], Answered{At: s.now, Fingerprint: s.fingerprint(words[2])}))
 	case "tell":
 		reports := s.processes[words[2]].Reports(s.now)
-		s.show(words[1], out, Reduce(s.processes[words[1]], ReportsReceived{At: s.now, Reports: reports, Pass: true}))
+		s.show(words[1], out, Reduce(s.processes[words[1]], ReportsReceived{At: s.now, Reports: reports, Forward: true}))
 	case "ask":
 		left, held := s.processes[words[1]].Held(s.now, s.fingerprint(words[2]))
 		if !held {
@@ -156,7 +156,7 @@
 	for shift := range reports {
 		s := New(Config{})
 		for i := range 2 * len(reports) {
-			Reduce(s, ReportsReceived{At: scriptStart, Reports: reports[(i+shift)%len(reports):][:1], Pass: true})
+			Reduce(s, ReportsReceived{At: scriptStart, Reports: reports[(i+shift)%len(reports):][:1], Forward: true})
 		}
 		if want == nil {
 			want = s.Reports(scriptStart)
--- a/internal/reducer/quarantine/state.go
+++ b/internal/reducer/quarantine/state.go
@@ -178,7 +178,7 @@
 			r.refute()
 		}
 		if news || refuted {
-			effects = append(effects, s.changed(e.At, fingerprint, before, e.Pass || refuted)...)
+			effects = append(effects, s.changed(e.At, fingerprint, before, e.Forward || refuted)...)
 		}
 	}
 	return effects
