--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -131,7 +131,7 @@
 // carryOut does what the reducer asks for.
 func (s *Store) carryOut(effect reducer.Effect) {
 	switch e := effect.(type) {
-	case quarantine.Tell:
+	case quarantine.SendReports:
 		if s.config.Tell != nil {
 			s.config.Tell(e.Reports)
 		}
--- a/internal/reducer/quarantine/event.go
+++ b/internal/reducer/quarantine/event.go
@@ -48,8 +48,8 @@
 // Effect is what the caller of Reduce has to do.
 type Effect interface{ isQuarantineEffect() }
 
-// Tell asks to tell other processes.
-type Tell struct{ Reports []message.CrashReport }
+// SendReports asks to tell other processes.
+type SendReports struct{ Reports []message.CrashReport }
 
 // Held says that a request is not sent to servers any more.
 type Held struct {
@@ -62,7 +62,7 @@
 // Released says that a request is sent to servers again, as one has answered it.
 type Released struct{ Fingerprint Fingerprint }
 
-func (Tell) isQuarantineEffect() {}
+func (SendReports) isQuarantineEffect() {}
 
 func (Held) isQuarantineEffect() {}
 
--- a/internal/reducer/quarantine/script_test.go
+++ b/internal/reducer/quarantine/script_test.go
@@ -98,7 +98,7 @@
 func (s *script) show(process string, out *strings.Builder, effects []Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case Tell:
+		case SendReports:
 			fmt.Fprintf(out, "%s: tell %s\n", process, s.text(e.Reports))
 		case Held:
 			fmt.Fprintf(out, "%s: hold %s for %s, ended: %s\n", process, s.fingerprints[e.Fingerprint-1], e.For, strings.Join(e.Servers, " "))
--- a/internal/reducer/quarantine/state.go
+++ b/internal/reducer/quarantine/state.go
@@ -189,7 +189,7 @@
 	var effects []Effect
 	r := s.requests[fingerprint]
 	if tell && len(r.reports) >= s.config.TellFrom {
-		effects = append(effects, Tell{Reports: s.reportsOf(at, fingerprint)})
+		effects = append(effects, SendReports{Reports: s.reportsOf(at, fingerprint)})
 	}
 	switch left, held := s.Held(at, fingerprint); {
 	case held && r.count() > before:
