--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -135,7 +135,7 @@
 		if s.config.Tell != nil {
 			s.config.Tell(e.Reports)
 		}
-	case quarantine.Held:
+	case quarantine.Quarantined:
 		if !s.config.Sends {
 			return
 		}
--- a/internal/reducer/quarantine/event.go
+++ b/internal/reducer/quarantine/event.go
@@ -51,8 +51,8 @@
 // SendReports asks to tell other processes.
 type SendReports struct{ Reports []message.CrashReport }
 
-// Held says that a request is not sent to servers any more.
-type Held struct {
+// Quarantined says that a request is not sent to servers any more.
+type Quarantined struct {
 	Fingerprint Fingerprint
 	// Servers are the instances that ended under it.
 	Servers []string
@@ -64,6 +64,6 @@
 
 func (SendReports) isQuarantineEffect() {}
 
-func (Held) isQuarantineEffect() {}
+func (Quarantined) isQuarantineEffect() {}
 
 func (Released) isQuarantineEffect() {}
--- a/internal/reducer/quarantine/script_test.go
+++ b/internal/reducer/quarantine/script_test.go
@@ -100,7 +100,7 @@
 		switch e := effect.(type) {
 		case SendReports:
 			fmt.Fprintf(out, "%s: tell %s\n", process, s.text(e.Reports))
-		case Held:
+		case Quarantined:
 			fmt.Fprintf(out, "%s: hold %s for %s, ended: %s\n", process, s.fingerprints[e.Fingerprint-1], e.For, strings.Join(e.Servers, " "))
 		case Released:
 			fmt.Fprintf(out, "%s: release %s\n", process, s.fingerprints[e.Fingerprint-1])
--- a/internal/reducer/quarantine/state.go
+++ b/internal/reducer/quarantine/state.go
@@ -193,7 +193,7 @@
 	}
 	switch left, held := s.Held(at, fingerprint); {
 	case held && r.count() > before:
-		effects = append(effects, Held{Fingerprint: fingerprint, Servers: r.servers(), For: left})
+		effects = append(effects, Quarantined{Fingerprint: fingerprint, Servers: r.servers(), For: left})
 	case !held && before >= Limit && r.count() < Limit:
 		effects = append(effects, Released{Fingerprint: fingerprint})
 	}
