--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -50,9 +50,9 @@
 func New(c Config) *Store {
 	c.Logger = cmp.Or(c.Logger, slog.New(slog.DiscardHandler))
 	now := time.Now()
-	state := quarantine.Config{TellFrom: quarantine.Limit}
+	state := quarantine.Config{MinReports: quarantine.Limit}
 	if c.Sends {
-		state = quarantine.Config{TellFrom: 1, Answers: true, Spread: mostSpread * rand.Float64()}
+		state = quarantine.Config{MinReports: 1, Answers: true, Spread: mostSpread * rand.Float64()}
 	}
 	return &Store{config: c, start: now, state: quarantine.New(state), ticked: now}
 }
--- a/internal/reducer/quarantine/script_test.go
+++ b/internal/reducer/quarantine/script_test.go
@@ -53,7 +53,7 @@
 	case "forwarder":
 		s.processes[words[1]] = New(Config{Answers: true})
 	case "control":
-		s.processes[words[1]] = New(Config{TellFrom: Limit})
+		s.processes[words[1]] = New(Config{MinReports: Limit})
 	case "pass":
 		length, err := time.ParseDuration(words[1])
 		is.New(t).NoErr(err)
--- a/internal/reducer/quarantine/state.go
+++ b/internal/reducer/quarantine/state.go
@@ -50,11 +50,11 @@
 
 // Config sets up a State.
 type Config struct {
-	// TellFrom is how many reports of a request there must be for them to be told.
+	// MinReports is how many reports of a request there must be for them to be told.
 	// Forwarders tell each; control VMs, who tell all forwarders, wait for Limit: the
 	// loss of a failure domain makes thousands of reports, and hardly one is followed
 	// by a second of the same request.
-	TellFrom int
+	MinReports int
 	// Answers has what was answered a moment ago be remembered. Only who sends
 	// requests hears of answers.
 	Answers bool
@@ -85,7 +85,7 @@
 
 // New returns a state that knows nothing.
 func New(c Config) *State {
-	c.TellFrom = cmp.Or(c.TellFrom, 1)
+	c.MinReports = cmp.Or(c.MinReports, 1)
 	s := &State{config: c, requests: map[Fingerprint]*request{}}
 	if c.Answers {
 		s.answered = newAnswers()
@@ -133,7 +133,7 @@
 func (s *State) Reports(at time.Time) []message.CrashReport {
 	var all []message.CrashReport
 	for _, fingerprint := range slices.Sorted(maps.Keys(s.requests)) {
-		if len(s.requests[fingerprint].reports) >= s.config.TellFrom {
+		if len(s.requests[fingerprint].reports) >= s.config.MinReports {
 			all = append(all, s.reportsOf(at, fingerprint)...)
 		}
 	}
@@ -188,7 +188,7 @@
 func (s *State) changed(at time.Time, fingerprint Fingerprint, before int, tell bool) []Effect {
 	var effects []Effect
 	r := s.requests[fingerprint]
-	if tell && len(r.reports) >= s.config.TellFrom {
+	if tell && len(r.reports) >= s.config.MinReports {
 		effects = append(effects, SendReports{Reports: s.reportsOf(at, fingerprint)})
 	}
 	switch left, held := s.Held(at, fingerprint); {
