--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -52,7 +52,7 @@
 	now := time.Now()
 	state := quarantine.Config{MinReports: quarantine.Limit}
 	if c.Sends {
-		state = quarantine.Config{MinReports: 1, Answers: true, Spread: mostSpread * rand.Float64()}
+		state = quarantine.Config{MinReports: 1, TrackAnswers: true, Spread: mostSpread * rand.Float64()}
 	}
 	return &Store{config: c, start: now, state: quarantine.New(state), ticked: now}
 }
--- a/internal/reducer/quarantine/script_test.go
+++ b/internal/reducer/quarantine/script_test.go
@@ -51,7 +51,7 @@
 	t.Helper()
 	switch words[0] {
 	case "forwarder":
-		s.processes[words[1]] = New(Config{Answers: true})
+		s.processes[words[1]] = New(Config{TrackAnswers: true})
 	case "control":
 		s.processes[words[1]] = New(Config{MinReports: Limit})
 	case "pass":
@@ -125,7 +125,7 @@
 // bound. Those that several servers ended under are kept before others.
 func TestReportsAreBounded(t *testing.T) {
 	is := is.New(t)
-	s := New(Config{Answers: true})
+	s := New(Config{TrackAnswers: true})
 	for i := range 2 * Limit {
 		Reduce(s, Crashed{At: scriptStart, Fingerprint: 1, Server: message.ServerStart{Instance: fmt.Sprint(i)}})
 	}
--- a/internal/reducer/quarantine/state.go
+++ b/internal/reducer/quarantine/state.go
@@ -55,9 +55,9 @@
 	// loss of a failure domain makes thousands of reports, and hardly one is followed
 	// by a second of the same request.
 	MinReports int
-	// Answers has what was answered a moment ago be remembered. Only who sends
+	// TrackAnswers has what was answered a moment ago be remembered. Only who sends
 	// requests hears of answers.
-	Answers bool
+	TrackAnswers bool
 	// Spread lengthens holds by a part. Where it differs between forwarders they don't
 	// all let a request through at the same moment.
 	Spread float64
@@ -87,7 +87,7 @@
 func New(c Config) *State {
 	c.MinReports = cmp.Or(c.MinReports, 1)
 	s := &State{config: c, requests: map[Fingerprint]*request{}}
-	if c.Answers {
+	if c.TrackAnswers {
 		s.answered = newAnswers()
 	}
 	return s
