--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -90,7 +90,7 @@
 func (s *Store) Held(fingerprint Fingerprint) (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.state.Held(s.now(), fingerprint)
+	return s.state.Quarantined(s.now(), fingerprint)
 }
 
 // Reports lists what was told so far, for a process that has just been found.
--- a/internal/reducer/quarantine/script_test.go
+++ b/internal/reducer/quarantine/script_test.go
@@ -77,7 +77,7 @@
 		reports := s.processes[words[2]].Reports(s.now)
 		s.show(words[1], out, Reduce(s.processes[words[1]], ReportsReceived{At: s.now, Reports: reports, Forward: true}))
 	case "ask":
-		left, held := s.processes[words[1]].Held(s.now, s.fingerprint(words[2]))
+		left, held := s.processes[words[1]].Quarantined(s.now, s.fingerprint(words[2]))
 		if !held {
 			left = 0
 		}
@@ -162,7 +162,7 @@
 			want = s.Reports(scriptStart)
 		}
 		is.Equal(s.Reports(scriptStart), want)
-		_, held := s.Held(scriptStart, 1)
+		_, held := s.Quarantined(scriptStart, 1)
 		is.True(held)
 	}
 }
--- a/internal/reducer/quarantine/state.go
+++ b/internal/reducer/quarantine/state.go
@@ -108,9 +108,9 @@
 	return nil
 }
 
-// Held is for how much longer a request is not sent to servers; false means that it may
+// Quarantined is for how much longer a request is not sent to servers; false means that it may
 // be sent.
-func (s *State) Held(at time.Time, fingerprint Fingerprint) (time.Duration, bool) {
+func (s *State) Quarantined(at time.Time, fingerprint Fingerprint) (time.Duration, bool) {
 	r := s.requests[fingerprint]
 	if r == nil || r.count() < Limit {
 		return 0, false
@@ -122,7 +122,7 @@
 // Reported counts the requests under which servers ended, and those that are held.
 func (s *State) Reported(at time.Time) (reported, held int) {
 	for fingerprint := range s.requests {
-		if _, is := s.Held(at, fingerprint); is {
+		if _, is := s.Quarantined(at, fingerprint); is {
 			held++
 		}
 	}
@@ -191,7 +191,7 @@
 	if tell && len(r.reports) >= s.config.MinReports {
 		effects = append(effects, SendReports{Reports: s.reportsOf(at, fingerprint)})
 	}
-	switch left, held := s.Held(at, fingerprint); {
+	switch left, held := s.Quarantined(at, fingerprint); {
 	case held && r.count() > before:
 		effects = append(effects, Quarantined{Fingerprint: fingerprint, Servers: r.servers(), For: left})
 	case !held && before >= Limit && r.count() < Limit:
