--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -16,8 +16,8 @@
 )
 
 // benchKeeper counts for one organisation, which asks for much more than it may.
-func benchKeeper(perSecond float64) *Keeper {
-	k := &Keeper{
+func benchKeeper(perSecond float64) *Server {
+	k := &Server{
 		Routing: routing.NewStore(), Logger: slog.New(slog.DiscardHandler),
 		Self: "c", Leader: func() string { return "c" }, Members: func() int { return 3 },
 	}
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -21,8 +21,8 @@
 // Config states by how much quotas may be exceeded.
 type Config = quota.Config
 
-// Keeper counts in one control VM.
-type Keeper struct {
+// Server counts in one control VM.
+type Server struct {
 	Config Config
 	// Routing holds the declared organisations.
 	Routing *routing.Store
@@ -41,7 +41,7 @@
 }
 
 // Prepare makes the keeper ready; it must be called before all else.
-func (k *Keeper) Prepare() {
+func (k *Server) Prepare() {
 	k.state = quota.New(k.Config)
 	k.start = time.Now()
 }
@@ -51,7 +51,7 @@
 const lookEvery = 100 * time.Millisecond
 
 // Run takes up the declared organisations, and who leads, until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Server) Run(ctx context.Context) {
 	ticker := time.NewTicker(lookEvery)
 	defer ticker.Stop()
 	for {
@@ -64,7 +64,7 @@
 }
 
 // watch looks who leads until the routing changes; false means that ctx has ended.
-func (k *Keeper) watch(ctx context.Context, changed <-chan struct{}, ticks <-chan time.Time) bool {
+func (k *Server) watch(ctx context.Context, changed <-chan struct{}, ticks <-chan time.Time) bool {
 	for {
 		select {
 		case <-ctx.Done():
@@ -79,7 +79,7 @@
 	}
 }
 
-func (k *Keeper) take(current routing.InForce) {
+func (k *Server) take(current routing.InForce) {
 	if current.Version == 0 {
 		return
 	}
@@ -95,12 +95,12 @@
 }
 
 // reduce feeds the reducer. The mutex is held.
-func (k *Keeper) reduce(e quota.Event) []reducer.Effect {
+func (k *Server) reduce(e quota.Event) []reducer.Effect {
 	return reducer.Reduce(&reducer.State{Quota: k.state}, e)
 }
 
 // Serve is the peer.Handler for forwarders. A session carries any number of questions.
-func (k *Keeper) Serve(ctx context.Context, s peer.Stream) {
+func (k *Server) Serve(ctx context.Context, s peer.Stream) {
 	peer.AnswerQuestions(ctx, s, func(asked message.QuotaAsk) (message.QuotaAnswer, bool) {
 		if asked.Return {
 			k.returned(asked)
@@ -110,14 +110,14 @@
 	})
 }
 
-func (k *Keeper) returned(asked message.QuotaAsk) {
+func (k *Server) returned(asked message.QuotaAsk) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.look()
 	k.reduce(quota.Returned{At: time.Now(), Organisation: asked.Organisation, Cost: asked.Cost})
 }
 
-func (k *Keeper) answer(asked message.QuotaAsk) message.QuotaAnswer {
+func (k *Server) answer(asked message.QuotaAsk) message.QuotaAnswer {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.look()
@@ -129,7 +129,7 @@
 }
 
 // look takes up who leads. The mutex is held.
-func (k *Keeper) look() {
+func (k *Server) look() {
 	now := time.Now()
 	leader := k.Leader()
 	k.reduce(quota.LeadershipObserved{At: now, Lead: leader == k.Self, Leader: leader, Members: k.Members()})
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -24,7 +24,7 @@
 // group is control VMs that count, and forwarders that ask them.
 type group struct {
 	network *peertest.Network
-	keepers map[string]*Keeper
+	keepers map[string]*Server
 	// leader leads, and known is who forwarders take to lead.
 	leader, known atomic.Value
 	addresses     []string
@@ -35,7 +35,7 @@
 // newGroup starts control VMs that know one organisation with a quota.
 func newGroup(ctx context.Context, t *testing.T, count int, q oriolebend.Quota) *group {
 	t.Helper()
-	g := &group{network: peertest.NewNetwork(1), keepers: map[string]*Keeper{}}
+	g := &group{network: peertest.NewNetwork(1), keepers: map[string]*Server{}}
 	store := routing.NewStore()
 	command, err := cbor.Marshal(routing.Replace{Routing: oriolebend.Routing{
 		Version: 1, Organisations: []oriolebend.Organisation{{Name: "o", Quota: q}},
@@ -45,7 +45,7 @@
 	for i := range count {
 		address := fmt.Sprintf("c%d:1", i)
 		g.addresses = append(g.addresses, address)
-		k := &Keeper{
+		k := &Server{
 			Config: Config{Slack: 1000}, Routing: store, Logger: slog.New(slog.DiscardHandler),
 			Self: address, Leader: func() string { return named(&g.leader) }, Members: func() int { return count },
 		}
--- a/internal/role/controlprocess.go
+++ b/internal/role/controlprocess.go
@@ -50,7 +50,7 @@
 	observer  *routewatch.Follower
 	crashes   *quarantine.Store
 	keeper    *crashreports.Keeper
-	quotas    *quota.Keeper
+	quotas    *quota.Server
 	limits    *serverlimit.Keeper
 	cancel    context.CancelFunc
 	// done is closed once the log has ended, with ended as its error.
@@ -317,9 +317,9 @@
 }
 
 // newQuotas counts what organisations ask for.
-func (c *ControlProcess) newQuotas() *quota.Keeper {
+func (c *ControlProcess) newQuotas() *quota.Server {
 	s := c.process.Settings.Control
-	k := &quota.Keeper{
+	k := &quota.Server{
 		Config:  quota.Config{Window: time.Duration(s.QuotaWindow), Overshoot: s.QuotaOvershoot, Slack: s.QuotaSlack},
 		Routing: c.routing, Logger: c.process.Logger,
 		Self: c.process.self(),
