--- a/internal/role/controlprocess.go
+++ b/internal/role/controlprocess.go
@@ -51,7 +51,7 @@
 	crashes   *quarantine.Store
 	keeper    *crashreports.Keeper
 	quotas    *quota.Server
-	limits    *serverlimit.Keeper
+	limits    *serverlimit.Server
 	cancel    context.CancelFunc
 	// done is closed once the log has ended, with ended as its error.
 	done  chan struct{}
@@ -334,8 +334,8 @@
 }
 
 // newLimits counts what is sent to backend servers that have named a limit.
-func (c *ControlProcess) newLimits() *serverlimit.Keeper {
-	k := &serverlimit.Keeper{
+func (c *ControlProcess) newLimits() *serverlimit.Server {
+	k := &serverlimit.Server{
 		Leads: c.Leads, Term: func() uint64 { return c.replica.Status().Term }, Logger: c.process.Logger,
 	}
 	k.Prepare()
--- a/internal/serverlimit/keeper.go
+++ b/internal/serverlimit/keeper.go
@@ -16,8 +16,8 @@
 	"github.com/oriolebend/oriolebend/internal/steady"
 )
 
-// Keeper counts in one control VM, while it leads.
-type Keeper struct {
+// Server counts in one control VM, while it leads.
+type Server struct {
 	// Leads reports whether this control VM's lease runs, and Term numbers the times that
 	// control VMs began to lead.
 	Leads  func() bool
@@ -31,7 +31,7 @@
 }
 
 // Prepare makes the keeper ready; it must be called before all else.
-func (k *Keeper) Prepare() {
+func (k *Server) Prepare() {
 	k.state = serverlimit.New()
 	k.start = time.Now()
 }
@@ -40,7 +40,7 @@
 const summaryEvery = time.Second
 
 // Run logs what is counted until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Server) Run(ctx context.Context) {
 	for pause.For(ctx, summaryEvery) {
 		k.mutex.Lock()
 		k.look()
@@ -53,10 +53,10 @@
 }
 
 // Serve is the peer.Handler for forwarders. A session carries any number of questions.
-func (k *Keeper) Serve(ctx context.Context, s peer.Stream) { peer.AnswerQuestions(ctx, s, k.take) }
+func (k *Server) Serve(ctx context.Context, s peer.Stream) { peer.AnswerQuestions(ctx, s, k.take) }
 
 // take feeds one step of a forwarder to the reducer.
-func (k *Keeper) take(m message.LimitAsk) (message.LimitAnswer, bool) {
+func (k *Server) take(m message.LimitAsk) (message.LimitAnswer, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.look()
@@ -75,20 +75,20 @@
 }
 
 // Limited reports whether a server has a limit, as far as this control VM counts.
-func (k *Keeper) Limited(server message.BackendServer) bool {
+func (k *Server) Limited(server message.BackendServer) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.state.Limited(time.Now(), server.Start())
 }
 
 // look takes up whether this control VM leads. The mutex is held.
-func (k *Keeper) look() {
+func (k *Server) look() {
 	now := time.Now()
 	doubted := k.clock.Moved(now.Sub(k.start), now)
 	k.reduce(serverlimit.LeadershipObserved{At: now, Lead: k.Leads(), Term: k.Term(), ClockJumped: doubted})
 }
 
 // reduce feeds the reducer. The mutex is held.
-func (k *Keeper) reduce(e serverlimit.Event) []reducer.Effect {
+func (k *Server) reduce(e serverlimit.Event) []reducer.Effect {
 	return reducer.Reduce(&reducer.State{ServerLimit: k.state}, e)
 }
--- a/internal/serverlimit/serverlimit_test.go
+++ b/internal/serverlimit/serverlimit_test.go
@@ -18,7 +18,7 @@
 // group is two control VMs, of which one leads, and forwarders that ask it.
 type group struct {
 	network *peertest.Network
-	keepers map[string]*Keeper
+	keepers map[string]*Server
 	// leader leads, known is who forwarders take to lead, and term is the leader's.
 	leader, known atomic.Value
 	term          atomic.Uint64
@@ -31,9 +31,9 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		g := &group{network: peertest.NewNetwork(1), keepers: map[string]*Keeper{}}
+		g := &group{network: peertest.NewNetwork(1), keepers: map[string]*Server{}}
 		for _, address := range []string{"c0:1", "c1:1"} {
-			k := &Keeper{
+			k := &Server{
 				Leads: func() bool { return g.leader.Load() == address }, Term: g.term.Load,
 				Logger: slog.New(slog.DiscardHandler),
 			}
