--- a/internal/crashreports/keeper.go
+++ b/internal/crashreports/keeper.go
@@ -57,7 +57,7 @@
 	for i := range kept.Reports {
 		kept.Reports[i].Age += since
 	}
-	k.Store.Heard(kept.Reports, false)
+	k.Store.ApplyReports(kept.Reports, false)
 	k.Logger.Info("crash reports read", "reports", len(kept.Reports), "ageMs", since.Milliseconds())
 }
 
--- a/internal/crashreports/keeper_test.go
+++ b/internal/crashreports/keeper_test.go
@@ -56,7 +56,7 @@
 		defer close(stopped)
 		first.Run(ctx)
 	}()
-	first.Store.Heard(reports(), true)
+	first.Store.ApplyReports(reports(), true)
 	eventually(t, path)
 	cancel()
 	<-stopped
@@ -77,7 +77,7 @@
 	defer cancel()
 	go k.Run(ctx)
 	for range 3 {
-		k.Store.Heard(reports(), true)
+		k.Store.ApplyReports(reports(), true)
 	}
 	is.Equal(len(k.Store.Reports()), quarantine.Limit)
 }
--- a/internal/crashreports/teller.go
+++ b/internal/crashreports/teller.go
@@ -161,7 +161,7 @@
 	return func(_ context.Context, s peer.Stream) {
 		m, err := s.Receive()
 		if told, ok := m.(message.CrashReports); err == nil && ok {
-			store.Heard(told.Reports, true)
+			store.ApplyReports(told.Reports, true)
 		}
 	}
 }
--- a/internal/crashreports/teller_test.go
+++ b/internal/crashreports/teller_test.go
@@ -123,7 +123,7 @@
 	for i := range quarantine.Limit {
 		reports = append(reports, message.CrashReport{Fingerprint: 1, Instance: fmt.Sprint(i)})
 	}
-	store.Heard(reports, true)
+	store.ApplyReports(reports, true)
 	is.Equal(told, quarantine.Limit)
 	is.Equal(len(store.Reports()), quarantine.Limit) // and to those who come later
 }
--- a/internal/forwarder/quarantine_test.go
+++ b/internal/forwarder/quarantine_test.go
@@ -143,7 +143,7 @@
 			for i := range quarantine.Limit {
 				reports = append(reports, message.CrashReport{Fingerprint: uint64(bodyFingerprint("/cut/")), Instance: fmt.Sprint(i)})
 			}
-			s.forwarder.config.Quarantine.Heard(reports, false)
+			s.forwarder.config.Quarantine.ApplyReports(reports, false)
 		}
 		prefill.ServeHTTP(w, r)
 	})
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -80,8 +80,8 @@
 	s.reduce(quarantine.Answered{At: s.now(), Fingerprint: fingerprint})
 }
 
-// Heard takes in what another process knows; pass has it told on.
-func (s *Store) Heard(reports []message.CrashReport, pass bool) {
+// ApplyReports takes in what another process knows; pass has it told on.
+func (s *Store) ApplyReports(reports []message.CrashReport, pass bool) {
 	s.reduce(quarantine.ReportsReceived{At: s.now(), Reports: reports, Forward: pass})
 }
 
--- a/internal/role/controlrouting.go
+++ b/internal/role/controlrouting.go
@@ -122,7 +122,7 @@
 			Observes: true, Address: p.Settings.Peer.Listen, Incarnation: newIncarnation(),
 		},
 		Sink:    sinks,
-		Reports: func(reports []message.CrashReport) { c.crashes.Heard(reports, true) },
+		Reports: func(reports []message.CrashReport) { c.crashes.ApplyReports(reports, true) },
 		Logger:  p.Logger,
 	}
 }
--- a/internal/role/forwarderprocess.go
+++ b/internal/role/forwarderprocess.go
@@ -103,7 +103,7 @@
 			Listen: p.Settings.Peer.Listen,
 		},
 		Sink:    process.forwarder,
-		Reports: func(reports []message.CrashReport) { process.crashes.Heard(reports, false) },
+		Reports: func(reports []message.CrashReport) { process.crashes.ApplyReports(reports, false) },
 		Found:   func(address string) { process.teller.TellOne(address, process.crashes.Reports()) },
 		Logger:  p.Logger,
 	}
--- a/internal/role/relayprocess.go
+++ b/internal/role/relayprocess.go
@@ -62,7 +62,7 @@
 			Observes: true, Address: p.Settings.Peer.Listen, Incarnation: newIncarnation(),
 		},
 		Sink:    relaySink{},
-		Reports: func(reports []message.CrashReport) { crashes.Heard(reports, true) },
+		Reports: func(reports []message.CrashReport) { crashes.ApplyReports(reports, true) },
 		Logger:  p.Logger,
 	}
 	if r.metrics, err = p.serveMetrics(func() bool { return r.follower.Links() > 0 }); err != nil {
--- a/internal/routewatch/server_test.go
+++ b/internal/routewatch/server_test.go
@@ -245,7 +245,7 @@
 		var group sync.WaitGroup
 		group.Go(func() {
 			for i := range rounds {
-				store.Heard([]message.CrashReport{{Fingerprint: uint64(i / quarantine.Limit), Instance: fmt.Sprint(i)}}, true)
+				store.ApplyReports([]message.CrashReport{{Fingerprint: uint64(i / quarantine.Limit), Instance: fmt.Sprint(i)}}, true)
 			}
 		})
 		group.Go(func() {
