--- a/internal/crashreports/teller_test.go
+++ b/internal/crashreports/teller_test.go
@@ -46,7 +46,7 @@
 func nobody() []string { return nil }
 
 func (n *node) held() bool {
-	_, held := n.store.Held(1)
+	_, held := n.store.Quarantined(1)
 	return held
 }
 
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -299,7 +299,7 @@
 		w.refuse(refusal{reason: oriolebend.ReasonUnknownService, after: retryUnready})
 		return false
 	}
-	if left, held := w.f.config.Quarantine.Held(w.fingerprint); held {
+	if left, held := w.f.config.Quarantine.Quarantined(w.fingerprint); held {
 		w.refuse(refusal{reason: oriolebend.ReasonCrashesServers, after: left})
 		return false
 	}
--- a/internal/forwarder/held_test.go
+++ b/internal/forwarder/held_test.go
@@ -127,7 +127,7 @@
 		s.looked()
 	}
 	is.True(reached.Load() > 4)
-	_, held := s.forwarder.config.Quarantine.Held(bodyFingerprint("/safe/"))
+	_, held := s.forwarder.config.Quarantine.Quarantined(bodyFingerprint("/safe/"))
 	is.True(!held)
 }
 
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -78,7 +78,7 @@
 // run carries one sending out.
 func (s *sending) run(ctx context.Context) ending {
 	s.placed = time.Since(s.request.Received)
-	if left, held := s.f.config.Quarantine.Held(s.fingerprint); held {
+	if left, held := s.f.config.Quarantine.Quarantined(s.fingerprint); held {
 		s.unusedPrefill()
 		return s.giveBack(nil, ending{reason: oriolebend.ReasonCrashesServers, after: left, unsent: true})
 	}
@@ -87,7 +87,7 @@
 	if err != nil && ctx.Err() != nil {
 		return s.giveBack(nil, ending{reason: backend.ReasonOfEnd(ctx)})
 	}
-	if left, held := s.f.config.Quarantine.Held(s.fingerprint); held {
+	if left, held := s.f.config.Quarantine.Quarantined(s.fingerprint); held {
 		return s.giveBack(source, ending{reason: oriolebend.ReasonCrashesServers, after: left, unsent: true})
 	}
 	reason := s.f.refusesStill(s.grant)
--- a/internal/forwarder/work.go
+++ b/internal/forwarder/work.go
@@ -105,7 +105,7 @@
 	if ctx.Err() != nil || w.sent >= max(1, w.route.Attempts) || w.left() < worthwhile {
 		return false
 	}
-	if _, held := w.f.config.Quarantine.Held(w.fingerprint); held {
+	if _, held := w.f.config.Quarantine.Quarantined(w.fingerprint); held {
 		return false
 	}
 	return w.notRun() || w.route.Repeat.Repeatable()
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -85,9 +85,9 @@
 	s.reduce(quarantine.ReportsReceived{At: s.now(), Reports: reports, Forward: pass})
 }
 
-// Held is for how much longer a request is not sent to servers; false means that it may
+// Quarantined is for how much longer a request is not sent to servers; false means that it may
 // be sent.
-func (s *Store) Held(fingerprint Fingerprint) (time.Duration, bool) {
+func (s *Store) Quarantined(fingerprint Fingerprint) (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.state.Quarantined(s.now(), fingerprint)
