--- a/internal/crashreports/teller_test.go
+++ b/internal/crashreports/teller_test.go
@@ -37,7 +37,7 @@
 		Dialer: network.Dialer(address), Controls: controls, Peers: peers, Logger: slog.New(slog.DiscardHandler),
 	}}
 	n.teller.Prepare()
-	n.store = quarantine.New(quarantine.Config{Sends: true, Tell: n.teller.Tell})
+	n.store = quarantine.New(quarantine.Config{Sends: true, SendReports: n.teller.Tell})
 	network.Listen(ctx, address, address, Serve(n.store))
 	go n.teller.Run(ctx)
 	return n
@@ -115,7 +115,7 @@
 func TestControlTellsOnlyWhatSeveralServersEndedUnder(t *testing.T) {
 	is := is.New(t)
 	told := 0
-	store := quarantine.New(quarantine.Config{Tell: func(reports []message.CrashReport) { told += len(reports) }})
+	store := quarantine.New(quarantine.Config{SendReports: func(reports []message.CrashReport) { told += len(reports) }})
 	var reports []message.CrashReport
 	for i := range 1000 {
 		reports = append(reports, message.CrashReport{Fingerprint: uint64(i + 10), Instance: fmt.Sprint(i % 40)})
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -31,8 +31,8 @@
 	// each end of a server, and log what they hold back. Others tell what several of them
 	// have found.
 	Sends bool
-	// Tell passes reports on to other processes; it must not block. Nil tells nobody.
-	Tell   func([]message.CrashReport)
+	// SendReports passes reports on to other processes; it must not block. Nil tells nobody.
+	SendReports   func([]message.CrashReport)
 	Logger *slog.Logger
 }
 
@@ -132,8 +132,8 @@
 func (s *Store) carryOut(effect reducer.Effect) {
 	switch e := effect.(type) {
 	case quarantine.SendReports:
-		if s.config.Tell != nil {
-			s.config.Tell(e.Reports)
+		if s.config.SendReports != nil {
+			s.config.SendReports(e.Reports)
 		}
 	case quarantine.Quarantined:
 		if !s.config.Sends {
--- a/internal/quarantine/store_test.go
+++ b/internal/quarantine/store_test.go
@@ -26,7 +26,7 @@
 		told := 0
 		s := New(Config{
 			Sends: true, Logger: logger,
-			Tell: func(reports []message.CrashReport) { told = len(reports) },
+			SendReports: func(reports []message.CrashReport) { told = len(reports) },
 		})
 		for i := range Limit {
 			_, held := s.Quarantined(1)
--- a/internal/role/controlprocess.go
+++ b/internal/role/controlprocess.go
@@ -180,7 +180,7 @@
 	c.members = &MemberLeader{Self: name, Log: log, Store: store, Observer: p.observer(), Logger: p.Logger}
 	c.members.Prepare()
 	c.crashes = quarantine.New(quarantine.Config{
-		Tell: func(reports []message.CrashReport) {
+		SendReports: func(reports []message.CrashReport) {
 			c.routes.TellReports(reports)
 			c.keeper.Changed()
 		},
--- a/internal/routewatch/server_test.go
+++ b/internal/routewatch/server_test.go
@@ -236,7 +236,7 @@
 // held.
 func TestReportsCrossANewWatcher(t *testing.T) {
 	var r *Server
-	store := quarantine.New(quarantine.Config{Tell: func(reports []message.CrashReport) { r.TellReports(reports) }})
+	store := quarantine.New(quarantine.Config{SendReports: func(reports []message.CrashReport) { r.TellReports(reports) }})
 	r = newServer(func(r *Server) { r.Reports = store.Reports })
 	const rounds = 500
 	done := make(chan struct{})
