--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -90,7 +90,7 @@
 		c.Logger = slog.New(slog.DiscardHandler)
 	}
 	if c.Quarantine == nil {
-		c.Quarantine = quarantine.New(quarantine.Config{Sends: true, Logger: c.Logger})
+		c.Quarantine = quarantine.New(quarantine.Config{SendsRequests: true, Logger: c.Logger})
 	}
 	if c.Limits == nil {
 		c.Limits = newOwnLimits()
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -27,10 +27,10 @@
 
 // Config sets up a Store.
 type Config struct {
-	// Sends is set in processes that send requests to servers: these hear of answers, tell
+	// SendsRequests is set in processes that send requests to servers: these hear of answers, tell
 	// each end of a server, and log what they hold back. Others tell what several of them
 	// have found.
-	Sends bool
+	SendsRequests bool
 	// SendReports passes reports on to other processes; it must not block. Nil tells nobody.
 	SendReports   func([]message.CrashReport)
 	Logger *slog.Logger
@@ -51,7 +51,7 @@
 	c.Logger = cmp.Or(c.Logger, slog.New(slog.DiscardHandler))
 	now := time.Now()
 	state := quarantine.Config{MinReports: quarantine.Limit}
-	if c.Sends {
+	if c.SendsRequests {
 		state = quarantine.Config{MinReports: 1, TrackAnswers: true, Spread: mostSpread * rand.Float64()}
 	}
 	return &Store{config: c, start: now, state: quarantine.New(state), ticked: now}
@@ -136,13 +136,13 @@
 			s.config.SendReports(e.Reports)
 		}
 	case quarantine.Quarantined:
-		if !s.config.Sends {
+		if !s.config.SendsRequests {
 			return
 		}
 		s.config.Logger.Warn("request held back, servers ended under it",
 			"fingerprint", e.Fingerprint.String(), "servers", strings.Join(e.Servers, " "), "forMs", e.For.Milliseconds())
 	case quarantine.Released:
-		if !s.config.Sends {
+		if !s.config.SendsRequests {
 			return
 		}
 		s.config.Logger.Info("request not held back any more, a server answered it", "fingerprint", e.Fingerprint.String())
--- a/internal/quarantine/store_test.go
+++ b/internal/quarantine/store_test.go
@@ -25,7 +25,7 @@
 		is.NoErr(err)
 		told := 0
 		s := New(Config{
-			Sends: true, Logger: logger,
+			SendsRequests: true, Logger: logger,
 			SendReports: func(reports []message.CrashReport) { told = len(reports) },
 		})
 		for i := range Limit {
