--- a/internal/crashreports/teller.go
+++ b/internal/crashreports/teller.go
@@ -126,7 +126,7 @@
 
 // deliver tells one process. If that fails, whoever is reached then is told.
 func (t *Teller) deliver(ctx context.Context, address string, n news) {
-	err := t.send(ctx, address, n.reports)
+	err := t.sendTo(ctx, address, n.reports)
 	if err == nil {
 		return
 	}
@@ -137,8 +137,8 @@
 	}
 }
 
-// send sends reports; they were taken in once the peer has closed the session.
-func (t *Teller) send(ctx context.Context, address string, reports []message.CrashReport) error {
+// sendTo sends reports; they were taken in once the peer has closed the session.
+func (t *Teller) sendTo(ctx context.Context, address string, reports []message.CrashReport) error {
 	ctx, cancel := context.WithTimeout(ctx, deliverWithin)
 	defer cancel()
 	s, err := t.Dialer.Open(ctx, address)
