--- a/internal/crashreports/teller.go
+++ b/internal/crashreports/teller.go
@@ -59,8 +59,8 @@
 // Prepare makes the teller ready; it must be called before all else.
 func (t *Teller) Prepare() { t.queue = mailbox.New[news]() }
 
-// Tell queues reports for those whom they concern.
-func (t *Teller) Tell(reports []message.CrashReport) {
+// Send queues reports for those whom they concern.
+func (t *Teller) Send(reports []message.CrashReport) {
 	t.queue.Put(news{reports: reports})
 }
 
--- a/internal/crashreports/teller_test.go
+++ b/internal/crashreports/teller_test.go
@@ -37,7 +37,7 @@
 		Dialer: network.Dialer(address), Controls: controls, Peers: peers, Logger: slog.New(slog.DiscardHandler),
 	}}
 	n.teller.Prepare()
-	n.store = quarantine.New(quarantine.Config{SendsRequests: true, SendReports: n.teller.Tell})
+	n.store = quarantine.New(quarantine.Config{SendsRequests: true, SendReports: n.teller.Send})
 	network.Listen(ctx, address, address, Serve(n.store))
 	go n.teller.Run(ctx)
 	return n
--- a/internal/role/forwarderprocess.go
+++ b/internal/role/forwarderprocess.go
@@ -61,7 +61,7 @@
 		Logger:   p.Logger,
 	}
 	process.teller.Prepare()
-	process.crashes = quarantine.New(quarantine.Config{SendsRequests: true, SendReports: process.teller.Tell, Logger: p.Logger})
+	process.crashes = quarantine.New(quarantine.Config{SendsRequests: true, SendReports: process.teller.Send, Logger: p.Logger})
 	endpoint, err := p.listen(map[message.Kind]peer.Handler{message.KindCrashReports: crashreports.Serve(process.crashes)})
 	if err != nil {
 		return nil, fmt.Errorf("listen for peers: %w", err)
