--- a/internal/crashreports/teller.go
+++ b/internal/crashreports/teller.go
@@ -64,8 +64,8 @@
 	t.queue.Put(news{reports: reports})
 }
 
-// TellOne queues reports for one process that was just found.
-func (t *Teller) TellOne(address string, reports []message.CrashReport) {
+// SendTo queues reports for one process that was just found.
+func (t *Teller) SendTo(address string, reports []message.CrashReport) {
 	if len(reports) > 0 {
 		t.queue.Put(news{address: address, reports: reports})
 	}
--- a/internal/role/forwarderprocess.go
+++ b/internal/role/forwarderprocess.go
@@ -104,7 +104,7 @@
 		},
 		Sink:    process.forwarder,
 		Reports: func(reports []message.CrashReport) { process.crashes.ApplyReports(reports, false) },
-		Found:   func(address string) { process.teller.TellOne(address, process.crashes.Reports()) },
+		Found:   func(address string) { process.teller.SendTo(address, process.crashes.Reports()) },
 		Logger:  p.Logger,
 	}
 	if err := process.serve(); err != nil {
