--- a/internal/crashreports/teller.go
+++ b/internal/crashreports/teller.go
@@ -35,12 +35,12 @@
 	deliverAgain  = 100 * time.Millisecond
 )
 
-// Teller tells other processes under which requests servers ended.
+// Sender tells other processes under which requests servers ended.
 //
 // Forwarders tell a few control VMs, which count over all forwarders and tell everybody
 // once there are several ends. While no control VM is reached, forwarders tell some
 // others, which tell on what is new to them.
-type Teller struct {
+type Sender struct {
 	Dialer peer.Dialer
 	// Controls are the control VMs that are reached now, Peers some other forwarders.
 	Controls, Peers func() []string
@@ -57,22 +57,22 @@
 }
 
 // Prepare makes the teller ready; it must be called before all else.
-func (t *Teller) Prepare() { t.queue = mailbox.New[news]() }
+func (t *Sender) Prepare() { t.queue = mailbox.New[news]() }
 
 // Send queues reports for those whom they concern.
-func (t *Teller) Send(reports []message.CrashReport) {
+func (t *Sender) Send(reports []message.CrashReport) {
 	t.queue.Put(news{reports: reports})
 }
 
 // SendTo queues reports for one process that was just found.
-func (t *Teller) SendTo(address string, reports []message.CrashReport) {
+func (t *Sender) SendTo(address string, reports []message.CrashReport) {
 	if len(reports) > 0 {
 		t.queue.Put(news{address: address, reports: reports})
 	}
 }
 
 // Run tells what is queued until ctx ends.
-func (t *Teller) Run(ctx context.Context) {
+func (t *Sender) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -87,7 +87,7 @@
 }
 
 // addressed joins what is told to the same process.
-func (t *Teller) addressed(list []news) map[string]news {
+func (t *Sender) addressed(list []news) map[string]news {
 	all := map[string]news{}
 	for _, n := range list {
 		if n.address != "" {
@@ -116,7 +116,7 @@
 }
 
 // concerned is who is told of the end of a server under a request.
-func (t *Teller) concerned(fingerprint uint64) []string {
+func (t *Sender) concerned(fingerprint uint64) []string {
 	controls := t.Controls()
 	if len(controls) == 0 {
 		return t.Peers()
@@ -125,7 +125,7 @@
 }
 
 // deliver tells one process. If that fails, whoever is reached then is told.
-func (t *Teller) deliver(ctx context.Context, address string, n news) {
+func (t *Sender) deliver(ctx context.Context, address string, n news) {
 	err := t.sendTo(ctx, address, n.reports)
 	if err == nil {
 		return
@@ -138,7 +138,7 @@
 }
 
 // sendTo sends reports; they were taken in once the peer has closed the session.
-func (t *Teller) sendTo(ctx context.Context, address string, reports []message.CrashReport) error {
+func (t *Sender) sendTo(ctx context.Context, address string, reports []message.CrashReport) error {
 	ctx, cancel := context.WithTimeout(ctx, deliverWithin)
 	defer cancel()
 	s, err := t.Dialer.Open(ctx, address)
--- a/internal/crashreports/teller_test.go
+++ b/internal/crashreports/teller_test.go
@@ -27,13 +27,13 @@
 // node is one forwarder that tells others under which requests servers ended.
 type node struct {
 	store  *quarantine.Store
-	teller *Teller
+	teller *Sender
 }
 
 // newNode starts a forwarder at an address that reaches the control VMs and the peers
 // given.
 func newNode(ctx context.Context, network *peertest.Network, address string, controls, peers func() []string) *node {
-	n := &node{teller: &Teller{
+	n := &node{teller: &Sender{
 		Dialer: network.Dialer(address), Controls: controls, Peers: peers, Logger: slog.New(slog.DiscardHandler),
 	}}
 	n.teller.Prepare()
--- a/internal/role/forwarderprocess.go
+++ b/internal/role/forwarderprocess.go
@@ -42,7 +42,7 @@
 	quotas    *quota.Client
 	limits    *serverlimit.Client
 	crashes   *quarantine.Store
-	teller    *crashreports.Teller
+	teller    *crashreports.Sender
 	callers   *http1.Server
 	metrics   *httpServer
 	stopping  chan struct{}
@@ -55,7 +55,7 @@
 func StartForwarder(p Process, dialect forwarder.Dialect) (*ForwarderProcess, error) {
 	p = p.withMetrics(peer.RoleForwarder)
 	process := &ForwarderProcess{process: p, stopping: make(chan struct{}), done: make(chan struct{})}
-	process.teller = &crashreports.Teller{
+	process.teller = &crashreports.Sender{
 		Controls: func() []string { return process.follower.Open() },
 		Peers:    func() []string { return process.follower.Peers() },
 		Logger:   p.Logger,
