--- a/internal/crashreports/keeper.go
+++ b/internal/crashreports/keeper.go
@@ -61,8 +61,8 @@
 	k.Logger.Info("crash reports read", "reports", len(kept.Reports), "ageMs", since.Milliseconds())
 }
 
-// Changed has what is known kept.
-func (k *Keeper) Changed() {
+// RequestSave has what is known kept.
+func (k *Keeper) RequestSave() {
 	select {
 	case k.changed <- struct{}{}:
 	default: // it is to be kept already
@@ -81,7 +81,7 @@
 		if err := disk.WriteNote(disk.OS{}, k.Folder, noteName, kept); err != nil {
 			k.Logger.Warn("crash reports not kept", "reports", len(kept.Reports), "error", err)
 			pause.For(ctx, keepAgain)
-			k.Changed()
+			k.RequestSave()
 		}
 	}
 }
--- a/internal/role/controlprocess.go
+++ b/internal/role/controlprocess.go
@@ -182,7 +182,7 @@
 	c.crashes = quarantine.New(quarantine.Config{
 		SendReports: func(reports []message.CrashReport) {
 			c.routes.TellReports(reports)
-			c.keeper.Changed()
+			c.keeper.RequestSave()
 		},
 		Logger: p.Logger,
 	})
