--- a/internal/reducer/registry/script_test.go
+++ b/internal/reducer/registry/script_test.go
@@ -80,7 +80,7 @@
 		event = Withdrawn{At: s.now, Instance: name, Incarnation: incarnation}
 	case "changes":
 		name, incarnation := start(t, words[1])
-		event = RoleChanges{Instance: name, Incarnation: incarnation, Until: s.now.Add(duration(t, words[2]))}
+		event = RoleChangeOrdered{Instance: name, Incarnation: incarnation, Until: s.now.Add(duration(t, words[2]))}
 	case "pass":
 		s.now = s.now.Add(duration(t, words[1]))
 		event = Ticked{At: s.now}
--- a/internal/reducer/registry/state.go
+++ b/internal/reducer/registry/state.go
@@ -81,9 +81,9 @@
 	Incarnation uint64
 }
 
-// RoleChanges says that a start of an instance is about to be ordered to change its
+// RoleChangeOrdered says that a start of an instance is about to be ordered to change its
 // role, and is away until a time.
-type RoleChanges struct {
+type RoleChangeOrdered struct {
 	Instance    string
 	Incarnation uint64
 	Until       time.Time
@@ -94,7 +94,7 @@
 
 func (Announced) isRegistryEvent()   {}
 func (Withdrawn) isRegistryEvent()   {}
-func (RoleChanges) isRegistryEvent() {}
+func (RoleChangeOrdered) isRegistryEvent() {}
 func (Ticked) isRegistryEvent()      {}
 
 // Effect is what the caller of Reduce has to do.
@@ -112,7 +112,7 @@
 		return s.announced(e)
 	case Withdrawn:
 		return s.withdrawn(e)
-	case RoleChanges:
+	case RoleChangeOrdered:
 		return s.roleChanges(e)
 	case Ticked:
 		return s.ticked(e.At)
@@ -151,7 +151,7 @@
 	return server
 }
 
-func (s *State) roleChanges(e RoleChanges) []Effect {
+func (s *State) roleChanges(e RoleChangeOrdered) []Effect {
 	if k := s.servers[e.Instance]; k != nil && k.server.Incarnation > e.Incarnation {
 		return nil // it has started again and knows of no order
 	}
--- a/internal/routewatch/server.go
+++ b/internal/routewatch/server.go
@@ -153,7 +153,7 @@
 // its role refuses what it has not begun; a prefill whose decode server was
 // ordered meanwhile would be computed in vain.
 func (r *Server) RoleChanges(ctx context.Context, engine message.BackendServer, away time.Duration) error {
-	return r.awaitHeard(ctx, r.tell(registry.RoleChanges{
+	return r.awaitHeard(ctx, r.tell(registry.RoleChangeOrdered{
 		Instance: engine.Instance, Incarnation: engine.Incarnation, Until: time.Now().Add(away),
 	}))
 }
