--- a/internal/reducer/registry/script_test.go
+++ b/internal/reducer/registry/script_test.go
@@ -119,7 +119,7 @@
 				})
 			}
 		}
-		s.view.Told(s.now, words[1], whole, servers)
+		s.view.Update(s.now, words[1], whole, servers)
 	}
 }
 
--- a/internal/reducer/registry/view.go
+++ b/internal/reducer/registry/view.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Told takes what a control VM told; whole replaces all that it told before.
-func (v *View) Told(at time.Time, control string, whole bool, servers []message.BackendServer) {
+// Update takes what a control VM told; whole replaces all that it told before.
+func (v *View) Update(at time.Time, control string, whole bool, servers []message.BackendServer) {
 	s := v.sources[control]
 	if s != nil && whole {
 		v.drop(s)
--- a/internal/reducer/registry/view_test.go
+++ b/internal/reducer/registry/view_test.go
@@ -24,7 +24,7 @@
 			if rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
 				v.Lost(now, control)
 			} else {
-				v.Told(now, control, rapid.Bool().Draw(t, "whole"), drawServers(t))
+				v.Update(now, control, rapid.Bool().Draw(t, "whole"), drawServers(t))
 			}
 			if rapid.Bool().Draw(t, "ask") {
 				followed.Apply(v.Changes(now))
@@ -93,13 +93,13 @@
 			var one []message.BackendServer
 			for i := range others {
 				one = []message.BackendServer{{Instance: fmt.Sprintf("i-%08x", i*7919), Address: fmt.Sprintf("10.0.0.1:%d", i), Phase: message.PhaseReady}}
-				v.Told(now, fmt.Sprint("control-", i%10), false, one)
+				v.Update(now, fmt.Sprint("control-", i%10), false, one)
 			}
 			v.Changes(now)
 			b.ReportAllocs()
 			for b.Loop() {
 				one[0].Silent = !one[0].Silent
-				v.Told(now, "control-0", false, one)
+				v.Update(now, "control-0", false, one)
 				v.Changes(now)
 			}
 		})
--- a/internal/routewatch/follower.go
+++ b/internal/routewatch/follower.go
@@ -170,7 +170,7 @@
 		f.confirmed = time.Now()
 	}
 	if u.Whole || len(u.Servers) > 0 {
-		f.view.Told(time.Now(), l.address, u.Whole, u.Servers)
+		f.view.Update(time.Now(), l.address, u.Whole, u.Servers)
 		f.tellServers()
 	}
 	if u.Leader != "" {
