--- a/internal/reducer/reached/table.go
+++ b/internal/reducer/reached/table.go
@@ -40,9 +40,9 @@
 	return &Table{self: self, reports: map[string]Report{}}
 }
 
-// Heard takes the word of a follower of this control VM. A lower revision
+// Record takes the word of a follower of this control VM. A lower revision
 // than before is taken too: the follower restarted and has less in force.
-func (t *Table) Heard(at time.Time, m message.Reached) {
+func (t *Table) Record(at time.Time, m message.Reached) {
 	t.reports[m.Node] = Report{Node: m.Node, Role: m.Role, Revision: m.Revision, At: at, Control: t.self}
 }
 
--- a/internal/role/confirmer.go
+++ b/internal/role/confirmer.go
@@ -227,7 +227,7 @@
 func (r *ReachedTable) Heard(m message.Reached) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.Heard(time.Now(), m)
+	r.table.Record(time.Now(), m)
 }
 
 // Merge takes what another control VM told.
