--- a/internal/reducer/reached/table.go
+++ b/internal/reducer/reached/table.go
@@ -65,8 +65,8 @@
 	maps.DeleteFunc(t.reports, func(_ string, r Report) bool { return at.Sub(r.At) > ForgetAfter })
 }
 
-// Own makes the message that tells the others of this control VM's followers.
-func (t *Table) Own(at time.Time) message.Followers {
+// LocalFollowers makes the message that tells the others of this control VM's followers.
+func (t *Table) LocalFollowers(at time.Time) message.Followers {
 	m := message.Followers{Control: t.self}
 	for _, r := range t.List() {
 		if r.Control == t.self {
--- a/internal/reducer/reached/table_test.go
+++ b/internal/reducer/reached/table_test.go
@@ -31,20 +31,20 @@
 	c1, c2 := New("c1"), New("c2")
 	c1.Record(after(0), message.Reached{Node: "e1", Revision: 5})
 	c2.Record(after(0), message.Reached{Node: "e2", Revision: 6})
-	c2.Merge(after(1), c1.Own(after(1)))
+	c2.Merge(after(1), c1.LocalFollowers(after(1)))
 	is.Equal(list(c2), "e1@5(c1) e2@6(c2)")
 
 	// The follower moves to c2 and goes on; what c1 tells of it is older.
 	c2.Record(after(3), message.Reached{Node: "e1", Revision: 7})
-	c2.Merge(after(4), c1.Own(after(4)))
+	c2.Merge(after(4), c1.LocalFollowers(after(4)))
 	is.Equal(list(c2), "e1@7(c2) e2@6(c2)")
-	c1.Merge(after(4), c2.Own(after(4)))
+	c1.Merge(after(4), c2.LocalFollowers(after(4)))
 	is.Equal(list(c1), "e1@7(c2) e2@6(c2)")
-	is.Equal(len(c1.Own(after(4)).List), 0)
+	is.Equal(len(c1.LocalFollowers(after(4)).List), 0)
 
 	// It restarts and has nothing yet: that is told, not hidden.
 	c1.Record(after(5), message.Reached{Node: "e1", Revision: 0})
-	c2.Merge(after(6), c1.Own(after(6)))
+	c2.Merge(after(6), c1.LocalFollowers(after(6)))
 	is.Equal(list(c2), "e1@0(c1) e2@6(c2)")
 
 	c2.Forget(after(7).Add(ForgetAfter))
@@ -56,7 +56,7 @@
 	is := is.New(t)
 	ahead, here := New("c1"), New("c2")
 	ahead.Record(after(3600), message.Reached{Node: "e1", Revision: 5})
-	here.Merge(after(2), ahead.Own(after(3602)))
+	here.Merge(after(2), ahead.LocalFollowers(after(3602)))
 	here.Record(after(1), message.Reached{Node: "e1", Revision: 6})
 	is.Equal(list(here), "e1@6(c2)")
 }
--- a/internal/role/confirmer.go
+++ b/internal/role/confirmer.go
@@ -246,7 +246,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.Forget(time.Now())
-	return r.table.Own(time.Now())
+	return r.table.LocalFollowers(time.Now())
 }
 
 // Others returns what every control VM but one heard.
