--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -66,12 +66,12 @@
 }
 
 // known gathers what a status is drawn from.
-func (a *api) known(c *echo.Context) (reached.Known, error) {
+func (a *api) known(c *echo.Context) (reached.Observed, error) {
 	view, err := a.read(c)
 	if err != nil {
-		return reached.Known{}, err
+		return reached.Observed{}, err
 	}
-	k := reached.Known{At: time.Now(), View: view}
+	k := reached.Observed{At: time.Now(), View: view}
 	if a.Reports != nil {
 		k.Reports = a.Reports()
 	}
--- a/internal/reducer/reached/explain.go
+++ b/internal/reducer/reached/explain.go
@@ -9,7 +9,7 @@
 
 // Explain says why a resource, or a member that no resource names, is not
 // reached yet. It reports false if there is neither.
-func (k Known) Explain(key oriolebend.ResourceKey) (oriolebend.Explanation, bool) {
+func (k Observed) Explain(key oriolebend.ResourceKey) (oriolebend.Explanation, bool) {
 	e := oriolebend.Explanation{Kind: key.Kind, Name: key.Name, Reached: true}
 	r, isDeclared := k.View.Resources[key]
 	_, member := k.View.Servers[key.Name]
@@ -50,7 +50,7 @@
 	e.Lines = append(e.Lines, fmt.Sprintf(format, args...))
 }
 
-func (k Known) explainFollowers(e *oriolebend.Explanation) {
+func (k Observed) explainFollowers(e *oriolebend.Explanation) {
 	count, rest := k.inForce(e.Revision)
 	e.Lines = append(e.Lines, fmt.Sprintf("followers: revision %d is %s", e.Revision,
 		forceText(count, len(k.Reports), rest)))
@@ -85,7 +85,7 @@
 	return text
 }
 
-func (k Known) explainPools(e *oriolebend.Explanation, servers []oriolebend.ServerStatus, uses func(*oriolebend.Pool) bool) {
+func (k Observed) explainPools(e *oriolebend.Explanation, servers []oriolebend.ServerStatus, uses func(*oriolebend.Pool) bool) {
 	found := false
 	for _, r := range k.View.List(oriolebend.KindPool) {
 		if uses(r.Spec.(*oriolebend.Pool)) {
--- a/internal/reducer/reached/status.go
+++ b/internal/reducer/reached/status.go
@@ -14,8 +14,8 @@
 // they report every 10 s at least.
 const SilentAfter = 30 * time.Second
 
-// Known is all that a status is drawn from.
-type Known struct {
+// Observed is all that a status is drawn from.
+type Observed struct {
 	At      time.Time
 	View    declared.View
 	Reports []Report
@@ -24,7 +24,7 @@
 }
 
 // Status compares what is declared with what is reached.
-func (k Known) Status() oriolebend.Status {
+func (k Observed) Status() oriolebend.Status {
 	status := oriolebend.Status{Revision: k.View.Revision, Total: len(k.Reports)}
 	status.InForce, status.Rest = k.inForce(k.View.Revision)
 	status.Text = forceText(status.InForce, status.Total, status.Rest)
@@ -37,7 +37,7 @@
 
 // inForce counts the followers that have a revision in force and are heard
 // of, and lists the others.
-func (k Known) inForce(revision uint64) (int, []oriolebend.NodeStatus) {
+func (k Observed) inForce(revision uint64) (int, []oriolebend.NodeStatus) {
 	count := 0
 	var rest []oriolebend.NodeStatus
 	for _, r := range k.Reports {
@@ -83,7 +83,7 @@
 }
 
 // Servers compares each member with what is declared for it, by name.
-func (k Known) Servers() []oriolebend.ServerStatus {
+func (k Observed) Servers() []oriolebend.ServerStatus {
 	pools := k.View.PoolServers()
 	members := k.View.Members()
 	list := make([]oriolebend.ServerStatus, 0, len(members))
@@ -93,7 +93,7 @@
 	return list
 }
 
-func (k Known) server(s oriolebend.Server, pool string) oriolebend.ServerStatus {
+func (k Observed) server(s oriolebend.Server, pool string) oriolebend.ServerStatus {
 	target := k.View.TargetIn(s, pool)
 	status := oriolebend.ServerStatus{Server: s, Pool: pool, Declared: target.State}
 	status.Detail = target.Missing(s)
--- a/internal/reducer/reached/table_test.go
+++ b/internal/reducer/reached/table_test.go
@@ -63,7 +63,7 @@
 
 func TestStatusText(t *testing.T) {
 	is := is.New(t)
-	k := Known{At: after(100), View: declared.View{Revision: 42}}
+	k := Observed{At: after(100), View: declared.View{Revision: 42}}
 	for i := range 320 {
 		r := Report{Node: fmt.Sprintf("entry-%03d", i), Revision: 42, At: after(99)}
 		switch i {
@@ -118,7 +118,7 @@
 			test.s1.Name, test.s2.Name = "s1", "s2"
 			r := oriolebend.Resource{Kind: oriolebend.KindPool, Name: "p", Revision: 3, Spec: pool}
 			view.Merge(5, []oriolebend.Server{test.s1, test.s2}, []oriolebend.Resource{r})
-			k := Known{At: start, View: view, Announcements: map[string]message.Announce{
+			k := Observed{At: start, View: view, Announcements: map[string]message.Announce{
 				"s1": {Progress: message.ProgressWaiting, Detail: "waits its turn"},
 			}}
 			e, found := k.Explain(r.Key())
