--- a/internal/reducer/control/command.go
+++ b/internal/reducer/control/command.go
@@ -21,9 +21,9 @@
 	PartRouting  PartName = "routing"
 )
 
-// Typed is a part of the state machine that takes commands of type C and
+// TypedPart is a part of the state machine that takes commands of type C and
 // answers with results of type R.
-type Typed[C, R any] interface {
+type TypedPart[C, R any] interface {
 	Apply(index uint64, command C) R
 	Snapshot() ([]byte, error)
 	Restore(snapshot []byte) error
@@ -67,7 +67,7 @@
 	restore  func([]byte) error
 }
 
-func newPart[C, R any](m Typed[C, R]) part {
+func newPart[C, R any](m TypedPart[C, R]) part {
 	return part{
 		apply:    func(index uint64, body []byte) Reply { return applyPart(m, index, body) },
 		snapshot: m.Snapshot,
@@ -75,7 +75,7 @@
 	}
 }
 
-func applyPart[C, R any](m Typed[C, R], index uint64, body []byte) Reply {
+func applyPart[C, R any](m TypedPart[C, R], index uint64, body []byte) Reply {
 	var command C
 	if err := cbor.Unmarshal(body, &command); err != nil {
 		return Reply{Malformed: err.Error()}
