--- a/internal/reducer/quota/fleet_test.go
+++ b/internal/reducer/quota/fleet_test.go
@@ -11,20 +11,21 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// fleet is control VMs that count for forwarders, and a model that sees all that they give.
+// fleet simulates control VMs that count for forwarders, and records every grant.
 type fleet struct {
 	random   *rand.Rand
 	config   Config
 	quota    oriolebend.Quota
 	now      time.Time
 	controls []*control
-	// leader leads by the agreement; all who are up know it.
-	leader int
-	given  []gift
+	// leader is the index of the control VM that the agreement has elected; every control VM
+	// that is up knows it.
+	leader  int
+	granted []grant
 }
 
-// gift is what was given at a time.
-type gift struct {
+// grant is one grant and its time.
+type grant struct {
 	at   time.Time
 	cost float64
 }
@@ -32,21 +33,21 @@
 // control is one control VM.
 type control struct {
 	state *State
-	// up is from when it answers, lease until when it believes that it leads; behind is
+	// up is when it begins to answer, lease until when it believes that it leads; behind is
 	// for how long it was suspended without having noticed.
 	up, lease time.Time
 	behind    time.Duration
 }
 
-// Figures of the agreement between control VMs: a leader believes in its lease for less
-// time than the others wait before they elect another.
+// Timing of the agreement between control VMs: a leader's lease expires before the others
+// elect another leader.
 const (
 	lease    = 450 * time.Millisecond
 	election = 600 * time.Millisecond
 )
 
-// newFleet draws a fleet. The figures are those of a large site, or harsher: nearly no
-// slack, or a burst of many seconds.
+// newFleet draws a random fleet. The parameters are those of a large site or more demanding:
+// nearly no slack, or a burst of many seconds.
 func newFleet(seed uint64) *fleet {
 	random := rand.New(rand.NewPCG(seed, 0))
 	f := &fleet{random: random, now: scriptStart}
@@ -61,14 +62,14 @@
 	return f
 }
 
-// restart starts a control VM from nothing.
+// restart restarts a control VM with an empty state.
 func (f *fleet) restart(c *control) {
 	*c = control{state: New(f.config), up: f.now.Add(time.Duration(f.random.Int64N(int64(time.Second))))}
-	f.tell(c)
+	f.update(c)
 }
 
-// tell has a control VM know what is declared and whether it leads.
-func (f *fleet) tell(c *control) {
+// update reports the declared quota and the leadership to a control VM.
+func (f *fleet) update(c *control) {
 	at := f.clock(c)
 	lead, leader := at.Before(c.lease), fmt.Sprint(f.leader)
 	if lead {
@@ -78,10 +79,11 @@
 	Reduce(c.state, Declared{At: at, Organisations: []oriolebend.Organisation{{Name: "a", Quota: f.quota}}})
 }
 
-// clock is the steady clock of a control VM, which stood still while it was suspended.
+// clock returns the steady clock of a control VM, which stops while the VM is suspended.
 func (f *fleet) clock(c *control) time.Time { return f.now.Add(-c.behind) }
 
-// step passes some time, in which something may happen to the control VMs.
+// step advances the time. A control VM may be killed or suspended, or the leader may change,
+// and forwarders request units.
 func (f *fleet) step() {
 	f.now = f.now.Add(time.Duration(1+f.random.IntN(40)) * time.Millisecond)
 	if c := f.controls[f.leader]; !f.now.Before(c.up) && f.random.IntN(200) > 0 {
@@ -90,14 +92,14 @@
 		f.elect()
 	}
 	if f.random.IntN(200) == 0 {
-		f.trouble(f.controls[f.random.IntN(len(f.controls))])
+		f.disrupt(f.controls[f.random.IntN(len(f.controls))])
 	}
 	for range f.random.IntN(12) {
-		f.ask()
+		f.request()
 	}
 }
 
-// elect has another control VM lead, once the lease of the last one is over.
+// elect makes another control VM the leader after the previous leader's lease has expired.
 func (f *fleet) elect() {
 	f.now = f.now.Add(election)
 	f.leader = f.random.IntN(len(f.controls))
@@ -107,39 +109,39 @@
 	}
 }
 
-// trouble happens to a control VM: it is killed, or suspended.
-func (f *fleet) trouble(c *control) {
+// disrupt kills or suspends a control VM.
+func (f *fleet) disrupt(c *control) {
 	if f.random.IntN(2) == 0 {
 		f.restart(c)
 		return
 	}
-	asleep := time.Duration(1+f.random.IntN(5)) * time.Second
-	c.behind += asleep
-	c.up = f.now.Add(asleep)
+	suspended := time.Duration(1+f.random.IntN(5)) * time.Second
+	c.behind += suspended
+	c.up = f.now.Add(suspended)
 	if c == f.controls[f.leader] {
 		f.elect()
 	}
 	f.now = c.up
-	Reduce(c.state, ClockJumped{At: f.clock(c)}) // it compares its clocks before it answers
+	Reduce(c.state, ClockJumped{At: f.clock(c)}) // a control VM compares its clocks before it answers
 }
 
-// ask asks as a forwarder that reaches some control VMs, the leader among them or not.
-// Callers ask for several times the quota.
-func (f *fleet) ask() {
+// request requests units as a forwarder that reaches some control VMs, with or without the
+// leader. Callers request several times the quota.
+func (f *fleet) request() {
 	cost := 200.0
 	if f.random.IntN(2) == 0 {
 		cost = 2000 + 7000*f.random.Float64()
 	}
-	tried := []int{f.leader, f.random.IntN(len(f.controls)), f.random.IntN(len(f.controls))}
-	for _, at := range tried[f.random.IntN(2):] {
+	queried := []int{f.leader, f.random.IntN(len(f.controls)), f.random.IntN(len(f.controls))}
+	for _, at := range queried[f.random.IntN(2):] {
 		c := f.controls[at]
 		if f.now.Before(c.up) {
 			continue
 		}
-		f.tell(c)
+		f.update(c)
 		a := Reduce(c.state, Requested{At: f.clock(c), Organisation: "a", Cost: cost, Call: f.random.Uint64N(50)})[0]
 		if a.Granted {
-			f.given = append(f.given, gift{f.now, cost})
+			f.granted = append(f.granted, grant{f.now, cost})
 		}
 		if a.Granted || a.Exhausted {
 			return
@@ -147,13 +149,13 @@
 	}
 }
 
-// worst is the most that was given within a window.
+// worst returns the largest amount that was granted within a window.
 func (f *fleet) worst(window time.Duration) float64 {
 	worst, sum, from := 0.0, 0.0, 0
-	for _, g := range f.given {
+	for _, g := range f.granted {
 		sum += g.cost
-		for g.at.Sub(f.given[from].at) > window {
-			sum -= f.given[from].cost
+		for g.at.Sub(f.granted[from].at) > window {
+			sum -= f.granted[from].cost
 			from++
 		}
 		worst = max(worst, sum)
@@ -161,10 +163,10 @@
 	return worst
 }
 
-// Symptom: an organisation is served beyond its quota. Sequence: it asks for several times
-// as much as it may, while control VMs are killed, suspended, and lead one after the other;
-// forwarders ask the leader, or another one that they believe to lead. Cause: what one
-// control VM gives and another does not know.
+// Guards against an organisation that is served beyond its quota. It requests several times
+// its quota while control VMs are killed and suspended and the leader changes; forwarders query
+// the leader, or another control VM that they believe to lead. One control VM does not know
+// what another one has granted.
 func TestQuotaHoldsOverTheFleet(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -176,17 +178,16 @@
 			bound := (q.PerSecond*w.Seconds()+q.Burst)*(1+f.config.Overshoot) + f.config.Slack
 			worst := f.worst(w)
 			if worst > bound {
-				t.Fatalf("%.0f within %s, allowed are %.0f", worst, w, bound)
+				t.Fatalf("%.0f units were granted within %s, the bound is %.0f", worst, w, bound)
 			}
-			is.New(t).True(len(f.given) > 100)
+			is.New(t).True(len(f.granted) > 100)
 		})
 	}
 }
 
-// Symptom: what a caller below its quota asks for is lost. Sequence: all control VMs are
-// killed and are back within a second; callers ask for half of the quota all the while.
-// Cause: buckets that begin empty, and reserves that are too small for the time until a
-// leader has counted.
+// Guards against refusals of callers below their quota after a restart. All control VMs are
+// killed and are up again within a second, while callers request half of the quota. Buckets
+// begin empty, and the reserves must last until the leader's buckets have filled.
 func TestCallersBelowTheirQuotaAreServed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
@@ -196,7 +197,7 @@
 		f.restart(c)
 	}
 	f.now = f.now.Add(time.Second)
-	asked, refused := 0, 0
+	requested, refused := 0, 0
 	for i := range 100 {
 		f.now = f.now.Add(100 * time.Millisecond)
 		c := f.controls[0]
@@ -205,13 +206,13 @@
 			c.up = f.now
 		}
 		c.lease = f.clock(c).Add(lease)
-		f.tell(c)
+		f.update(c)
 		a := Reduce(c.state, Requested{At: f.now, Organisation: "a", Cost: 2350, Call: uint64(i)})[0]
-		asked++
+		requested++
 		if !a.Granted {
 			refused++
 		}
 	}
-	is.Equal(asked, 100)
+	is.Equal(requested, 100)
 	is.Equal(refused, 0)
 }
--- a/internal/reducer/quota/promise.go
+++ b/internal/reducer/quota/promise.go
@@ -2,54 +2,55 @@
 
 import "time"
 
-// promises are what was told to callers that were refused: when each can be served.
+// promises holds the retry times that were sent to refused callers.
 type promises struct {
 	byCall map[uint64]promise
-	// owed is what they cost together, last when the latest of them is due.
+	// owed is the sum of the promises' costs, and last the time at which the latest one is
+	// due.
 	owed float64
 	last time.Time
 }
 
-// promise is that a call which costs so much is served when it comes back after due.
+// promise states that a call of this cost is served if it is retried after due.
 type promise struct {
 	cost float64
 	due  time.Time
 }
 
-// leftInTime is the share of the burst that callers who come back leave to those who can
-// still be in time.
+// lateReserve is the share of the burst that late callers leave to callers who can still
+// meet their target.
 //
-// While an organisation asks for more than its quota some of its requests are refused,
-// whichever these are. Given to callers who come back, what there is serves as many, and
-// all of them late: for as long as it asks for too much hardly anything of it is in time.
-const leftInTime = 0.3
+// While an organisation requests more than its quota, some of its requests are refused in
+// any case. If the available units went to late callers, the same number of requests would
+// be served, but all of them late: hardly any request would meet its target for as long as
+// the organisation requests too much.
+const lateReserve = 0.3
 
 const (
-	// promiseShare is the share of a quota that is promised to callers who come back; the
-	// rest is for those who come for the first time.
+	// promiseShare is the share of a quota that is promised to callers who retry; the rest
+	// is for callers who request for the first time.
 	promiseShare = 0.25
-	// promiseAhead is how far ahead promises are made. Callers wait for hardly longer.
+	// promiseAhead is how far in the future a promise may be due. Callers hardly wait longer.
 	promiseAhead = 4 * time.Second
-	// promiseHolds is for how long after it is due a promise is kept.
-	promiseHolds = 500 * time.Millisecond
-	// promiseLeast is the shortest time that a refused caller is told.
-	promiseLeast = 20 * time.Millisecond
-	// promiseMost bounds the promises to one organisation.
-	promiseMost = 1024
+	// promiseLifetime is for how long a promise is kept after it is due.
+	promiseLifetime = 500 * time.Millisecond
+	// minRetryAfter is the shortest time that a refused caller has to wait.
+	minRetryAfter = 20 * time.Millisecond
+	// maxPromises bounds the promises to one organisation.
+	maxPromises = 1024
 )
 
-// take takes a cost from the bucket: what was promised for a caller that comes back, what
-// is beyond all promises for others.
+// take takes a cost from the bucket. A caller whose promise is due may use the promised
+// units; other callers may use only the units beyond all promises.
 func (a *account) take(e Requested) bool {
 	a.promises.expire(e.At)
 	p, promised := a.promises.byCall[e.Call]
 	kept := 0.0
 	if !promised || e.At.Before(p.due) {
-		// What is still to become free until the last promise is due does not have to be
-		// there now.
-		toCome := promiseShare * a.bucket.PerSecond * a.promises.last.Sub(e.At).Seconds()
-		kept = max(0, a.promises.owed-p.cost-max(0, toCome))
-		kept += a.left(e)
+		// Units that are added until the last promise is due need not be in the bucket now.
+		refill := promiseShare * a.bucket.PerSecond * a.promises.last.Sub(e.At).Seconds()
+		kept = max(0, a.promises.owed-p.cost-max(0, refill))
+		kept += a.keptForOthers(e)
 	}
 	if !a.bucket.Take(e.At, e.Cost, kept) {
 		return false
@@ -60,30 +61,30 @@
 	return true
 }
 
-// left is what a caller leaves to others in any case.
-func (a *account) left(e Requested) float64 {
+// keptForOthers returns the units that a caller must leave to others in any case.
+func (a *account) keptForOthers(e Requested) float64 {
 	if !e.Late {
 		return 0
 	}
-	return leftInTime * a.bucket.Burst
+	return lateReserve * a.bucket.Burst
 }
 
-// promise is when a caller that is refused can be served. Callers that were all told the
-// time at which the first of them can be served would meet, and all but one be refused
-// again.
+// promise returns when a refused caller can be served, and records that as a promise. Each
+// caller gets a time of its own: if all were sent the time at which the first of them can be
+// served, they would retry at the same moment and all but one would be refused again.
 func (a *account) promise(e Requested) time.Duration {
 	if p, promised := a.promises.byCall[e.Call]; promised {
-		return max(promiseLeast, p.due.Sub(e.At), a.bucket.Wait(e.At, e.Cost))
+		return max(minRetryAfter, p.due.Sub(e.At), a.bucket.Wait(e.At, e.Cost))
 	}
-	due := e.At.Add(a.bucket.Wait(e.At, e.Cost+a.left(e)))
+	due := e.At.Add(a.bucket.Wait(e.At, e.Cost+a.keptForOthers(e)))
 	if len(a.promises.byCall) > 0 {
 		next := a.promises.last.Add(time.Duration(e.Cost / (promiseShare * a.bucket.PerSecond) * float64(time.Second)))
 		if next.After(due) {
 			due = next
 		}
 	}
-	after := max(promiseLeast, due.Sub(e.At))
-	if after <= promiseAhead && len(a.promises.byCall) < promiseMost {
+	after := max(minRetryAfter, due.Sub(e.At))
+	if after <= promiseAhead && len(a.promises.byCall) < maxPromises {
 		a.promises.add(e.Call, promise{cost: e.Cost, due: due})
 	}
 	return after
@@ -108,7 +109,7 @@
 
 func (p *promises) expire(at time.Time) {
 	for call, made := range p.byCall {
-		if at.Sub(made.due) > promiseHolds {
+		if at.Sub(made.due) > promiseLifetime {
 			p.drop(call)
 		}
 	}
--- a/internal/reducer/quota/script_test.go
+++ b/internal/reducer/quota/script_test.go
@@ -17,13 +17,13 @@
 
 // TestScripts runs the files of testdata/scripts. Each line of a block is an event:
 //
-//	excess WINDOW OVERSHOOT SLACK      begins anew, with these bounds
-//	quota ORGANISATION PERSECOND BURST [ORGANISATION …]   declares exactly these
+//	excess WINDOW OVERSHOOT SLACK      starts with a new state that has these bounds
+//	quota ORGANISATION PERSECOND BURST [ORGANISATION …]   replaces the declared organisations
 //	leads NAME|- [MEMBERS]             "self" is this control VM
-//	ask ORGANISATION COST [CALL] [xTIMES] [late]   prints the answers
+//	request ORGANISATION COST [CALL] [xTIMES] [late]   prints the answers
 //	return ORGANISATION COST
-//	doubt                              the VM was suspended
-//	pass FOR
+//	clock-jumped                       the VM was suspended
+//	wait DURATION
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		s := &script{is: is.New(t), now: scriptStart, state: New(Config{})}
@@ -61,19 +61,19 @@
 			members = int(s.number(words[2]))
 		}
 		Reduce(s.state, LeadershipObserved{At: s.now, Lead: words[1] == "self", Leader: strings.Trim(words[1], "-"), Members: members})
-	case "ask":
-		s.ask(words, out)
+	case "request":
+		s.request(words, out)
 	case "return":
 		Reduce(s.state, Returned{At: s.now, Organisation: words[1], Cost: s.number(words[2])})
-	case "doubt":
+	case "clock-jumped":
 		Reduce(s.state, ClockJumped{At: s.now})
-	case "pass":
+	case "wait":
 		s.now = s.now.Add(s.duration(words[1]))
 	}
 }
 
-// ask asks once, or several times as several calls.
-func (s *script) ask(words []string, out *strings.Builder) {
+// request sends one request, or several requests with consecutive call numbers.
+func (s *script) request(words []string, out *strings.Builder) {
 	call, times, late := uint64(0), 1, false
 	for _, word := range words[3:] {
 		if word == "late" {
@@ -92,9 +92,9 @@
 		case a.Granted:
 			fmt.Fprintln(out, "granted")
 		case a.Exhausted:
-			fmt.Fprintln(out, "used up, back after", a.RetryAfter.Round(time.Millisecond))
+			fmt.Fprintln(out, "quota exhausted, retry after", a.RetryAfter.Round(time.Millisecond))
 		default:
-			fmt.Fprintln(out, "not known here")
+			fmt.Fprintln(out, "not counted here")
 		}
 		call++
 	}
--- a/internal/reducer/quota/state.go
+++ b/internal/reducer/quota/state.go
@@ -7,53 +7,54 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// State is what a control VM has counted. Only Reduce changes it.
+// State is the quota accounting of one control VM. Only Reduce changes it.
 type State struct {
 	config  Config
 	lead    bool
 	members int
-	// leader is the last one known, empty if none ever was, and leaderSince from when;
-	// began is when the process began to look.
+	// leader is the last known leader, empty if none was ever known, and leaderSince when
+	// it became known. began is when this process first observed the leadership.
 	leader             string
 	leaderSince, began time.Time
 	accounts           map[string]*account
 }
 
-// account is what was counted of one organisation.
+// account is the accounting of one organisation.
 type account struct {
 	quota oriolebend.Quota
-	// bucket is the organisation's, since this control VM leads; since is from when.
+	// bucket is the organisation's bucket while this control VM leads; since is when this
+	// control VM began to count it.
 	bucket limit.Bucket
 	since  time.Time
-	// reserve is this control VM's own, whoever leads.
+	// reserve is this control VM's own reserve, whether it leads or not.
 	reserve limit.Bucket
-	// promises are the callers that were told when to come back.
+	// promises are the retry times sent to refused callers.
 	promises promises
 }
 
-// New returns a state that knows no organisation.
+// New returns a state without organisations.
 func New(c Config) *State {
 	return &State{config: c.withDefaults(), members: 1, accounts: map[string]*account{}}
 }
 
-// Reduce moves the state on. Asked has exactly one effect, other events have none.
+// Reduce applies one event. Requested has exactly one effect, other events have none.
 func Reduce(s *State, event Event) []Answer {
 	switch e := event.(type) {
 	case Declared:
-		s.declared(e)
+		s.applyDeclared(e)
 	case LeadershipObserved:
-		s.leads(e)
+		s.applyLeadership(e)
 	case Requested:
-		return []Answer{s.asked(e)}
+		return []Answer{s.answer(e)}
 	case Returned:
-		s.returned(e)
+		s.applyReturned(e)
 	case ClockJumped:
-		s.begin(e.At, 0)
+		s.resetBuckets(e.At, 0)
 	}
 	return nil
 }
 
-func (s *State) declared(e Declared) {
+func (s *State) applyDeclared(e Declared) {
 	accounts := map[string]*account{}
 	for _, o := range e.Organisations {
 		if !o.Quota.Bounded() {
@@ -63,28 +64,28 @@
 		if a == nil {
 			a = &account{since: e.At}
 		}
-		s.set(a, o.Quota, e.At)
+		s.setQuota(a, o.Quota, e.At)
 		accounts[o.Name] = a
 	}
 	s.accounts = accounts
 }
 
-// set brings a quota into force. What was saved up under an earlier one is kept, up to
-// what can be saved up now.
-func (s *State) set(a *account, q oriolebend.Quota, at time.Time) {
+// setQuota applies a quota to an account. The units saved up under the previous quota are
+// kept, up to the new burst.
+func (s *State) setQuota(a *account, q oriolebend.Quota, at time.Time) {
 	a.bucket.Level(at)
 	a.bucket.PerSecond, a.bucket.Burst = q.PerSecond, q.Burst
 	a.bucket.Level(at)
 	fresh := a.quota == oriolebend.Quota{}
 	a.quota = q
-	s.share(a, at)
+	s.resizeReserve(a, at)
 	if fresh {
 		a.reserve.Return(reserveStart * a.reserve.Burst)
 	}
 }
 
-// share sets this control VM's part of the reserves.
-func (s *State) share(a *account, at time.Time) {
+// resizeReserve sets the size of this control VM's part of the reserves.
+func (s *State) resizeReserve(a *account, at time.Time) {
 	a.reserve.Level(at)
 	part := s.config.excess(a.quota.PerSecond, a.quota.Burst) / float64(s.members)
 	a.reserve.Burst = reserveBurst * part
@@ -92,18 +93,18 @@
 	a.reserve.Level(at)
 }
 
-func (s *State) leads(e LeadershipObserved) {
+func (s *State) applyLeadership(e LeadershipObserved) {
 	if members := max(1, e.Members); members != s.members {
 		s.members = members
 		for _, a := range s.accounts {
-			s.share(a, e.At)
+			s.resizeReserve(a, e.At)
 		}
 	}
 	if s.began.IsZero() {
 		s.began = e.At
 	}
 	if e.Lead && !s.lead {
-		s.begin(e.At, s.start(e.At))
+		s.resetBuckets(e.At, s.startShare(e.At))
 		s.leaderSince = e.At
 	}
 	if e.Leader != "" && e.Leader != s.leader {
@@ -112,27 +113,28 @@
 	s.lead = e.Lead
 }
 
-// start is the share of the excess that buckets begin with once this control VM leads.
-// Leaders before it began with as much, as often as the leader changed within a window: one
-// that has seen such a change a moment ago begins with nothing.
-func (s *State) start(at time.Time) float64 {
+// startShare returns the share of the excess that the buckets begin with when this control VM
+// becomes the leader. Each earlier leader began with such a share too, so that every change of
+// the leader within a window adds one: a control VM that has seen a change within the last
+// window begins with nothing.
+func (s *State) startShare(at time.Time) float64 {
 	since := s.leaderSince
 	if s.leader == "" {
 		since = s.began
 	}
 	switch {
 	case at.Sub(since) >= s.config.Window:
-		return calmStart
+		return stableStart
 	case s.leader == "":
 		return restartStart
 	}
 	return 0
 }
 
-// begin has the buckets filled anew, from a share of the excess. What another leader has
-// given a moment ago is not known here: with a full bucket each change of the leader would
-// give an organisation its burst once more.
-func (s *State) begin(at time.Time, share float64) {
+// resetBuckets starts all buckets again with a share of the excess. This control VM does not
+// know what another leader has just granted: with full buckets, each change of the leader
+// would grant every organisation its burst once more.
+func (s *State) resetBuckets(at time.Time, share float64) {
 	for _, a := range s.accounts {
 		a.bucket = limit.Bucket{PerSecond: a.quota.PerSecond, Burst: a.quota.Burst}
 		a.bucket.Level(at)
@@ -142,7 +144,7 @@
 	}
 }
 
-func (s *State) asked(e Requested) Answer {
+func (s *State) answer(e Requested) Answer {
 	a := s.accounts[e.Organisation]
 	if a == nil {
 		return Answer{}
@@ -155,7 +157,7 @@
 	switch {
 	case a.take(e):
 		answer.Granted = true
-	case !a.settled(e.At) && a.takeReserve(e):
+	case !a.filled(e.At) && a.takeReserve(e):
 		answer.Granted = true
 	default:
 		answer.Exhausted = true
@@ -164,22 +166,22 @@
 	return answer
 }
 
-// takeReserve takes a cost from the reserve. Unlike the bucket it never gives more than it
-// holds: there is one of them in each control VM.
+// takeReserve takes a cost from the reserve. Unlike the bucket, the reserve never grants more
+// than it holds, because every control VM has one.
 func (a *account) takeReserve(e Requested) bool {
 	return e.Cost <= a.reserve.Level(e.At) && a.reserve.Take(e.At, e.Cost, 0)
 }
 
-// settled reports whether the bucket has had the time to hold what the organisation may
-// have saved up.
-func (a *account) settled(at time.Time) bool {
+// filled reports whether the bucket has been counted for long enough to hold all that the
+// organisation may have saved up.
+func (a *account) filled(at time.Time) bool {
 	fill := a.bucket.Burst / a.bucket.PerSecond * float64(time.Second)
-	return at.Sub(a.since) >= time.Duration(settled*fill)
+	return at.Sub(a.since) >= time.Duration(fillTimes*fill)
 }
 
-// returned gives back to the bucket. What came from the reserve is given back there only
-// by time: nobody knows which of the two it was.
-func (s *State) returned(e Returned) {
+// applyReturned gives units back to the bucket, also if they came from the reserve: it is not
+// recorded which of the two granted them. The reserve is refilled only over time.
+func (s *State) applyReturned(e Returned) {
 	if a := s.accounts[e.Organisation]; a != nil && s.lead && e.Cost > 0 {
 		a.bucket.Level(e.At)
 		a.bucket.Return(e.Cost)
