--- a/internal/reducer/quarantine/answered.go
+++ b/internal/reducer/quarantine/answered.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// answeredFor is how long after an answer to a request the end of a server under it
-	// is put down to something else. A request that many callers send, such as a list
-	// that all of them look at, is under way at each server that ends for whatever
-	// cause; it is answered many times a minute. One that has come to crash servers,
-	// as their program was replaced, is held that much later.
+	// answeredFor is for how long after an answer to a request a server's crash is not
+	// attributed to that request. A request that many callers send, such as a list that all
+	// of them read, is in progress at every server that crashes for any reason, and is
+	// answered many times a minute. A request that begins to crash servers because their
+	// program was replaced is quarantined that much later.
 	answeredFor = time.Minute
-	// answeredSlots bounds the memory to 64 KB: the answers of a minute at 60 requests a
-	// second, with room to spare.
+	// answeredSlots bounds the memory to 64 KB: it is enough for the answers of one minute
+	// at 60 requests a second, with some reserve.
 	answeredSlots = 4096
 )
 
-// answers remembers what was answered of late, each in the one slot that its hash names.
-// Two that share a slot forget each other: a report is then refuted a little later, by the
-// next answer.
+// answers records the requests that were answered recently, each in the slot that its hash
+// selects. Two requests with the same slot overwrite each other; a report is then refuted a
+// little later, by the next answer.
 type answers []answered
 
 type answered struct {
@@ -26,14 +26,14 @@
 
 func newAnswers() answers { return make(answers, answeredSlots) }
 
-func (a answers) note(at time.Time, fingerprint Fingerprint) {
+func (a answers) record(at time.Time, fingerprint Fingerprint) {
 	if len(a) > 0 {
 		a[uint64(fingerprint)%uint64(len(a))] = answered{fingerprint: fingerprint, at: at.Unix()}
 	}
 }
 
-// recently reports whether a request was answered a moment ago.
-func (a answers) recently(at time.Time, fingerprint Fingerprint) bool {
+// recent reports whether a request was answered within answeredFor.
+func (a answers) recent(at time.Time, fingerprint Fingerprint) bool {
 	if len(a) == 0 {
 		return false
 	}
--- a/internal/reducer/quarantine/event.go
+++ b/internal/reducer/quarantine/event.go
@@ -9,32 +9,32 @@
 // Event changes a State.
 type Event interface{ isQuarantineEvent() }
 
-// Crashed tells that a server has ended while it began to work on a request.
+// Crashed reports that a server's process exited while it began to work on a request.
 type Crashed struct {
 	At          time.Time
 	Fingerprint Fingerprint
 	Server      message.ServerStart
-	// Opened is when the connection to the server was opened, zero if that is not known: the
-	// server ran then.
+	// Opened is when the connection to the server was opened, zero if that is not known. The
+	// server was running at that time.
 	Opened time.Time
 }
 
-// Answered tells that a server has answered a request to its end.
+// Answered reports that a server has answered a request completely.
 type Answered struct {
 	At          time.Time
 	Fingerprint Fingerprint
 }
 
-// ReportsReceived tells what another process knows.
+// ReportsReceived carries the crash reports of another process.
 type ReportsReceived struct {
 	At      time.Time
 	Reports []message.CrashReport
-	// Forward is set if what is new here is to be told on: who told it has not told
-	// everybody.
+	// Forward is set if reports that are new to this process must be sent on, because their
+	// sender has not sent them to every process.
 	Forward bool
 }
 
-// Ticked passes time.
+// Ticked reports the current time.
 type Ticked struct{ At time.Time }
 
 func (Crashed) isQuarantineEvent() {}
@@ -45,21 +45,22 @@
 
 func (Ticked) isQuarantineEvent() {}
 
-// Effect is what the caller of Reduce has to do.
+// Effect is an action that the caller of Reduce must carry out.
 type Effect interface{ isQuarantineEffect() }
 
-// SendReports asks to tell other processes.
+// SendReports requests that reports be sent to other processes.
 type SendReports struct{ Reports []message.CrashReport }
 
-// Quarantined says that a request is not sent to servers any more.
+// Quarantined states that a request must not be sent to servers for some time.
 type Quarantined struct {
 	Fingerprint Fingerprint
-	// Servers are the instances that ended under it.
+	// Servers are the instances that crashed while they worked on the request.
 	Servers []string
 	For     time.Duration
 }
 
-// Released says that a request is sent to servers again, as one has answered it.
+// Released states that a request may be sent to servers again, because a server has answered
+// it.
 type Released struct{ Fingerprint Fingerprint }
 
 func (SendReports) isQuarantineEffect() {}
--- a/internal/reducer/quarantine/request.go
+++ b/internal/reducer/quarantine/request.go
@@ -9,123 +9,127 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// life is one life of a server, from the start of its process to its end. Control VMs tell of
-// each start; one that nobody has told of yet is a further life of the start before.
-type life struct {
+// run is one run of a server, from the start of its process to its exit. Control VMs report
+// each incarnation; a run whose incarnation is not known yet counts as a further run of the
+// previous incarnation.
+type run struct {
 	message.ServerStart
 	number int
 }
 
-func compareLives(a, b life) int {
+func compareRuns(a, b run) int {
 	return cmp.Or(cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.number, b.number))
 }
 
-// lifeOf is the life of a server that a connection was opened to: a later one than those
-// that had ended before.
+// runAt returns the run of a server to which a connection was opened at a time. It comes after
+// all runs that had crashed before that time.
 //
-// While no control VM tells of starts, a server that a request has ended and that runs again
-// is known as the start before. Counted as that, its second end adds nothing, and the request
-// ends servers that take turns until a third one is among them.
-func (r *request) lifeOf(start message.ServerStart, opened time.Time) life {
-	lives := life{ServerStart: start}
-	for l, p := range r.reports {
-		if l.ServerStart == start && p.at.Before(opened) {
-			lives.number = max(lives.number, l.number+1)
+// While no control VM reports incarnations, a server that has crashed under a request and runs
+// again is still known by its previous incarnation. If its second crash counted as the same
+// run, it would add nothing, and the request would crash two servers in turns until a third
+// one is among them.
+func (r *request) runAt(start message.ServerStart, opened time.Time) run {
+	current := run{ServerStart: start}
+	for other, p := range r.reports {
+		if other.ServerStart == start && p.at.Before(opened) {
+			current.number = max(current.number, other.number+1)
 		}
 	}
-	return lives
+	return current
 }
 
-// sameEnd is by how much reports of one end differ at most that name it differently.
-const sameEnd = 250 * time.Millisecond
+// sameCrash is the largest time difference between two reports of one crash that name
+// different incarnations.
+const sameCrash = 250 * time.Millisecond
 
-// toldOtherwise reports whether the end of a further life is also known as that of another
-// start: who reported it had not been told of that start yet.
-func (r *request) toldOtherwise(l life) bool {
-	if l.number == 0 {
+// duplicate reports whether the crash of a further run is also reported for another
+// incarnation: its reporter had not been notified of that incarnation yet.
+func (r *request) duplicate(crashed run) bool {
+	if crashed.number == 0 {
 		return false
 	}
 	for other, p := range r.reports {
-		if other.Instance == l.Instance && other.Incarnation != l.Incarnation && !p.refuted &&
-			p.at.Sub(r.reports[l].at).Abs() <= sameEnd {
+		if other.Instance == crashed.Instance && other.Incarnation != crashed.Incarnation && !p.refuted &&
+			p.at.Sub(r.reports[crashed].at).Abs() <= sameCrash {
 			return true
 		}
 	}
 	return false
 }
 
-// count is how many lives of servers ended under the request, as far as that is not refuted.
+// count returns how many runs of servers crashed under the request. Refuted reports don't
+// count.
 func (r *request) count() int {
 	count := 0
-	for l, p := range r.reports {
-		if !p.refuted && !r.toldOtherwise(l) {
+	for crashed, p := range r.reports {
+		if !p.refuted && !r.duplicate(crashed) {
 			count++
 		}
 	}
 	return count
 }
 
-// servers lists the instances that ended under the request.
+// servers lists the instances that crashed under the request.
 func (r *request) servers() []string {
 	var list []string
-	for l, p := range r.reports {
-		if !p.refuted && !r.toldOtherwise(l) {
-			list = append(list, l.Instance)
+	for crashed, p := range r.reports {
+		if !p.refuted && !r.duplicate(crashed) {
+			list = append(list, crashed.Instance)
 		}
 	}
 	slices.Sort(list)
 	return list
 }
 
-// add notes the end of a life, in place of the oldest one if there are too many.
-func (r *request) add(at time.Time, ended life, refuted bool) {
-	if len(r.reports) >= mostReports {
+// add records the crash of a run. If there are too many reports, it replaces the oldest one.
+func (r *request) add(at time.Time, crashed run, refuted bool) {
+	if len(r.reports) >= maxReports {
 		delete(r.reports, r.oldest())
 	}
-	r.reports[ended] = &report{at: at, refuted: refuted}
-	r.date()
+	r.reports[crashed] = &report{at: at, refuted: refuted}
+	r.updateLast()
 }
 
-func (r *request) oldest() life {
-	return slices.MinFunc(slices.Collect(maps.Keys(r.reports)), func(a, b life) int {
+func (r *request) oldest() run {
+	return slices.MinFunc(slices.Collect(maps.Keys(r.reports)), func(a, b run) int {
 		if c := r.reports[a].at.Compare(r.reports[b].at); c != 0 {
 			return c
 		}
-		return compareLives(a, b)
+		return compareRuns(a, b)
 	})
 }
 
-// refute marks all ends as not caused by the request.
+// refute marks all crashes as not caused by the request.
 func (r *request) refute() {
 	for _, p := range r.reports {
 		p.refuted = true
 	}
-	r.date()
+	r.updateLast()
 }
 
-// merge takes in a report that another process told; true means that it was not known.
+// merge applies a report from another process, and reports whether it was new.
 func (r *request) merge(at time.Time, m message.CrashReport) bool {
-	told := life{message.ServerStart{Instance: m.Instance, Incarnation: m.Incarnation}, m.Life}
-	known := r.reports[told]
+	received := run{message.ServerStart{Instance: m.Instance, Incarnation: m.Incarnation}, m.Life}
+	known := r.reports[received]
 	switch {
 	case known == nil:
-		ended := at.Add(-max(0, m.Age))
-		if len(r.reports) >= mostReports && !ended.After(r.reports[r.oldest()].at) {
-			return false // older than all that there is room for
+		crashedAt := at.Add(-max(0, m.Age))
+		if len(r.reports) >= maxReports && !crashedAt.After(r.reports[r.oldest()].at) {
+			return false // older than every report that is kept
 		}
-		r.add(ended, told, m.Refuted)
+		r.add(crashedAt, received, m.Refuted)
 		return true
 	case m.Refuted && !known.refuted:
 		known.refuted = true
-		r.date()
+		r.updateLast()
 		return true
 	}
 	return false
 }
 
-// date finds when a server ended under the request last: of those that are not refuted,
-// if there are any.
-func (r *request) date() {
+// updateLast sets the time of the last crash under the request: of the reports that are not
+// refuted, or of all reports if all are refuted.
+func (r *request) updateLast() {
 	var last, refuted time.Time
 	for _, p := range r.reports {
 		switch {
--- a/internal/reducer/quarantine/script_test.go
+++ b/internal/reducer/quarantine/script_test.go
@@ -13,10 +13,10 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// scriptStart is when scripts begin.
+// scriptStart is the time at which scripts begin.
 var scriptStart = time.Date(2131, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// script is processes that tell each other.
+// script simulates several processes that exchange crash reports.
 type script struct {
 	now          time.Time
 	processes    map[string]*State
@@ -25,15 +25,15 @@
 
 // TestScripts runs the files of testdata/scripts. Each line of a block "run" is an event:
 //
-//	forwarder NAME | control NAME	a process that knows nothing
-//	crash NAME REQUEST INSTANCE[@N] [AGO]	a server ended while it began to work on a request,
-//		on a connection that was opened so long ago
-//	answer NAME REQUEST	a server answered it
-//	tell NAME REPORTER	a process hears all that another one tells
-//	pass FOR	time passes
-//	ask NAME REQUEST	prints whether the request is held, and for how long
+//	forwarder NAME | control NAME	starts a process without reports
+//	crash NAME REQUEST INSTANCE[@N] [AGE]	a server crashed while it began to work on a request;
+//		the connection to it was opened AGE ago
+//	answer NAME REQUEST	a server answered the request
+//	receive NAME SENDER	a process receives all reports of another process
+//	wait DURATION
+//	status NAME REQUEST	prints whether the request is quarantined, and for how long
 //
-// The effects are printed behind the name of the process.
+// The effects are printed after the name of the process.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		s := &script{now: scriptStart, processes: map[string]*State{}}
@@ -54,7 +54,7 @@
 		s.processes[words[1]] = New(Config{TrackAnswers: true})
 	case "control":
 		s.processes[words[1]] = New(Config{MinReports: Limit})
-	case "pass":
+	case "wait":
 		length, err := time.ParseDuration(words[1])
 		is.New(t).NoErr(err)
 		s.now = s.now.Add(length)
@@ -73,21 +73,21 @@
 		s.show(words[1], out, Reduce(s.processes[words[1]], crashed))
 	case "answer":
 		s.show(words[1], out, Reduce(s.processes[words[1]], Answered{At: s.now, Fingerprint: s.fingerprint(words[2])}))
-	case "tell":
+	case "receive":
 		reports := s.processes[words[2]].Reports(s.now)
 		s.show(words[1], out, Reduce(s.processes[words[1]], ReportsReceived{At: s.now, Reports: reports, Forward: true}))
-	case "ask":
-		left, held := s.processes[words[1]].Quarantined(s.now, s.fingerprint(words[2]))
-		if !held {
+	case "status":
+		left, quarantined := s.processes[words[1]].Quarantined(s.now, s.fingerprint(words[2]))
+		if !quarantined {
 			left = 0
 		}
-		fmt.Fprintf(out, "%s: %s held %v %s\n", words[1], words[2], held, left)
+		fmt.Fprintf(out, "%s: %s quarantined %v %s\n", words[1], words[2], quarantined, left)
 	default:
 		t.Fatalf("unknown event %q", words[0])
 	}
 }
 
-// fingerprint is the number of a request's name, counted from 1.
+// fingerprint returns a number for a request's name, counted from 1.
 func (s *script) fingerprint(name string) Fingerprint {
 	if !slices.Contains(s.fingerprints, name) {
 		s.fingerprints = append(s.fingerprints, name)
@@ -99,9 +99,9 @@
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case SendReports:
-			fmt.Fprintf(out, "%s: tell %s\n", process, s.text(e.Reports))
+			fmt.Fprintf(out, "%s: send %s\n", process, s.text(e.Reports))
 		case Quarantined:
-			fmt.Fprintf(out, "%s: hold %s for %s, ended: %s\n", process, s.fingerprints[e.Fingerprint-1], e.For, strings.Join(e.Servers, " "))
+			fmt.Fprintf(out, "%s: quarantine %s for %s, crashed: %s\n", process, s.fingerprints[e.Fingerprint-1], e.For, strings.Join(e.Servers, " "))
 		case Released:
 			fmt.Fprintf(out, "%s: release %s\n", process, s.fingerprints[e.Fingerprint-1])
 		}
@@ -120,30 +120,29 @@
 	return strings.Join(words, " ")
 }
 
-// Symptom: a process that gives out grows until it is ended for its memory. Sequence: a
-// failure domain is lost, and ten thousand requests are reported. Cause: a table without a
-// bound. Those that several servers ended under are kept before others.
+// Guards against unbounded memory after a failure domain is lost and thousands of requests are
+// reported. Requests under which several servers crashed are kept in preference to others.
 func TestReportsAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := New(Config{TrackAnswers: true})
 	for i := range 2 * Limit {
 		Reduce(s, Crashed{At: scriptStart, Fingerprint: 1, Server: message.ServerStart{Instance: fmt.Sprint(i)}})
 	}
-	for i := range 4 * mostRequests {
+	for i := range 4 * maxRequests {
 		Reduce(s, Crashed{At: scriptStart.Add(time.Duration(i)), Fingerprint: Fingerprint(2 + i), Server: message.ServerStart{Instance: "a"}})
 	}
-	reported, held := s.Reported(scriptStart)
-	is.True(reported <= mostRequests)
-	is.True(reported >= mostRequests/2)
-	is.Equal(held, 1)
-	for i := range 4 * mostReports {
+	reported, quarantined := s.Reported(scriptStart)
+	is.True(reported <= maxRequests)
+	is.True(reported >= maxRequests/2)
+	is.Equal(quarantined, 1)
+	for i := range 4 * maxReports {
 		Reduce(s, Crashed{At: scriptStart, Fingerprint: 1, Server: message.ServerStart{Instance: "b", Incarnation: uint64(i)}})
 	}
-	is.Equal(len(s.requests[1].reports), mostReports)
+	is.Equal(len(s.requests[1].reports), maxReports)
 }
 
-// Processes that hear the same reports know the same, in whatever order and however often
-// they hear them.
+// Processes that receive the same reports have the same state, whatever the order and however
+// often they receive them.
 func TestOrderOfReportsDoesNotMatter(t *testing.T) {
 	is := is.New(t)
 	var reports []message.CrashReport
@@ -162,7 +161,7 @@
 			want = s.Reports(scriptStart)
 		}
 		is.Equal(s.Reports(scriptStart), want)
-		_, held := s.Quarantined(scriptStart, 1)
-		is.True(held)
+		_, quarantined := s.Quarantined(scriptStart, 1)
+		is.True(quarantined)
 	}
 }
--- a/internal/reducer/quarantine/state.go
+++ b/internal/reducer/quarantine/state.go
@@ -1,15 +1,16 @@
-// Package quarantine is the reducer that decides which requests are not sent to servers
-// any more, because server after server ended under them. It is pure: time comes in
-// events.
+// Package quarantine is the reducer that decides which requests are no longer sent to
+// servers, because several servers crashed while they worked on them. It is pure: time comes
+// in events.
 //
-// A request may crash each server that begins to run it. To the forwarder it is one whose
-// server was lost; its caller tries again, with another id and at another forwarder, and
-// ends the next server together with all the work there. One notices it by servers that
-// end one by one on a calm day, each with the same fingerprint among what it had just begun.
+// A request may crash each server that begins to run it. To the forwarder, the server was
+// lost; the caller retries with another id and at another forwarder, and crashes the next
+// server together with all requests in progress there. The symptom is that servers crash one
+// after the other without any other cause, each with the same fingerprint among the requests
+// that it had just begun.
 //
-// What is known is a set of reports, one for each request and start of a server. Sets are
-// joined by union, and a report that was refuted stays refuted, so that processes may tell
-// each other in any order and any number of times.
+// The state is a set of reports, one for each request and run of a server. Sets are merged by
+// union, and a refuted report stays refuted, so that processes may exchange reports in any
+// order and any number of times.
 package quarantine
 
 import (
@@ -22,68 +23,71 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// Limit is how many servers may end under a request before it is held. Two can happen to
-// a request by chance, when many servers end at once: it is sent on to one that ends as
-// well. One that is held by mistake has failed three times already.
+// Limit is the number of server crashes after which a request is quarantined. Two crashes can
+// happen to a request by chance: when many servers crash at once, it may be resent to a server
+// that crashes as well. A request that is quarantined by mistake has already failed three
+// times.
 const Limit = 3
 
 const (
-	// holdFirst is how long a request is held at first: longer than callers retry for.
-	// After it one more try is let through, in case the servers were mended; it may cost
-	// a server, so each further end doubles the time, up to holdMost.
-	holdFirst = 10 * time.Minute
-	holdMost  = 24 * time.Hour
-	// remember is for how long the end of a server counts: longer than any hold.
-	remember = 2 * holdMost
-	// mostRequests and mostReports bound the memory, to about a megabyte. When a whole
-	// failure domain is lost, thousands of requests are reported once; those that
-	// were reported last are kept.
-	mostRequests = 2048
-	mostReports  = 12
+	// firstQuarantine is the duration of the first quarantine of a request: longer than
+	// callers retry. Then one more attempt is allowed, in case the servers were fixed. That
+	// attempt may crash a server, so each further crash doubles the duration, up to
+	// maxQuarantine.
+	firstQuarantine = 10 * time.Minute
+	maxQuarantine   = 24 * time.Hour
+	// reportLifetime is for how long a crash counts: longer than any quarantine.
+	reportLifetime = 2 * maxQuarantine
+	// maxRequests and maxReports bound the memory to about a megabyte. When a whole failure
+	// domain is lost, thousands of requests are reported once; the requests that were
+	// reported last are kept.
+	maxRequests = 2048
+	maxReports  = 12
 )
 
-// Fingerprint identifies what a request asks for, whoever carries it.
+// Fingerprint identifies a request by its content, whichever process forwards it.
 type Fingerprint uint64
 
-// String writes a fingerprint as log lines do.
+// String formats a fingerprint as in log lines.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
 // Config sets up a State.
 type Config struct {
-	// MinReports is how many reports of a request there must be for them to be told.
-	// Forwarders tell each; control VMs, who tell all forwarders, wait for Limit: the
-	// loss of a failure domain makes thousands of reports, and hardly one is followed
-	// by a second of the same request.
+	// MinReports is the number of reports of a request from which on they are sent to other
+	// processes. Forwarders send every report. Control VMs, which send to all forwarders,
+	// wait for Limit reports: the loss of a failure domain causes thousands of reports, and
+	// hardly any is followed by a second one of the same request.
 	MinReports int
-	// TrackAnswers has what was answered a moment ago be remembered. Only who sends
-	// requests hears of answers.
+	// TrackAnswers records recent answers. Only processes that send requests to servers
+	// receive answers.
 	TrackAnswers bool
-	// Spread lengthens holds by a part. Where it differs between forwarders they don't
-	// all let a request through at the same moment.
+	// Spread lengthens quarantines by this share. With a different Spread in each forwarder,
+	// the forwarders don't all allow a request at the same moment.
 	Spread float64
 }
 
-// State is what one process knows. Only Reduce changes it.
+// State is the crash reports of one process. Only Reduce changes it.
 type State struct {
 	config   Config
 	requests map[Fingerprint]*request
 	answered answers
 }
 
-// request is what is known of one request.
+// request holds the crash reports of one request.
 type request struct {
-	reports map[life]*report
-	// last is when a server ended under it last, as far as that is not refuted.
+	reports map[run]*report
+	// last is the time of the last crash that is not refuted, or of the last crash if all are
+	// refuted.
 	last time.Time
 }
 
-// report is the end of one life of a server.
+// report is the crash of one run of a server.
 type report struct {
 	at      time.Time
 	refuted bool
 }
 
-// New returns a state that knows nothing.
+// New returns a state without reports.
 func New(c Config) *State {
 	c.MinReports = cmp.Or(c.MinReports, 1)
 	s := &State{config: c, requests: map[Fingerprint]*request{}}
@@ -93,43 +97,43 @@
 	return s
 }
 
-// Reduce moves the state on and returns what is to be done.
+// Reduce applies one event and returns the effects that the caller must carry out.
 func Reduce(s *State, event Event) []Effect {
 	switch e := event.(type) {
 	case Crashed:
-		return s.crashed(e)
+		return s.applyCrash(e)
 	case Answered:
-		return s.answer(e)
+		return s.applyAnswer(e)
 	case ReportsReceived:
-		return s.heard(e)
+		return s.applyReports(e)
 	case Ticked:
-		s.forget(e.At)
+		s.expire(e.At)
 	}
 	return nil
 }
 
-// Quarantined is for how much longer a request is not sent to servers; false means that it may
-// be sent.
+// Quarantined returns for how much longer a request must not be sent to servers; false means
+// that it may be sent.
 func (s *State) Quarantined(at time.Time, fingerprint Fingerprint) (time.Duration, bool) {
 	r := s.requests[fingerprint]
 	if r == nil || r.count() < Limit {
 		return 0, false
 	}
-	left := r.last.Add(s.hold(r)).Sub(at)
+	left := r.last.Add(s.duration(r)).Sub(at)
 	return left, left > 0
 }
 
-// Reported counts the requests under which servers ended, and those that are held.
-func (s *State) Reported(at time.Time) (reported, held int) {
+// Reported counts the requests under which servers crashed, and the quarantined requests.
+func (s *State) Reported(at time.Time) (reported, quarantined int) {
 	for fingerprint := range s.requests {
 		if _, is := s.Quarantined(at, fingerprint); is {
-			held++
+			quarantined++
 		}
 	}
-	return len(s.requests), held
+	return len(s.requests), quarantined
 }
 
-// Reports lists what was told so far, for a process that has just been found.
+// Reports lists all reports that were sent so far, for a process that was just discovered.
 func (s *State) Reports(at time.Time) []message.CrashReport {
 	var all []message.CrashReport
 	for _, fingerprint := range slices.Sorted(maps.Keys(s.requests)) {
@@ -140,88 +144,90 @@
 	return all
 }
 
-func (s *State) crashed(e Crashed) []Effect {
+func (s *State) applyCrash(e Crashed) []Effect {
 	r := s.request(e.Fingerprint)
-	ended := r.lifeOf(e.Server, e.Opened)
-	if r.reports[ended] != nil {
+	crashed := r.runAt(e.Server, e.Opened)
+	if r.reports[crashed] != nil {
 		return nil
 	}
 	before := r.count()
-	r.add(e.At, ended, s.answered.recently(e.At, e.Fingerprint))
-	return s.changed(e.At, e.Fingerprint, before, true)
+	r.add(e.At, crashed, s.answered.recent(e.At, e.Fingerprint))
+	return s.effectsOfChange(e.At, e.Fingerprint, before, true)
 }
 
-// answer refutes what was reported of a request: one that crashes servers is never
+// applyAnswer refutes the reports of a request: a request that crashes servers is never
 // answered.
-func (s *State) answer(e Answered) []Effect {
-	s.answered.note(e.At, e.Fingerprint)
+func (s *State) applyAnswer(e Answered) []Effect {
+	s.answered.record(e.At, e.Fingerprint)
 	r := s.requests[e.Fingerprint]
 	if r == nil || r.count() == 0 {
 		return nil
 	}
 	before := r.count()
 	r.refute()
-	return s.changed(e.At, e.Fingerprint, before, true)
+	return s.effectsOfChange(e.At, e.Fingerprint, before, true)
 }
 
-func (s *State) heard(e ReportsReceived) []Effect {
+func (s *State) applyReports(e ReportsReceived) []Effect {
 	var effects []Effect
 	groups := byFingerprint(e.Reports)
 	for _, fingerprint := range slices.Sorted(maps.Keys(groups)) {
 		r := s.request(fingerprint)
-		before, news := r.count(), false
+		before, changed := r.count(), false
 		for _, m := range groups[fingerprint] {
-			news = r.merge(e.At, m) || news
+			changed = r.merge(e.At, m) || changed
 		}
-		refuted := r.count() > 0 && s.answered.recently(e.At, fingerprint)
+		refuted := r.count() > 0 && s.answered.recent(e.At, fingerprint)
 		if refuted {
 			r.refute()
 		}
-		if news || refuted {
-			effects = append(effects, s.changed(e.At, fingerprint, before, e.Forward || refuted)...)
+		if changed || refuted {
+			effects = append(effects, s.effectsOfChange(e.At, fingerprint, before, e.Forward || refuted)...)
 		}
 	}
 	return effects
 }
 
-// changed says what follows from a change of what is known of a request.
-func (s *State) changed(at time.Time, fingerprint Fingerprint, before int, tell bool) []Effect {
+// effectsOfChange returns the effects of a change to the reports of a request. before is the number of
+// crashes before the change; send allows SendReports.
+func (s *State) effectsOfChange(at time.Time, fingerprint Fingerprint, before int, send bool) []Effect {
 	var effects []Effect
 	r := s.requests[fingerprint]
-	if tell && len(r.reports) >= s.config.MinReports {
+	if send && len(r.reports) >= s.config.MinReports {
 		effects = append(effects, SendReports{Reports: s.reportsOf(at, fingerprint)})
 	}
-	switch left, held := s.Quarantined(at, fingerprint); {
-	case held && r.count() > before:
+	switch left, quarantined := s.Quarantined(at, fingerprint); {
+	case quarantined && r.count() > before:
 		effects = append(effects, Quarantined{Fingerprint: fingerprint, Servers: r.servers(), For: left})
-	case !held && before >= Limit && r.count() < Limit:
+	case !quarantined && before >= Limit && r.count() < Limit:
 		effects = append(effects, Released{Fingerprint: fingerprint})
 	}
 	return effects
 }
 
-// hold is how long a request under which Limit servers ended is held after the last end.
-func (s *State) hold(r *request) time.Duration {
-	hold := min(holdMost, holdFirst<<(r.count()-Limit))
-	return time.Duration(float64(hold) * (1 + s.config.Spread))
+// duration returns how long a request with at least Limit crashes is quarantined after the last
+// crash.
+func (s *State) duration(r *request) time.Duration {
+	duration := min(maxQuarantine, firstQuarantine<<(r.count()-Limit))
+	return time.Duration(float64(duration) * (1 + s.config.Spread))
 }
 
-// request returns what is known of a request, and makes room for it.
+// request returns the entry of a request, and adds one if there is none.
 func (s *State) request(fingerprint Fingerprint) *request {
 	if r := s.requests[fingerprint]; r != nil {
 		return r
 	}
-	if len(s.requests) >= mostRequests {
-		s.makeRoom()
+	if len(s.requests) >= maxRequests {
+		s.evict()
 	}
-	r := &request{reports: map[life]*report{}}
+	r := &request{reports: map[run]*report{}}
 	s.requests[fingerprint] = r
 	return r
 }
 
-// makeRoom drops an eighth of the requests: those under which the fewest servers ended, and
-// of these the ones that were reported least of late.
-func (s *State) makeRoom() {
+// evict drops an eighth of the requests: those with the fewest crashes, and among these the ones
+// whose last crash is the oldest.
+func (s *State) evict() {
 	least := slices.SortedFunc(maps.Keys(s.requests), func(a, b Fingerprint) int {
 		first, second := s.requests[a], s.requests[b]
 		return cmp.Or(cmp.Compare(first.count(), second.count()), first.last.Compare(second.last), cmp.Compare(a, b))
@@ -231,19 +237,19 @@
 	}
 }
 
-// forget drops what has become too old.
-func (s *State) forget(at time.Time) {
-	maps.DeleteFunc(s.requests, func(_ Fingerprint, r *request) bool { return at.Sub(r.last) >= remember })
+// expire drops the requests whose last crash is too old.
+func (s *State) expire(at time.Time) {
+	maps.DeleteFunc(s.requests, func(_ Fingerprint, r *request) bool { return at.Sub(r.last) >= reportLifetime })
 }
 
-// reportsOf lists what is known of a request as it is told.
+// reportsOf lists the reports of a request in the form in which they are sent.
 func (s *State) reportsOf(at time.Time, fingerprint Fingerprint) []message.CrashReport {
 	r := s.requests[fingerprint]
 	var list []message.CrashReport
-	for _, l := range slices.SortedFunc(maps.Keys(r.reports), compareLives) {
+	for _, crashed := range slices.SortedFunc(maps.Keys(r.reports), compareRuns) {
 		list = append(list, message.CrashReport{
-			Fingerprint: uint64(fingerprint), Instance: l.Instance, Incarnation: l.Incarnation, Life: l.number,
-			Age: at.Sub(r.reports[l].at), Refuted: r.reports[l].refuted,
+			Fingerprint: uint64(fingerprint), Instance: crashed.Instance, Incarnation: crashed.Incarnation, Life: crashed.number,
+			Age: at.Sub(r.reports[crashed].at), Refuted: r.reports[crashed].refuted,
 		})
 	}
 	return list
--- a/internal/reducer/quota/state.go
+++ b/internal/reducer/quota/state.go
@@ -45,7 +45,7 @@
 	case LeadershipObserved:
 		s.applyLeadership(e)
 	case Requested:
-		return []Answer{s.answer(e)}
+		return []Answer{s.applyRequest(e)}
 	case Returned:
 		s.applyReturned(e)
 	case ClockJumped:
@@ -144,7 +144,7 @@
 	}
 }
 
-func (s *State) answer(e Requested) Answer {
+func (s *State) applyRequest(e Requested) Answer {
 	a := s.accounts[e.Organisation]
 	if a == nil {
 		return Answer{}
--- a/internal/reducer/serverlimit/event.go
+++ b/internal/reducer/serverlimit/event.go
@@ -9,24 +9,24 @@
 // Event changes a State.
 type Event interface{ isServerLimitEvent() }
 
-// LeadershipObserved tells whether this control VM counts.
+// LeadershipObserved reports whether this control VM leads, and therefore counts.
 type LeadershipObserved struct {
 	At   time.Time
 	Lead bool
-	// Term numbers the times that control VMs began to lead.
+	// Term is the term of the leadership.
 	Term uint64
-	// ClockJumped is set if time may have passed that the clock did not count, as while the VM
-	// was suspended: another control VM may have led meanwhile.
+	// ClockJumped is set if time may have passed that the clock did not count, for example while
+	// the VM was suspended. Another control VM may have led in that time.
 	ClockJumped bool
 }
 
-// Requested asks for the permission to send one request to a server.
+// Requested requests the permission to send one request to a server.
 type Requested struct {
 	At     time.Time
 	Server message.ServerStart
-	// PerSecond is the limit that the server named to the forwarder at Named.
-	PerSecond float64
-	ReportedAt     time.Time
+	// PerSecond is the limit that the server reported to the forwarder at ReportedAt.
+	PerSecond  float64
+	ReportedAt time.Time
 }
 
 // Returned gives back a permission that was not used.
@@ -35,7 +35,7 @@
 	Server message.ServerStart
 }
 
-// LimitLifted tells that a server's answer to a request that was sent at Sent named no limit.
+// LimitLifted reports that a server's answer to a request sent at Sent contained no limit.
 type LimitLifted struct {
 	At     time.Time
 	Server message.ServerStart
@@ -50,13 +50,13 @@
 
 func (LimitLifted) isServerLimitEvent() {}
 
-// Answer answers an Asked. It is the only effect.
+// Answer answers a Requested event. It is the only effect.
 type Answer struct {
-	// Counted is set if this control VM counts; otherwise the rest tells nothing.
+	// Counted is set if this control VM counts; otherwise the other fields are not valid.
 	Counted bool
 	Granted bool
-	// Unlimited is set if the server is known to have no limit any more.
+	// Unlimited is set if the server is known to have no limit any longer.
 	Unlimited bool
-	// RetryAfter is when a forwarder that is refused may ask again.
+	// RetryAfter is how long a refused forwarder has to wait before it requests again.
 	RetryAfter time.Duration
 }
--- a/internal/reducer/serverlimit/script_test.go
+++ b/internal/reducer/serverlimit/script_test.go
@@ -17,11 +17,11 @@
 
 // TestScripts runs the files of testdata/scripts. Each line of a block is an event:
 //
-//	leads TERM | follows TERM | doubt
-//	ask SERVER PERSECOND [AGO] [xTIMES]   the limit was named so long ago; prints the answers
+//	leads TERM | follows TERM | clock-jumped
+//	request SERVER PERSECOND [AGE] [xTIMES]   the limit was reported AGE ago; prints the answers
 //	return SERVER
-//	ended SERVER AGO                      a request sent so long ago was answered without a limit
-//	pass FOR
+//	lifted SERVER AGE                     a request sent AGE ago was answered without a limit
+//	wait DURATION
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		s := &script{is: is.New(t), now: scriptStart, state: New()}
@@ -48,20 +48,20 @@
 	case "leads", "follows":
 		s.lead, s.term = words[0] == "leads", uint64(s.number(words[1]))
 		Reduce(s.state, LeadershipObserved{At: s.now, Lead: s.lead, Term: s.term})
-	case "doubt":
+	case "clock-jumped":
 		Reduce(s.state, LeadershipObserved{At: s.now, Lead: s.lead, Term: s.term, ClockJumped: true})
-	case "ask":
-		s.ask(words, out)
+	case "request":
+		s.request(words, out)
 	case "return":
 		Reduce(s.state, Returned{At: s.now, Server: start(words[1])})
-	case "ended":
+	case "lifted":
 		Reduce(s.state, LimitLifted{At: s.now, Server: start(words[1]), Sent: s.now.Add(-s.duration(words[2]))})
-	case "pass":
+	case "wait":
 		s.now = s.now.Add(s.duration(words[1]))
 	}
 }
 
-// start reads INSTANCE or INSTANCE/INCARNATION.
+// start parses INSTANCE or INSTANCE/INCARNATION.
 func start(word string) message.ServerStart {
 	instance, incarnation, _ := strings.Cut(word, "/")
 	number, err := strconv.ParseUint(incarnation, 10, 64)
@@ -71,24 +71,24 @@
 	return message.ServerStart{Instance: instance, Incarnation: number}
 }
 
-func (s *script) ask(words []string, out *strings.Builder) {
-	ago, times := time.Duration(0), 1
+func (s *script) request(words []string, out *strings.Builder) {
+	age, times := time.Duration(0), 1
 	for _, word := range words[3:] {
 		if text, found := strings.CutPrefix(word, "x"); found {
 			times = int(s.number(text))
 			continue
 		}
-		ago = s.duration(word)
+		age = s.duration(word)
 	}
 	for range times {
-		a := Reduce(s.state, Requested{At: s.now, Server: start(words[1]), PerSecond: s.number(words[2]), ReportedAt: s.now.Add(-ago)})[0]
+		a := Reduce(s.state, Requested{At: s.now, Server: start(words[1]), PerSecond: s.number(words[2]), ReportedAt: s.now.Add(-age)})[0]
 		switch {
 		case a.Unlimited:
-			fmt.Fprintln(out, "no limit any more")
+			fmt.Fprintln(out, "no limit any longer")
 		case a.Granted:
 			fmt.Fprintln(out, "granted")
 		case a.Counted:
-			fmt.Fprintln(out, "refused, again after", a.RetryAfter.Round(time.Millisecond))
+			fmt.Fprintln(out, "refused, retry after", a.RetryAfter.Round(time.Millisecond))
 		default:
 			fmt.Fprintln(out, "not counted here")
 		}
