--- /dev/null
+++ b/internal/crashreports/disk_store_test.go
@@ -0,0 +1,82 @@
+package crashreports
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/oriolebend/oriolebend/internal/message"
+	"github.com/oriolebend/oriolebend/internal/quarantine"
+)
+
+// loadDiskStore returns a store for a folder that has loaded the saved reports.
+func loadDiskStore(folder string) *DiskStore {
+	s := &DiskStore{Folder: folder, Logger: slog.New(slog.DiscardHandler)}
+	s.Store = quarantine.New(quarantine.Config{SendReports: func([]message.CrashReport) { s.RequestSave() }})
+	s.Load()
+	return s
+}
+
+func reports() []message.CrashReport {
+	var list []message.CrashReport
+	for i := range quarantine.Limit {
+		list = append(list, message.CrashReport{Fingerprint: 1, Instance: fmt.Sprint(i), Age: time.Minute})
+	}
+	return list
+}
+
+// awaitFile waits for a file to exist, for up to a second.
+func awaitFile(t *testing.T, path string) {
+	t.Helper()
+	for range 100 {
+		if _, err := os.Stat(path); err == nil {
+			return
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	t.Fatalf("%s was not written within a second", path)
+}
+
+// Reports are loaded after a restart, with their age. A damaged file is ignored.
+func TestDiskStore(t *testing.T) {
+	is := is.New(t)
+	folder := t.TempDir()
+	path := filepath.Join(folder, noteName)
+	ctx, cancel := context.WithCancel(t.Context())
+	first := loadDiskStore(folder)
+	stopped := make(chan struct{})
+	go func() {
+		defer close(stopped)
+		first.Run(ctx)
+	}()
+	first.Store.ApplyReports(reports(), true)
+	awaitFile(t, path)
+	cancel()
+	<-stopped
+	loaded := loadDiskStore(folder).Store.Reports()
+	is.Equal(len(loaded), quarantine.Limit)
+	is.True(loaded[0].Age >= time.Minute)
+	is.True(loaded[0].Age < 2*time.Minute)
+	is.NoErr(os.WriteFile(path, []byte("damaged"), 0o600))
+	is.Equal(len(loadDiskStore(folder).Store.Reports()), 0)
+}
+
+// Guards against a control VM that stops sending crash reports because its disk is full: adding
+// reports must not wait for the disk.
+func TestDiskStoreWithoutDisk(t *testing.T) {
+	is := is.New(t)
+	s := loadDiskStore(filepath.Join(t.TempDir(), "missing"))
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	go s.Run(ctx)
+	for range 3 {
+		s.Store.ApplyReports(reports(), true)
+	}
+	is.Equal(len(s.Store.Reports()), quarantine.Limit)
+}
--- /dev/null
+++ b/internal/crashreports/sender.go
@@ -0,0 +1,169 @@
+// Package crashreports sends the reports of requests under which servers crashed from process to
+// process, and saves them over restarts.
+package crashreports
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"slices"
+	"time"
+
+	"github.com/oriolebend/oriolebend/internal/mailbox"
+	"github.com/oriolebend/oriolebend/internal/message"
+	"github.com/oriolebend/oriolebend/internal/pause"
+	"github.com/oriolebend/oriolebend/internal/peer"
+	"github.com/oriolebend/oriolebend/internal/policy"
+	"github.com/oriolebend/oriolebend/internal/quarantine"
+)
+
+const (
+	// collectors is the number of control VMs that receive the reports of one request. The
+	// fingerprint selects them, so that all forwarders select the same ones and each of them
+	// receives all reports of the request. There are three, so that two may be lost.
+	collectors = 3
+	// batchDelay is for how long reports are collected before they are sent: about ten requests
+	// are lost with a server, and their reports are sent together.
+	batchDelay = 10 * time.Millisecond
+	// deliveryTimeout bounds one delivery, maxDeliveries the number of attempts, and
+	// redeliveryDelay is the pause between them. All attempts together take less than the three
+	// seconds after which a request that crashes servers must be known everywhere.
+	deliveryTimeout = 700 * time.Millisecond
+	maxDeliveries   = 3
+	redeliveryDelay = 100 * time.Millisecond
+)
+
+// Sender sends crash reports to other processes.
+//
+// Forwarders send to a few control VMs, which count over all forwarders and send to all of them
+// once there are several crashes. While no control VM is connected, forwarders send to some other
+// forwarders, which send on the reports that are new to them.
+type Sender struct {
+	Dialer peer.Dialer
+	// Controls returns the connected control VMs, Peers some other forwarders.
+	Controls, Peers func() []string
+	Logger          *slog.Logger
+
+	queue *mailbox.Mailbox[delivery]
+}
+
+// delivery holds reports to send: to an address, or to the receivers of each report if the address
+// is empty.
+type delivery struct {
+	address  string
+	reports  []message.CrashReport
+	attempts int
+}
+
+// Prepare initialises the sender; it must be called before any other method.
+func (s *Sender) Prepare() { s.queue = mailbox.New[delivery]() }
+
+// Send queues reports for their receivers.
+func (s *Sender) Send(reports []message.CrashReport) {
+	s.queue.Put(delivery{reports: reports})
+}
+
+// SendTo queues reports for one process that was just discovered.
+func (s *Sender) SendTo(address string, reports []message.CrashReport) {
+	if len(reports) > 0 {
+		s.queue.Put(delivery{address: address, reports: reports})
+	}
+}
+
+// Run sends the queued reports until ctx ends.
+func (s *Sender) Run(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-s.queue.Wait():
+		}
+		pause.For(ctx, batchDelay)
+		for address, d := range s.byAddress(s.queue.Take()) {
+			go s.deliver(ctx, address, d)
+		}
+	}
+}
+
+// byAddress merges the deliveries to the same process.
+func (s *Sender) byAddress(list []delivery) map[string]delivery {
+	all := map[string]delivery{}
+	for _, d := range list {
+		if d.address != "" {
+			all[d.address] = all[d.address].merge(d, d.reports...)
+			continue
+		}
+		for _, report := range d.reports {
+			for _, address := range s.receivers(report.Fingerprint) {
+				all[address] = all[address].merge(d, report)
+			}
+		}
+	}
+	return all
+}
+
+// merge adds reports of another delivery, except duplicates: a report whose delivery to several
+// processes failed is queued once for each of them.
+func (d delivery) merge(other delivery, reports ...message.CrashReport) delivery {
+	d.attempts = max(d.attempts, other.attempts)
+	for _, report := range reports {
+		if !slices.ContainsFunc(d.reports, report.Same) {
+			d.reports = append(d.reports, report)
+		}
+	}
+	return d
+}
+
+// receivers returns the addresses to which the reports of a request are sent.
+func (s *Sender) receivers(fingerprint uint64) []string {
+	controls := s.Controls()
+	if len(controls) == 0 {
+		return s.Peers()
+	}
+	return policy.Nearest(quarantine.Fingerprint(fingerprint).String(), controls, collectors)
+}
+
+// deliver sends reports to one process. If that fails, it queues them again for the receivers that
+// are connected then.
+func (s *Sender) deliver(ctx context.Context, address string, d delivery) {
+	err := s.transmit(ctx, address, d.reports)
+	if err == nil {
+		return
+	}
+	d.attempts++
+	s.Logger.Info("crash reports not delivered", "to", address, "reports", len(d.reports), "tries", d.attempts, "error", err)
+	if d.attempts < maxDeliveries && pause.For(ctx, redeliveryDelay) {
+		s.queue.Put(delivery{reports: d.reports, attempts: d.attempts})
+	}
+}
+
+// transmit sends reports over a new session. The peer closes the session once it has applied them.
+func (s *Sender) transmit(ctx context.Context, address string, reports []message.CrashReport) error {
+	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
+	defer cancel()
+	session, err := s.Dialer.Open(ctx, address)
+	if err != nil {
+		return err
+	}
+	defer session.Close()
+	defer context.AfterFunc(ctx, func() { _ = session.Close() })()
+	if err := session.Send(message.CrashReports{Reports: reports}); err != nil {
+		return err
+	}
+	if _, err = session.Receive(); errors.Is(err, io.EOF) && ctx.Err() == nil {
+		return nil
+	}
+	return cmp.Or(ctx.Err(), err, io.ErrNoProgress)
+}
+
+// Serve returns the peer.Handler that receives crash reports and adds them to a store.
+func Serve(store *quarantine.Store) peer.Handler {
+	return func(_ context.Context, session peer.Stream) {
+		m, err := session.Receive()
+		if received, ok := m.(message.CrashReports); err == nil && ok {
+			store.ApplyReports(received.Reports, true)
+		}
+	}
+}
--- a/internal/crashreports/teller_test.go
+++ b/internal/crashreports/sender_test.go
@@ -18,42 +18,42 @@
 )
 
 const (
-	// settle is after what time a request that crashes servers must be known everywhere.
-	settle = 3 * time.Second
-	// known is how many other forwarders each one knows at least, of forty.
-	known = 5
+	// propagationBound is the time after which a request that crashes servers must be known
+	// everywhere.
+	propagationBound = 3 * time.Second
+	// peerCount is the smallest number of other forwarders that each of forty forwarders knows.
+	peerCount = 5
 )
 
-// node is one forwarder that tells others under which requests servers ended.
+// node is one forwarder that sends its crash reports to others.
 type node struct {
 	store  *quarantine.Store
-	teller *Sender
+	sender *Sender
 }
 
-// newNode starts a forwarder at an address that reaches the control VMs and the peers
-// given.
+// newNode starts a forwarder at an address, with the given connected control VMs and peers.
 func newNode(ctx context.Context, network *peertest.Network, address string, controls, peers func() []string) *node {
-	n := &node{teller: &Sender{
+	n := &node{sender: &Sender{
 		Dialer: network.Dialer(address), Controls: controls, Peers: peers, Logger: slog.New(slog.DiscardHandler),
 	}}
-	n.teller.Prepare()
-	n.store = quarantine.New(quarantine.Config{SendsRequests: true, SendReports: n.teller.Send})
+	n.sender.Prepare()
+	n.store = quarantine.New(quarantine.Config{SendsRequests: true, SendReports: n.sender.Send})
 	network.Listen(ctx, address, address, Serve(n.store))
-	go n.teller.Run(ctx)
+	go n.sender.Run(ctx)
 	return n
 }
 
-func nobody() []string { return nil }
+func none() []string { return nil }
 
-func (n *node) held() bool {
-	_, held := n.store.Quarantined(1)
-	return held
+func (n *node) quarantined() bool {
+	_, quarantined := n.store.Quarantined(1)
+	return quarantined
 }
 
-// Symptom: a request ends servers again after it has become known, while no control VM is
-// reached. Sequence: three of forty forwarders have seen it end one server each; each
-// forwarder knows five others. Cause: news that stop at those who heard it first.
-func TestTellingWithoutControl(t *testing.T) {
+// Guards against a request that is quarantined at some forwarders only while no control VM is
+// connected. Three of forty forwarders have each seen it crash one server; each forwarder knows five
+// others. Forwarders must send on the reports that they receive.
+func TestPropagationWithoutControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -66,26 +66,26 @@
 		var nodes []*node
 		for i, address := range addresses {
 			others := append(append([]string{}, addresses[:i]...), addresses[i+1:]...)
-			peers := policy.Nearest(address, others, known)
-			nodes = append(nodes, newNode(ctx, network, address, nobody, func() []string { return peers }))
+			peers := policy.Nearest(address, others, peerCount)
+			nodes = append(nodes, newNode(ctx, network, address, none, func() []string { return peers }))
 		}
 		for i := range quarantine.Limit {
 			nodes[i*10].store.Crashed(1, message.BackendServer{Instance: fmt.Sprint(i)}, time.Time{})
 		}
-		time.Sleep(settle / 3)
+		time.Sleep(propagationBound / 3)
 		synctest.Wait()
 		for _, n := range nodes {
-			is.True(n.held())
+			is.True(n.quarantined())
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// Symptom: one forwarder goes on sending a request that crashes servers. Sequence: the
-// control VMs that its ends are told to are lost at that moment; they are believed to be
-// reached until they have been silent for a while. Cause: a telling that is not repeated.
-func TestTellingWhileControlIsLost(t *testing.T) {
+// Guards against a forwarder that keeps sending a request that crashes servers. The control VMs that
+// receive its reports are lost at that moment, and count as connected until their sessions time out.
+// A failed delivery must be repeated.
+func TestPropagationWhileControlIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -94,28 +94,28 @@
 		controls.Store(&[]string{"lost-1:1", "lost-2:1", "lost-3:1"})
 		first := newNode(ctx, network, "first:1",
 			func() []string { return *controls.Load() }, func() []string { return []string{"second:1"} })
-		second := newNode(ctx, network, "second:1", nobody, nobody)
+		second := newNode(ctx, network, "second:1", none, none)
 		for i := range quarantine.Limit {
 			first.store.Crashed(1, message.BackendServer{Instance: fmt.Sprint(i)}, time.Time{})
 		}
-		is.True(first.held())
-		time.Sleep(deliverAgain / 2)
-		controls.Store(&[]string{}) // now it shows
-		time.Sleep(settle - deliverAgain/2)
+		is.True(first.quarantined())
+		time.Sleep(redeliveryDelay / 2)
+		controls.Store(&[]string{}) // the loss is detected
+		time.Sleep(propagationBound - redeliveryDelay/2)
 		synctest.Wait()
-		is.True(second.held())
+		is.True(second.quarantined())
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// Symptom: a link of 10 Mbit/s is full after a failure domain was lost. Sequence: servers
-// end with thousands of requests; each is reported. Cause: reports that are told to
-// everybody. A control VM tells on only those of several servers.
-func TestControlTellsOnlyWhatSeveralServersEndedUnder(t *testing.T) {
+// Guards against a saturated link of 10 Mbit/s after a failure domain was lost: servers crash with
+// thousands of requests in progress, and each is reported. A control VM sends on only the reports of
+// requests under which several servers crashed.
+func TestControlForwardsOnlyRepeatedCrashes(t *testing.T) {
 	is := is.New(t)
-	told := 0
-	store := quarantine.New(quarantine.Config{SendReports: func(reports []message.CrashReport) { told += len(reports) }})
+	sent := 0
+	store := quarantine.New(quarantine.Config{SendReports: func(reports []message.CrashReport) { sent += len(reports) }})
 	var reports []message.CrashReport
 	for i := range 1000 {
 		reports = append(reports, message.CrashReport{Fingerprint: uint64(i + 10), Instance: fmt.Sprint(i % 40)})
@@ -124,6 +124,6 @@
 		reports = append(reports, message.CrashReport{Fingerprint: 1, Instance: fmt.Sprint(i)})
 	}
 	store.ApplyReports(reports, true)
-	is.Equal(told, quarantine.Limit)
-	is.Equal(len(store.Reports()), quarantine.Limit) // and to those who come later
+	is.Equal(sent, quarantine.Limit)
+	is.Equal(len(store.Reports()), quarantine.Limit) // also for processes that connect later
 }
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -1,5 +1,5 @@
-// Package quarantine keeps one process's part of what is known of requests that crash
-// servers, for several goroutines.
+// Package quarantine holds the crash reports and quarantined requests of one process, and is safe
+// for use by several goroutines.
 package quarantine
 
 import (
@@ -15,25 +15,26 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/quarantine"
 )
 
-// tickEvery is how often what has become too old is looked for; it may be kept for that
+// expiryInterval is the interval at which old reports are deleted; a report may be kept for that
 // much longer.
-const tickEvery = time.Minute
+const expiryInterval = time.Minute
 
-// Fingerprint identifies what a request asks for, whoever carries it.
+// Fingerprint identifies a request by its content, whichever process forwards it.
 type Fingerprint = quarantine.Fingerprint
 
-// Limit is under how many ends of servers a request is held.
+// Limit is the number of server crashes after which a request is quarantined.
 const Limit = quarantine.Limit
 
 // Config sets up a Store.
 type Config struct {
-	// SendsRequests is set in processes that send requests to servers: these hear of answers, tell
-	// each end of a server, and log what they hold back. Others tell what several of them
-	// have found.
+	// SendsRequests is set in processes that send requests to servers. These receive answers,
+	// report every crash, and log the requests that they quarantine. Other processes only pass
+	// on reports of requests under which several servers crashed.
 	SendsRequests bool
-	// SendReports passes reports on to other processes; it must not block. Nil tells nobody.
-	SendReports   func([]message.CrashReport)
-	Logger *slog.Logger
+	// SendReports sends reports to other processes; it must not block. If it is nil, reports
+	// are not sent.
+	SendReports func([]message.CrashReport)
+	Logger      *slog.Logger
 }
 
 // Store is the quarantine of one process.
@@ -46,27 +47,27 @@
 	ticked time.Time
 }
 
-// New returns a store that knows nothing.
+// New returns a store without reports.
 func New(c Config) *Store {
 	c.Logger = cmp.Or(c.Logger, slog.New(slog.DiscardHandler))
 	now := time.Now()
 	state := quarantine.Config{MinReports: quarantine.Limit}
 	if c.SendsRequests {
-		state = quarantine.Config{MinReports: 1, TrackAnswers: true, Spread: mostSpread * rand.Float64()}
+		state = quarantine.Config{MinReports: 1, TrackAnswers: true, Spread: maxSpread * rand.Float64()}
 	}
 	return &Store{config: c, start: now, state: quarantine.New(state), ticked: now}
 }
 
-// now is a time on the steady clock: the time of day can jump, and a hold must not.
+// now returns a time of the monotonic clock: the time of day can jump, and a quarantine must not.
 func (s *Store) now() time.Time { return s.start.Add(time.Since(s.start)) }
 
-// mostSpread is by which part holds differ between processes at most: with a first hold of
-// ten minutes five minutes, so that hardly two of some hundred forwarders let a request
-// through before the first has told what it did.
-const mostSpread = 0.5
+// maxSpread is the largest share by which quarantines are longer in one process than in another.
+// With a first quarantine of ten minutes that is five minutes, so that hardly two of some hundred
+// forwarders allow a request before the first of them has reported the result.
+const maxSpread = 0.5
 
-// Crashed notes that a server has ended while it began to work on a request, on a connection
-// that was opened then; a zero time is one that is not known.
+// Crashed records that a server crashed while it began to work on a request. opened is when the
+// connection to the server was opened, zero if that is not known.
 func (s *Store) Crashed(fingerprint Fingerprint, server message.BackendServer, opened time.Time) {
 	now := s.now()
 	if !opened.IsZero() {
@@ -75,44 +76,44 @@
 	s.reduce(quarantine.Crashed{At: now, Fingerprint: fingerprint, Server: server.Start(), Opened: opened})
 }
 
-// Answered notes that a server has answered a request to its end.
+// Answered records that a server has answered a request completely.
 func (s *Store) Answered(fingerprint Fingerprint) {
 	s.reduce(quarantine.Answered{At: s.now(), Fingerprint: fingerprint})
 }
 
-// ApplyReports takes in what another process knows; pass has it told on.
-func (s *Store) ApplyReports(reports []message.CrashReport, pass bool) {
-	s.reduce(quarantine.ReportsReceived{At: s.now(), Reports: reports, Forward: pass})
+// ApplyReports adds the reports of another process; forward has new reports sent on.
+func (s *Store) ApplyReports(reports []message.CrashReport, forward bool) {
+	s.reduce(quarantine.ReportsReceived{At: s.now(), Reports: reports, Forward: forward})
 }
 
-// Quarantined is for how much longer a request is not sent to servers; false means that it may
-// be sent.
+// Quarantined returns for how much longer a request must not be sent to servers; false means that
+// it may be sent.
 func (s *Store) Quarantined(fingerprint Fingerprint) (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.state.Quarantined(s.now(), fingerprint)
 }
 
-// Reports lists what was told so far, for a process that has just been found.
+// Reports lists all reports that were sent so far, for a process that was just discovered.
 func (s *Store) Reports() []message.CrashReport {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.state.Reports(s.now())
 }
 
-// Reported counts the requests under which servers ended, and those that are held.
-func (s *Store) Reported() (reported, held int) {
+// Reported counts the requests under which servers crashed, and the quarantined requests.
+func (s *Store) Reported() (reported, quarantined int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.state.Reported(s.now())
 }
 
-// reduce feeds the reducer and carries its effects out. That is done without the mutex: who
-// is told may hold a lock of its own while it asks for what is known here. What order it is
-// told in does not matter.
+// reduce passes an event to the reducer and carries out its effects. The effects are carried out
+// without the mutex, because their receiver may query this store while it holds a lock of its own.
+// The order of the effects does not matter.
 func (s *Store) reduce(e quarantine.Event) {
 	for _, effect := range s.effects(e) {
-		s.carryOut(effect)
+		s.execute(effect)
 	}
 }
 
@@ -121,15 +122,15 @@
 	defer s.mutex.Unlock()
 	state := &reducer.State{Quarantine: s.state}
 	effects := reducer.Reduce(state, e)
-	if now := s.now(); now.Sub(s.ticked) >= tickEvery {
+	if now := s.now(); now.Sub(s.ticked) >= expiryInterval {
 		s.ticked = now
 		effects = append(effects, reducer.Reduce(state, quarantine.Ticked{At: now})...)
 	}
 	return effects
 }
 
-// carryOut does what the reducer asks for.
-func (s *Store) carryOut(effect reducer.Effect) {
+// execute carries out one effect of the reducer.
+func (s *Store) execute(effect reducer.Effect) {
 	switch e := effect.(type) {
 	case quarantine.SendReports:
 		if s.config.SendReports != nil {
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -15,42 +15,42 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// benchKeeper counts for one organisation, which asks for much more than it may.
-func benchKeeper(perSecond float64) *Server {
-	k := &Server{
+// benchServer returns a server that counts for one organisation with a quota.
+func benchServer(perSecond float64) *Server {
+	s := &Server{
 		Routing: routing.NewStore(), Logger: slog.New(slog.DiscardHandler),
 		Self: "c", Leader: func() string { return "c" }, Members: func() int { return 3 },
 	}
-	k.Prepare()
-	k.reduce(quota.Declared{At: time.Now(), Organisations: []oriolebend.Organisation{{
+	s.Prepare()
+	s.reduce(quota.Declared{At: time.Now(), Organisations: []oriolebend.Organisation{{
 		Name: "o", Quota: oriolebend.Quota{PerSecond: perSecond, Burst: perSecond},
 	}}})
-	return k
+	return s
 }
 
-// BenchmarkAnswer measures one question at the control VM that counts: granted, and refused
-// beside a thousand callers that were told when to come back.
+// BenchmarkAnswer measures one request at the control VM that counts: a granted request, and a
+// refused request while the retry times of a thousand callers are kept.
 func BenchmarkAnswer(b *testing.B) {
 	for name, perSecond := range map[string]float64{"granted": 1e15, "refused": 1000} {
 		b.Run(name, func(b *testing.B) {
-			k := benchKeeper(perSecond)
+			s := benchServer(perSecond)
 			b.ReportAllocs()
 			call := uint64(0)
 			for b.Loop() {
 				call++
-				k.answer(message.QuotaAsk{Organisation: "o", Cost: 5000, Call: call})
+				s.answer(message.QuotaAsk{Organisation: "o", Cost: 5000, Call: call})
 			}
 		})
 	}
 }
 
-// BenchmarkTake measures one question with its session, over an in-memory network.
+// BenchmarkTake measures one request with its session, over an in-memory network.
 func BenchmarkTake(b *testing.B) {
-	k := benchKeeper(1e15)
+	s := benchServer(1e15)
 	network := peertest.NewNetwork(1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	network.Listen(ctx, "c:1", "c", peer.Handler(k.Serve))
+	network.Listen(ctx, "c:1", "c", peer.Handler(s.Serve))
 	c := &Client{
 		Dialer: network.Dialer("f"), Logger: slog.New(slog.DiscardHandler),
 		Leader: func() string { return "c:1" }, Controls: func() []string { return []string{"c:1"} },
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -15,66 +15,66 @@
 )
 
 const (
-	// leaderWithin bounds the question to the leader, otherWithin those to others. Calls
-	// that are to be answered within a tenth of a second wait for it.
-	leaderWithin = 100 * time.Millisecond
-	otherWithin  = 60 * time.Millisecond
-	// others is how many other control VMs are asked.
-	others = 3
-	// awayFor is for how long a control VM that did not answer is asked last.
-	awayFor = 300 * time.Millisecond
-	// retryAway is when a caller may come back that nobody could count.
-	retryAway = time.Second
+	// leaderTimeout bounds a request to the leader, followerTimeout a request to another control
+	// VM. Calls that must be answered within a tenth of a second wait for the answer.
+	leaderTimeout   = 100 * time.Millisecond
+	followerTimeout = 60 * time.Millisecond
+	// maxFollowers is the number of other control VMs that are queried.
+	maxFollowers = 3
+	// unreachableFor is for how long a control VM that did not answer is queried last.
+	unreachableFor = 300 * time.Millisecond
+	// retryUncounted is the retry delay of a caller whose request no control VM could count.
+	retryUncounted = time.Second
 )
 
-// Client asks control VMs for quotas. It implements forwarder.Quotas.
+// Client requests quota units from control VMs. It implements forwarder.Quotas.
 type Client struct {
 	Dialer peer.Dialer
-	// Leader is the peer address of the control VM that leads, empty if none is known;
-	// Controls are those that are reached now.
+	// Leader returns the peer address of the leading control VM, empty if none is known;
+	// Controls returns the addresses of the control VMs that are connected now.
 	Leader   func() string
 	Controls func() []string
 	Logger   *slog.Logger
 
 	mutex sync.Mutex
-	// away holds until when control VMs are asked last that did not answer.
-	away  map[string]time.Time
-	asked peer.Questions[message.QuotaAsk, message.QuotaAnswer]
+	// unreachable holds, for each control VM that did not answer, until when it is queried last.
+	unreachable map[string]time.Time
+	requests    peer.Questions[message.QuotaAsk, message.QuotaAnswer]
 }
 
 var _ forwarder.Quotas = (*Client)(nil)
 
-// Prepare makes the client ready; it must be called before all else.
+// Prepare initialises the client; it must be called before any other method.
 func (c *Client) Prepare() {
-	c.away = map[string]time.Time{}
-	c.asked = peer.Questions[message.QuotaAsk, message.QuotaAnswer]{
+	c.unreachable = map[string]time.Time{}
+	c.requests = peer.Questions[message.QuotaAsk, message.QuotaAnswer]{
 		Dialer:   c.Dialer,
 		Numbered: func(q message.QuotaAsk, number uint64) message.QuotaAsk { q.ID = number; return q },
 		Number:   func(a message.QuotaAnswer) uint64 { return a.ID },
 		Unwanted: func(q message.QuotaAsk, a message.QuotaAnswer) (message.Message, bool) {
-			return returned(q.Organisation, q.Cost), a.Granted
+			return returnMessage(q.Organisation, q.Cost), a.Granted
 		},
 	}
 }
 
-// returned gives back what was granted and is not used.
-func returned(organisation string, cost float64) message.QuotaAsk {
+// returnMessage returns the message that gives back granted units that were not used.
+func returnMessage(organisation string, cost float64) message.QuotaAsk {
 	return message.QuotaAsk{Organisation: organisation, Cost: cost, Return: true}
 }
 
-// Take implements forwarder.Quotas. It asks the leader, which alone knows what is left,
-// and others only if that does not answer.
+// Take implements forwarder.Quotas. It queries the leader, which alone knows how much of the quota
+// is left, and other control VMs only if the leader does not answer.
 func (c *Client) Take(ctx context.Context, charge forwarder.Charge) (forwarder.Charge, forwarder.QuotaState, error) {
-	ask := message.QuotaAsk{Organisation: charge.Organisation, Cost: charge.Cost, Call: charge.Call, Late: charge.Late}
+	request := message.QuotaAsk{Organisation: charge.Organisation, Cost: charge.Cost, Call: charge.Call, Late: charge.Late}
 	var state forwarder.QuotaState
 	leader := c.Leader()
 	for _, address := range c.order(charge.Organisation, leader) {
-		answer, err := c.ask(ctx, address, address == leader, ask)
+		answer, err := c.request(ctx, address, address == leader, request)
 		if err != nil && ctx.Err() != nil {
 			break
 		}
 		if err != nil {
-			c.failed(address, err)
+			c.markUnreachable(address, err)
 			continue
 		}
 		state = forwarder.QuotaState{Keeper: address, Left: answer.Left, Since: answer.Since}
@@ -89,56 +89,57 @@
 		}
 	}
 	return forwarder.Charge{}, state, &oriolebend.Problem{
-		Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanNo, RetryAfter: retryAway,
+		Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanNo, RetryAfter: retryUncounted,
 	}
 }
 
-// order lists whom to ask: the leader, then some others, which differ between
-// organisations so that all reserves are used. Those that did not answer come last.
+// order lists the control VMs to query: the leader, then some others, which differ between
+// organisations so that all reserves are used. Control VMs that did not answer recently come last.
 func (c *Client) order(organisation, leader string) []string {
 	controls := slices.DeleteFunc(c.Controls(), func(a string) bool { return a == leader })
-	order := policy.Nearest(organisation, controls, others)
+	order := policy.Nearest(organisation, controls, maxFollowers)
 	if leader != "" {
 		order = slices.Insert(order, 0, leader)
 	}
 	now := time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	away := func(a string) int {
-		if now.Before(c.away[a]) {
+	rank := func(a string) int {
+		if now.Before(c.unreachable[a]) {
 			return 1
 		}
 		return 0
 	}
-	slices.SortStableFunc(order, func(a, b string) int { return away(a) - away(b) })
+	slices.SortStableFunc(order, func(a, b string) int { return rank(a) - rank(b) })
 	return order
 }
 
-// failed notes that a control VM did not answer. Those who wait there go on to others.
-func (c *Client) failed(address string, err error) {
+// markUnreachable records that a control VM did not answer, and closes its session. Requests that wait
+// there continue with another control VM.
+func (c *Client) markUnreachable(address string, err error) {
 	c.mutex.Lock()
-	c.away[address] = time.Now().Add(awayFor)
+	c.unreachable[address] = time.Now().Add(unreachableFor)
 	c.mutex.Unlock()
-	c.asked.Drop(address)
+	c.requests.Drop(address)
 	c.Logger.Info("quota not counted by a control VM", "control", address, "error", err)
 }
 
-// ask asks one control VM.
-func (c *Client) ask(ctx context.Context, address string, leads bool, ask message.QuotaAsk) (message.QuotaAnswer, error) {
-	within := otherWithin
+// request sends a request to one control VM and waits for the answer.
+func (c *Client) request(ctx context.Context, address string, leads bool, request message.QuotaAsk) (message.QuotaAnswer, error) {
+	timeout := followerTimeout
 	if leads {
-		within = leaderWithin
+		timeout = leaderTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return c.asked.Ask(ctx, address, ask)
+	return c.requests.Ask(ctx, address, request)
 }
 
-// Return implements forwarder.Quotas. What does not arrive is lost to the organisation
-// until its bucket is full again.
+// Return implements forwarder.Quotas. If the message is lost, the organisation lacks the units until
+// its bucket is full again.
 func (c *Client) Return(charge forwarder.Charge) {
-	c.asked.Tell(charge.Keeper, returned(charge.Organisation, charge.Cost))
+	c.requests.Tell(charge.Keeper, returnMessage(charge.Organisation, charge.Cost))
 }
 
-// Close ends the sessions.
-func (c *Client) Close() { c.asked.Close() }
+// Close closes the sessions.
+func (c *Client) Close() { c.requests.Close() }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -21,21 +21,21 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// group is control VMs that count, and forwarders that ask them.
+// group is several control VMs that count, and forwarders that query them.
 type group struct {
 	network *peertest.Network
-	keepers map[string]*Server
-	// leader leads, and known is who forwarders take to lead.
+	servers map[string]*Server
+	// leader is the leading control VM, and known the one that forwarders believe to lead.
 	leader, known atomic.Value
 	addresses     []string
 }
 
 const client = "f:1"
 
-// newGroup starts control VMs that know one organisation with a quota.
+// newGroup starts control VMs with one declared organisation that has a quota.
 func newGroup(ctx context.Context, t *testing.T, count int, q oriolebend.Quota) *group {
 	t.Helper()
-	g := &group{network: peertest.NewNetwork(1), keepers: map[string]*Server{}}
+	g := &group{network: peertest.NewNetwork(1), servers: map[string]*Server{}}
 	store := routing.NewStore()
 	command, err := cbor.Marshal(routing.Replace{Routing: oriolebend.Routing{
 		Version: 1, Organisations: []oriolebend.Organisation{{Name: "o", Quota: q}},
@@ -45,20 +45,20 @@
 	for i := range count {
 		address := fmt.Sprintf("c%d:1", i)
 		g.addresses = append(g.addresses, address)
-		k := &Server{
+		s := &Server{
 			Config: Config{Slack: 1000}, Routing: store, Logger: slog.New(slog.DiscardHandler),
-			Self: address, Leader: func() string { return named(&g.leader) }, Members: func() int { return count },
+			Self: address, Leader: func() string { return loadAddress(&g.leader) }, Members: func() int { return count },
 		}
-		k.Prepare()
-		g.keepers[address] = k
-		go k.Run(ctx)
-		g.network.Listen(ctx, address, address, k.Serve)
+		s.Prepare()
+		g.servers[address] = s
+		go s.Run(ctx)
+		g.network.Listen(ctx, address, address, s.Serve)
 	}
 	return g
 }
 
-// onGroup runs a test on control VMs, on the clock of synctest.
-func onGroup(t *testing.T, count int, q oriolebend.Quota, test func(context.Context, *testing.T, *is.I, *group)) {
+// testGroup runs a test with control VMs, on the clock of synctest.
+func testGroup(t *testing.T, count int, q oriolebend.Quota, test func(context.Context, *testing.T, *is.I, *group)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -69,14 +69,14 @@
 	})
 }
 
-// lead has a control VM lead, and forwarders know it.
-func (g *group) lead(address string) {
+// setLeader makes a control VM the leader, which is known to the forwarders.
+func (g *group) setLeader(address string) {
 	g.leader.Store(address)
 	g.known.Store(address)
 }
 
-// named is the address that is stored, empty if none is.
-func named(v *atomic.Value) string {
+// loadAddress returns the stored address, empty if there is none.
+func loadAddress(v *atomic.Value) string {
 	name, _ := v.Load().(string)
 	return name
 }
@@ -84,13 +84,14 @@
 func (g *group) client() *Client {
 	c := &Client{
 		Dialer: g.network.Dialer(client), Logger: slog.New(slog.DiscardHandler),
-		Leader: func() string { return named(&g.known) }, Controls: func() []string { return append([]string{}, g.addresses...) },
+		Leader: func() string { return loadAddress(&g.known) }, Controls: func() []string { return append([]string{}, g.addresses...) },
 	}
 	c.Prepare()
 	return c
 }
 
-// take takes a cost and tells who gave it, why nobody did, and how long that took.
+// take takes a cost, and returns the control VM that granted it, the reason if none did, and how long
+// that took.
 func take(t *testing.T, c *Client, cost float64) (keeper string, reason oriolebend.Reason, took time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -103,10 +104,10 @@
 
 var tenASecond = oriolebend.Quota{PerSecond: 10, Burst: 10}
 
-// The leader counts for all forwarders, and takes back what did not run.
+// The leader counts for all forwarders, and takes back the units of requests that did not run.
 func TestLeaderCounts(t *testing.T) {
-	onGroup(t, 3, tenASecond, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
-		g.lead("c0:1")
+	testGroup(t, 3, tenASecond, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
+		g.setLeader("c0:1")
 		time.Sleep(5 * time.Second)
 		first, second := g.client(), g.client()
 		for _, c := range []*Client{first, second} {
@@ -122,13 +123,13 @@
 	})
 }
 
-// Symptom: all requests of organisations with a quota are refused while no control VM leads,
-// or wait for one that does not answer. Sequence: the leader stands still; another one leads
-// a second later. Cause: a count that only the leader can make. Others give from their
-// reserves meanwhile, and after the first question nobody waits for the one that is away.
+// Guards against refusing or delaying all requests of organisations with a quota while there is no
+// leader. The leader stalls, and another control VM becomes the leader a second later. Meanwhile
+// other control VMs grant from their reserves, and after the first request no further request waits
+// for the stalled leader.
 func TestLeaderThatStandsStill(t *testing.T) {
-	onGroup(t, 3, tenASecond, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
-		g.lead("c0:1")
+	testGroup(t, 3, tenASecond, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
+		g.setLeader("c0:1")
 		time.Sleep(5 * time.Second)
 		c := g.client()
 		g.network.Cut(client, "c0:1")
@@ -136,11 +137,11 @@
 		keeper, reason, took := take(t, c, 5)
 		is.Equal(reason, oriolebend.Reason(""))
 		is.True(keeper != "" && keeper != "c0:1")
-		is.True(took <= leaderWithin+otherWithin)
+		is.True(took <= leaderTimeout+followerTimeout)
 		_, reason, took = take(t, c, 5)
 		is.Equal(reason, oriolebend.Reason(""))
-		is.True(took < otherWithin)
-		g.lead("c1:1")
+		is.True(took < followerTimeout)
+		g.setLeader("c1:1")
 		time.Sleep(time.Second)
 		keeper, _, _ = take(t, c, 5)
 		is.Equal(keeper, "c1:1")
@@ -148,39 +149,39 @@
 	})
 }
 
-// Symptom: an organisation is given more than its quota while control VMs are killed again and
-// again. Sequence: a control VM that has just started gives from its reserve before it has
-// looked how many there are. Cause: a reserve that begins as large as that of all of them.
-func TestReserveOfOneThatHasJustStarted(t *testing.T) {
-	onGroup(t, 3, tenASecond, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
+// Guards against an organisation that is granted more than its quota while control VMs are killed
+// repeatedly. A control VM that has just started must not grant from its reserve before it knows the
+// number of control VMs: until then the reserve would be as large as all reserves together.
+func TestReserveAfterStart(t *testing.T) {
+	testGroup(t, 3, tenASecond, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
 		synctest.Wait()
-		ask := func(cost float64) bool {
-			return g.keepers["c0:1"].answer(message.QuotaAsk{Organisation: "o", Cost: cost}).Granted
+		request := func(cost float64) bool {
+			return g.servers["c0:1"].answer(message.QuotaAsk{Organisation: "o", Cost: cost}).Granted
 		}
-		// Of an excess of 1,009 a fifth is in the reserves of three, half of it at the start.
-		is.True(!ask(35))
-		is.True(ask(33))
-		is.True(!ask(1))
+		// A fifth of the excess of 1,009 is split over three reserves, which start half full.
+		is.True(!request(35))
+		is.True(request(33))
+		is.True(!request(1))
 	})
 }
 
-// Symptom: an organisation is refused though it has asked for little. Sequence: answers of the
-// control VM that counts come too late, and nobody uses what they grant. Cause: a grant that
-// nobody gives back. It is given back as soon as it comes.
+// Guards against a refusal of an organisation that has used little of its quota. Answers of the
+// leader arrive after the requests were cancelled, so that their grants are not used. A late grant
+// is given back as soon as it arrives.
 func TestLateGrantIsGivenBack(t *testing.T) {
-	onGroup(t, 1, tenASecond, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
-		g.lead("c0:1")
+	testGroup(t, 1, tenASecond, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
+		g.setLeader("c0:1")
 		time.Sleep(5 * time.Second)
 		c := g.client()
-		ask := message.QuotaAsk{Organisation: "o", Cost: 10}
+		request := message.QuotaAsk{Organisation: "o", Cost: 10}
 		opening, cancel := context.WithTimeout(ctx, time.Millisecond)
 		defer cancel()
-		_, err := c.asked.Ask(opening, "c0:1", returned("o", 0)) // opens the session; it has no answer
+		_, err := c.requests.Ask(opening, "c0:1", returnMessage("o", 0)) // opens the session; it has no answer
 		is.True(err != nil)
-		left, leave := context.WithCancel(ctx)
-		leave()
+		cancelled, cancelRequest := context.WithCancel(ctx)
+		cancelRequest()
 		for range 20 {
-			_, err := c.asked.Ask(left, "c0:1", ask)
+			_, err := c.requests.Ask(cancelled, "c0:1", request)
 			is.True(err != nil)
 			synctest.Wait()
 		}
@@ -190,7 +191,8 @@
 	})
 }
 
-// With no control VM reached nobody can tell what is left: that is no refusal by quota.
+// If no control VM is reached, the quota's state is unknown: the refusal must not state that the quota
+// is used up.
 func TestNobodyCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -201,22 +203,22 @@
 	})
 }
 
-// Symptom: an organisation below its quota is refused just after the load begins. Sequence:
-// a control VM has led for long when the first question comes. Cause: a bucket that is
-// filled from the first question on.
-func TestBucketIsFullBeforeTheFirstQuestion(t *testing.T) {
-	onGroup(t, 1, oriolebend.Quota{PerSecond: 1000, Burst: 9000}, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
-		g.lead("c0:1")
+// Guards against refusals of an organisation below its quota just after its load begins. A control VM
+// has led for a long time before the first request; the bucket must fill from the start of the
+// leadership, not from the first request.
+func TestBucketIsFullBeforeTheFirstRequest(t *testing.T) {
+	testGroup(t, 1, oriolebend.Quota{PerSecond: 1000, Burst: 9000}, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
+		g.setLeader("c0:1")
 		time.Sleep(10 * time.Second)
 		keeper, _, _ := take(t, g.client(), 9000)
 		is.Equal(keeper, "c0:1")
 	})
 }
 
-// What is no question ends a session, and so does what is no answer: who waits for one is
-// told at once.
+// A message that is not a request ends a session at the server, and a message that is not an answer
+// ends it at the client, whose waiting requests fail at once.
 func TestUnexpectedMessages(t *testing.T) {
-	onGroup(t, 1, tenASecond, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
+	testGroup(t, 1, tenASecond, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
 		s, err := g.network.Dialer(client).Open(ctx, "c0:1")
 		is.NoErr(err)
 		is.NoErr(s.Send(message.QuotaAnswer{}))
@@ -227,9 +229,9 @@
 			_ = s.Send(message.QuotaAsk{})
 		})
 		began := time.Now()
-		_, err = g.client().ask(ctx, "odd:1", false, message.QuotaAsk{})
+		_, err = g.client().request(ctx, "odd:1", false, message.QuotaAsk{})
 		var ended *peer.SessionEndedError
 		is.True(errors.As(err, &ended))
-		is.True(time.Since(began) < otherWithin)
+		is.True(time.Since(began) < followerTimeout)
 	})
 }
--- a/internal/serverlimit/client.go
+++ b/internal/serverlimit/client.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// askWithin bounds one question. Calls that are to be answered within a tenth of a second
-	// wait for it.
-	askWithin = 100 * time.Millisecond
-	// awayFor is for how long nobody is asked after no answer came: each question costs a
-	// request askWithin.
-	awayFor = time.Second
+	// requestTimeout bounds one request to the leader. Calls that must be answered within a tenth
+	// of a second wait for it.
+	requestTimeout = 100 * time.Millisecond
+	// unreachableFor is for how long the leader is not queried after it did not answer: each
+	// query delays a call by requestTimeout.
+	unreachableFor = time.Second
 )
 
-// Client asks the leading control VM. It implements forwarder.Limits.
+// Client requests permissions from the leading control VM. It implements forwarder.Limits.
 type Client struct {
 	Dialer peer.Dialer
-	// Leader is the peer address of the control VM that leads, empty if none is known.
+	// Leader returns the peer address of the leading control VM, empty if none is known.
 	Leader func() string
 	Logger *slog.Logger
 
 	mutex sync.Mutex
-	// away is until when the control VM awayAt is not asked, which did not answer.
-	away   time.Time
-	awayAt string
-	asked  peer.Questions[message.LimitAsk, message.LimitAnswer]
+	// unreachableUntil is until when the control VM unreachable, which did not answer, is not
+	// queried.
+	unreachableUntil time.Time
+	unreachable      string
+	requests         peer.Questions[message.LimitAsk, message.LimitAnswer]
 }
 
 var _ forwarder.Limits = (*Client)(nil)
 
-// Prepare makes the client ready; it must be called before all else.
+// Prepare initialises the client; it must be called before any other method.
 func (c *Client) Prepare() {
-	c.asked = peer.Questions[message.LimitAsk, message.LimitAnswer]{
+	c.requests = peer.Questions[message.LimitAsk, message.LimitAnswer]{
 		Dialer:   c.Dialer,
 		Numbered: func(q message.LimitAsk, number uint64) message.LimitAsk { q.ID = number; return q },
 		Number:   func(a message.LimitAnswer) uint64 { return a.ID },
@@ -48,63 +49,64 @@
 	}
 }
 
-// Permit implements forwarder.Limits. Without a control VM that counts nothing is permitted:
-// forwarders that each allowed themselves a part would send more together than any of them
-// can know.
-func (c *Client) Permit(ctx context.Context, ask forwarder.LimitAsk) forwarder.Permission {
+// Permit implements forwarder.Limits. Without a control VM that counts, nothing is permitted: if each
+// forwarder allowed itself a part of the limit, all together could exceed it, and no forwarder could
+// detect that.
+func (c *Client) Permit(ctx context.Context, request forwarder.LimitAsk) forwarder.Permission {
 	leader := c.Leader()
-	if wait := c.waits(leader); wait > 0 {
+	if wait := c.backoff(leader); wait > 0 {
 		return forwarder.Permission{After: wait}
 	}
-	asking, cancel := context.WithTimeout(ctx, askWithin)
+	requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	answer, err := c.asked.Ask(asking, leader, message.LimitAsk{
-		Step: message.LimitAsked, Server: ask.Server.Start(), PerSecond: ask.PerSecond, Age: ask.Age,
+	answer, err := c.requests.Ask(requestCtx, leader, message.LimitAsk{
+		Step: message.LimitAsked, Server: request.Server.Start(), PerSecond: request.PerSecond, Age: request.Age,
 	})
 	switch {
 	case err != nil && ctx.Err() != nil:
-		return forwarder.Permission{} // the caller has left, which tells nothing of the server
+		return forwarder.Permission{} // the caller cancelled the request, which says nothing about the server
 	case err != nil:
-		c.asked.Drop(leader)
-		c.Logger.Info("no control VM counts for a limited server", "control", leader, "server", ask.Server.Instance, "error", err)
+		c.requests.Drop(leader)
+		c.Logger.Info("no control VM counts for a limited server", "control", leader, "server", request.Server.Instance, "error", err)
 		fallthrough
 	case !answer.Counted:
-		return forwarder.Permission{After: c.isAway(leader)}
+		return forwarder.Permission{After: c.markUnreachable(leader)}
 	}
 	return forwarder.Permission{Granted: answer.Granted, Ended: answer.Ended, After: answer.After}
 }
 
-// waits is for how long the control VM that leads is not to be asked.
-func (c *Client) waits(leader string) time.Duration {
+// backoff returns for how long the leader must not be queried.
+func (c *Client) backoff(leader string) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if leader == "" {
-		return awayFor
+		return unreachableFor
 	}
-	if leader != c.awayAt {
+	if leader != c.unreachable {
 		return 0
 	}
-	return time.Until(c.away)
+	return time.Until(c.unreachableUntil)
 }
 
-// isAway has a control VM not be asked for a while.
-func (c *Client) isAway(leader string) time.Duration {
+// markUnreachable records that a control VM did not answer, and returns for how long it is not
+// queried.
+func (c *Client) markUnreachable(leader string) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.awayAt, c.away = leader, time.Now().Add(awayFor)
-	return awayFor
+	c.unreachable, c.unreachableUntil = leader, time.Now().Add(unreachableFor)
+	return unreachableFor
 }
 
 // Return implements forwarder.Limits.
 func (c *Client) Return(server message.BackendServer) {
-	c.asked.Tell(c.Leader(), message.LimitAsk{Step: message.LimitReturned, Server: server.Start()})
+	c.requests.Tell(c.Leader(), message.LimitAsk{Step: message.LimitReturned, Server: server.Start()})
 }
 
-// Ended implements forwarder.Limits. A forwarder that never asked has no session to tell it
-// over; others learn it by their own requests then.
+// Ended implements forwarder.Limits. A forwarder that has never requested a permission has no session
+// over which to report the end of a limit; the other forwarders then detect it by their own requests.
 func (c *Client) Ended(server message.BackendServer, age time.Duration) {
-	c.asked.Tell(c.Leader(), message.LimitAsk{Step: message.LimitEnded, Server: server.Start(), Age: age})
+	c.requests.Tell(c.Leader(), message.LimitAsk{Step: message.LimitEnded, Server: server.Start(), Age: age})
 }
 
-// Close ends the sessions.
-func (c *Client) Close() { c.asked.Close() }
+// Close closes the sessions.
+func (c *Client) Close() { c.requests.Close() }
