--- a/internal/crashreports/disk_store_test.go
+++ b/internal/crashreports/disk_store_test.go
@@ -40,7 +40,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("%s was not written within a second", path)
+	t.Fatal("the file was not written within a second")
 }
 
 // Reports are loaded after a restart, with their age. A damaged file is ignored.
--- a/internal/heldbytes/account.go
+++ b/internal/heldbytes/account.go
@@ -1,10 +1,10 @@
-// Package heldbytes accounts for the bytes that a process holds for others: bodies that
-// callers send, and answers of backend servers that callers have not taken yet. Their sum
-// is bounded, and so is the part of each peer.
+// Package heldbytes accounts for the bytes that a process holds for its peers: request bodies
+// that callers send, and answers of backend servers that callers have not read yet. Their sum is
+// bounded, and so is the share of each peer.
 //
-// Each body and each answer has a bound of its own, but a process is ended for the sum: a
-// hundred callers that each stay within their bound, and send or read slowly, take all
-// memory of a small VM, and every request in progress is lost with it.
+// Each body and each answer has a bound of its own, but a process is killed for the sum: a hundred
+// callers that each stay within their bound, and send or read slowly, use all memory of a small VM,
+// and every request in progress is lost with the process.
 package heldbytes
 
 import (
@@ -13,13 +13,13 @@
 	"sync"
 )
 
-// Kind is what bytes are held of.
+// Kind is the kind of data that bytes are held for.
 type Kind string
 
 // Kinds of bytes.
 const (
-	Request Kind = "request" // bodies of requests, until they are answered
-	Answer  Kind = "answer"  // bodies of answers, until their callers have taken them
+	Request Kind = "request" // request bodies, until the request is answered
+	Answer  Kind = "answer"  // answer bodies, until the caller has read them
 )
 
 // Kinds lists every kind.
@@ -27,28 +27,28 @@
 
 // Defaults of Config.
 const (
-	// DefaultPeerShare leaves half of the bytes to others, whatever one peer does.
+	// DefaultPeerShare leaves half of the bytes to other peers, however much one peer uses.
 	DefaultPeerShare = 0.5
-	// DefaultSmallShare is kept for small bodies.
+	// DefaultSmallShare is reserved for small bodies.
 	DefaultSmallShare = 0.25
 )
 
-// SmallBytes is the most that a small body holds: pings and prompts of usual length.
+// SmallBytes is the largest size of a small body, such as a ping or a prompt of usual length.
 const SmallBytes = 16 << 10
 
 // Config sets up an Account.
 type Config struct {
-	// Limit bounds all that is held, in bytes; zero bounds nothing.
+	// Limit bounds the sum of all held bytes; zero means no bound.
 	Limit int64
-	// PeerShare is the part of the limit that may be held for one peer; zero means
+	// PeerShare is the share of the limit that may be held for one peer; zero means
 	// DefaultPeerShare.
 	PeerShare float64
-	// SmallShare is the part of the limit that only small bodies may use; zero means
+	// SmallShare is the share of the limit that only small bodies may use; zero means
 	// DefaultSmallShare.
 	SmallShare float64
 }
 
-// Account counts the bytes that are held. A nil account bounds nothing.
+// Account counts the held bytes. A nil account has no bound.
 type Account struct {
 	limit, peer, large int64
 
@@ -59,7 +59,7 @@
 	refused map[Kind]uint64
 }
 
-// New returns an account in which nothing is held.
+// New returns an account without held bytes.
 func New(c Config) *Account {
 	part := func(share float64) int64 { return int64(share * float64(c.Limit)) }
 	return &Account{
@@ -72,7 +72,7 @@
 	}
 }
 
-// Limit is the most that is held, zero if there is no bound.
+// Limit returns the largest number of bytes that may be held, zero if there is no bound.
 func (a *Account) Limit() int64 {
 	if a == nil {
 		return 0
@@ -80,28 +80,28 @@
 	return a.limit
 }
 
-// Held is how many bytes of a kind are held.
+// Held returns the number of held bytes of a kind.
 func (a *Account) Held(k Kind) int64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.kinds[k]
 }
 
-// Refused is how often there was no room for bytes of a kind.
+// Refused returns how often bytes of a kind were refused because a bound was reached.
 func (a *Account) Refused(k Kind) uint64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.refused[k]
 }
 
-// Open returns a holding of nothing yet. The peer names for whom it is, such as an IP;
-// empty names nobody, and then only the sum is bounded.
+// Open returns an empty holding. The peer identifies for whom the bytes are held, such as an IP; if
+// it is empty, only the sum is bounded.
 func (a *Account) Open(k Kind, peer string) *Holding {
 	return &Holding{account: a, kind: k, peer: peer}
 }
 
-// fault tells why a holding can't grow by n bytes, nil if it can. The mutex is held.
-func (a *Account) fault(h *Holding, n int64) *FullError {
+// checkBounds returns an error if a holding can't grow by n bytes. The caller holds the mutex.
+func (a *Account) checkBounds(h *Holding, n int64) *FullError {
 	full := &FullError{Kind: h.kind, Asked: n, Held: a.held, Limit: a.limit}
 	switch {
 	case a.limit == 0:
@@ -121,8 +121,7 @@
 	return nil
 }
 
-// add notes that n more bytes are held; negative ones have been given back. The mutex is
-// held.
+// add adds n bytes to the counts; a negative n releases bytes. The caller holds the mutex.
 func (a *Account) add(h *Holding, n int64) {
 	h.bytes += n
 	a.held += n
@@ -135,7 +134,8 @@
 	}
 }
 
-// Holding is what is held for one body. Its methods may be called from several goroutines.
+// Holding counts the bytes that are held for one body. Its methods are safe for use by several
+// goroutines.
 type Holding struct {
 	account *Account
 	kind    Kind
@@ -145,7 +145,7 @@
 	closed bool
 }
 
-// Grow holds n more bytes. The error is a *FullError if there is no room for them, and a
+// Grow adds n bytes to the holding. The error is a *FullError if a bound would be exceeded, and a
 // *ClosedError after Close.
 func (h *Holding) Grow(n int64) error {
 	if h == nil || h.account == nil {
@@ -157,7 +157,7 @@
 	if h.closed {
 		return &ClosedError{Kind: h.kind}
 	}
-	if full := a.fault(h, n); full != nil {
+	if full := a.checkBounds(h, n); full != nil {
 		a.refused[h.kind]++
 		return full
 	}
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// Shrink gives n bytes back, at most what is held.
+// Shrink releases n bytes, but no more than are held.
 func (h *Holding) Shrink(n int64) {
 	if h == nil || h.account == nil {
 		return
@@ -175,7 +175,7 @@
 	h.account.add(h, -min(n, h.bytes))
 }
 
-// Close gives everything back, for good.
+// Close releases all bytes. The holding can't grow afterwards.
 func (h *Holding) Close() {
 	if h == nil || h.account == nil {
 		return
@@ -186,10 +186,10 @@
 	h.closed = true
 }
 
-// FullError tells that there is no room for more bytes.
+// FullError means that more bytes would exceed a bound.
 type FullError struct {
 	Kind Kind
-	// Peer is set if the part of one peer is used up, and not the whole.
+	// Peer is set if the share of one peer is used up, and not the bound of the whole account.
 	Peer bool
 	// Asked, Held and Limit are in bytes.
 	Asked, Held, Limit int64
@@ -205,10 +205,10 @@
 		e.Asked, e.Kind, e.Held, e.Limit, whose)
 }
 
-// ClosedError tells that a holding grew after it had been given back.
+// ClosedError means that a holding was to grow after Close.
 type ClosedError struct{ Kind Kind }
 
 // Error implements error.
 func (e *ClosedError) Error() string {
-	return fmt.Sprintf("heldbytes: a body (%s) is not wanted any more", e.Kind)
+	return fmt.Sprintf("heldbytes: the holding of a body (%s) is closed", e.Kind)
 }
--- a/internal/heldbytes/account_test.go
+++ b/internal/heldbytes/account_test.go
@@ -18,22 +18,22 @@
 
 const mega = 1 << 20
 
-// Guards against a sum of bodies that nothing bounds.
+// Guards against an unbounded sum of bodies.
 func TestSumIsBounded(t *testing.T) {
 	is := is.New(t)
 	a := New(Config{Limit: 40 * mega, PeerShare: 1})
-	taken := 0
+	accepted := 0
 	for range 120 {
 		if a.Open(Request, "10.0.0.1").Grow(3900<<10) == nil {
-			taken++
+			accepted++
 		}
 	}
-	is.Equal(taken, 7) // 30 of 40 MB: the rest is for small bodies
+	is.Equal(accepted, 7) // 30 of 40 MB: the remaining 10 MB are for small bodies
 	is.NoErr(a.Open(Request, "10.0.0.2").Grow(5000))
 }
 
-// Guards against one peer that takes what the others need.
-func TestPartOfAPeerIsBounded(t *testing.T) {
+// Guards against one peer that uses the bytes that other peers need.
+func TestShareOfAPeerIsBounded(t *testing.T) {
 	is := is.New(t)
 	a := New(Config{Limit: 40 * mega})
 	for range 5 {
@@ -47,7 +47,7 @@
 	is.Equal(a.Refused(Request), uint64(1))
 }
 
-// Guards against bytes that stay counted, or are given back twice, however bodies end.
+// Guards against bytes that are never released or are released twice, in whatever way bodies end.
 func TestEverythingComesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := New(Config{Limit: mega})
@@ -85,20 +85,20 @@
 				sum += n
 			}
 			if got := a.Held(Request) + a.Held(Answer); got != sum || got > mega {
-				t.Fatalf("%d bytes are counted, %d are held of %d", got, sum, mega)
+				t.Fatalf("%d bytes are counted, %d are held, the limit is %d", got, sum, mega)
 			}
 		}
 		for _, h := range open {
 			h.Close()
 		}
 		if a.Held(Request) != 0 || a.Held(Answer) != 0 || len(a.peers) != 0 {
-			t.Fatalf("left over: %v %v", a.kinds, a.peers)
+			t.Fatalf("bytes still counted after Close: %v %v", a.kinds, a.peers)
 		}
 	})
 }
 
-// Guards against a body that is cut short and passes for a whole one.
-func TestReadTellsAnEarlyEnd(t *testing.T) {
+// Guards against a truncated body that is accepted as complete.
+func TestReadDetectsTruncation(t *testing.T) {
 	is := is.New(t)
 	a := New(Config{Limit: mega})
 	text := strings.Repeat("x", 100<<10)
@@ -121,7 +121,7 @@
 
 func (f *failing) Read([]byte) (int, error) { return 0, f.err }
 
-// Guards against bodies that take the memory of a control VM, told their length or not.
+// Guards against bodies that use up the memory of a control VM, with and without a declared length.
 func TestGuardBoundsBodies(t *testing.T) {
 	is := is.New(t)
 	a := New(Config{Limit: mega})
@@ -151,7 +151,7 @@
 	is.Equal(a.Held(Request), int64(0))
 }
 
-// Guards against a slow sender that keeps a connection and its memory.
+// Guards against a slow sender that occupies a connection and its memory.
 func TestGuardEndsSlowBodies(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan error, 1)
@@ -169,26 +169,26 @@
 	is.True(errors.Is(<-ended, os.ErrDeadlineExceeded))
 }
 
-// zeros never ends.
+// zeros is an endless reader.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// TestReservingServesMoreThanCounting holds the two ways to account for uploads against each
-// other, under more callers than there is room for: bytes that are reserved by the length
-// told beforehand, and bytes that are counted as they come.
+// TestReservingServesMoreThanCounting compares two methods of accounting for uploads with more
+// callers than the limit allows: reserving a body's declared length before it is read, and counting
+// its bytes as they arrive.
 func TestReservingServesMoreThanCounting(t *testing.T) {
 	is := is.New(t)
 	const uploads, size, step = 120, 3900 << 10, 64 << 10
 	reserved := New(Config{Limit: 40 * mega, PeerShare: 1})
-	whole, thrownAway := 0, 0
+	complete, discarded := 0, 0
 	for range uploads {
 		if reserved.Open(Request, "p").Grow(size) == nil {
-			whole++
+			complete++
 		}
 	}
 	counted := New(Config{Limit: 40 * mega, PeerShare: 1})
-	wholeCounted := 0
+	completeCounted := 0
 	holdings := make([]*Holding, uploads)
 	for i := range holdings {
 		holdings[i] = counted.Open(Request, "p")
@@ -199,18 +199,18 @@
 		h := live[i]
 		switch {
 		case h.bytes >= size:
-			wholeCounted++
+			completeCounted++
 		case h.Grow(step) != nil:
-			thrownAway += int(h.bytes)
+			discarded += int(h.bytes)
 			h.Close()
 		default:
 			continue
 		}
 		live = append(live[:i:i], live[i+1:]...)
 	}
-	t.Logf("whole: %d reserved, %d counted; %d bytes read in vain", whole, wholeCounted, thrownAway)
-	is.True(whole >= wholeCounted)
-	is.True(thrownAway > 0)
+	t.Logf("complete uploads: %d reserved, %d counted; %d bytes read and discarded", complete, completeCounted, discarded)
+	is.True(complete >= completeCounted)
+	is.True(discarded > 0)
 }
 
 func BenchmarkHolding(b *testing.B) {
--- a/internal/heldbytes/read.go
+++ b/internal/heldbytes/read.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// pieceBytes is by how much a body of unknown length grows at a time.
+// pieceBytes is the size of the pieces in which a body of unknown length is read.
 const pieceBytes = 32 << 10
 
-// Read reads a body of a length, or to its end if the length is negative, and holds its
-// bytes. A body whose length is known is held before the first byte is read: one that there
-// is no room for is refused at once, and not after most of it was sent.
+// Read reads a body of the given length, or to its end if the length is negative, and counts its
+// bytes as held. The bytes of a body with a known length are counted before the first byte is read:
+// a body that would exceed a bound is refused at once, and not after most of it was sent.
 func (h *Holding) Read(r io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return h.readToEnd(r)
@@ -28,8 +28,8 @@
 	return body, nil
 }
 
-// readToEnd holds the pieces of a body before they are read, and once more while they are
-// joined.
+// readToEnd counts the pieces of a body before they are read. While they are joined, it counts the
+// joined body in addition.
 func (h *Holding) readToEnd(r io.Reader) ([]byte, error) {
 	var pieces [][]byte
 	size := 0
@@ -50,8 +50,8 @@
 	}
 }
 
-// Fill reads until a piece is full. Unlike that of io.ReadFull its error tells the proper
-// end of a body from one that came early.
+// Fill reads until a piece is full. Unlike io.ReadFull, it returns the reader's own error, which
+// distinguishes the regular end of a body from a truncated body.
 func Fill(r io.Reader, piece []byte) (int, error) {
 	n := 0
 	for n < len(piece) {
@@ -82,14 +82,15 @@
 // Guard bounds the bodies of the requests that a handler reads.
 type Guard struct {
 	Account *Account
-	// Within is the time in which a body has to come; zero means no bound.
+	// Within is the time within which a body must be read; zero means no bound.
 	Within time.Duration
-	// Refuse answers a request whose body there is no room for, and that was not read.
+	// Refuse answers a request whose body would exceed a bound and was not read.
 	Refuse func(w http.ResponseWriter, r *http.Request, err error)
 }
 
-// Handler returns a handler whose bodies are held until it returns. One whose length is known
-// is refused before the first byte is read; reads of others fail with a *FullError.
+// Handler returns a handler that counts the bytes of each body until next returns. A body of known
+// length that would exceed a bound is refused before its first byte is read; reads of other bodies
+// fail with a *FullError.
 func (g Guard) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		held := g.Account.Open(Request, PeerOf(r.RemoteAddr))
@@ -102,13 +103,13 @@
 			r.Body = &heldBody{ReadCloser: r.Body, held: held}
 		}
 		if g.Within > 0 && r.ContentLength != 0 {
-			r.Body = &timedBody{ReadCloser: r.Body, control: http.NewResponseController(w), until: time.Now().Add(g.Within)}
+			r.Body = &timedBody{ReadCloser: r.Body, control: http.NewResponseController(w), deadline: time.Now().Add(g.Within)}
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// heldBody holds the bytes of a body as they come.
+// heldBody counts the bytes of a body as they are read.
 type heldBody struct {
 	io.ReadCloser
 	held *Holding
@@ -123,18 +124,18 @@
 	return n, err
 }
 
-// timedBody ends a body that comes too slowly.
+// timedBody fails the reads of a body that arrives too slowly.
 type timedBody struct {
 	io.ReadCloser
-	control *http.ResponseController
-	until   time.Time
+	control  *http.ResponseController
+	deadline time.Time
 }
 
-// Read implements io.Reader. The deadline goes with the end of the body: the server reads on
-// while the answer is made, to notice a caller that leaves, and would take a passed deadline
-// for that.
+// Read implements io.Reader. It removes the deadline at the end of the body: the HTTP server keeps
+// reading while the request is handled, to detect that the caller disconnects, and would treat an
+// expired deadline as a disconnect.
 func (b *timedBody) Read(p []byte) (int, error) {
-	_ = b.control.SetReadDeadline(b.until) // recorders of tests know no deadlines
+	_ = b.control.SetReadDeadline(b.deadline) // recorders in tests do not support deadlines
 	n, err := b.ReadCloser.Read(p)
 	if err != nil {
 		_ = b.control.SetReadDeadline(time.Time{})
@@ -142,7 +143,7 @@
 	return n, err
 }
 
-// PeerOf is the IP of an address, for whom bytes are held.
+// PeerOf returns the IP of an address, by which the held bytes of a peer are counted.
 func PeerOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
