--- a/internal/reducer/registry/address.go
+++ b/internal/reducer/registry/address.go
@@ -8,58 +8,58 @@
 
 // instance is one instance of a View.
 type instance struct {
-	// joined is what all sources say of it, told what was passed on.
-	joined, told message.BackendServer
-	// appeared is the round of Changes in which it became known; whole is set if it was
-	// told together with all else that a control VM knew.
+	// merged is the merged state of all sources, published the state last returned by Changes.
+	merged, published message.BackendServer
+	// appeared is the round of Changes in which the instance became known. complete is set if
+	// it was reported in a control VM's complete list.
 	appeared uint64
-	whole    bool
+	complete bool
 }
 
-// settle decides which instance has an address, and returns those at it that are to be
-// told of differently.
+// resolveAddress decides which instance has an address, and returns the instances at the address
+// whose published state has changed.
 //
-// One address is one server. One that crashes is back at its address within seconds as
-// another instance, and announces itself to whichever control VM it finds, mostly not to
-// the one that knew it before: with ten of them, nine times in ten nobody but a view
-// that joins them all can tell that the earlier instance is no more. Used on until it is
-// silent, for five seconds, each crashed engine costs a dozen prompts that are read and
-// then refused by the wrong instance: 289 of them on a day on which a fifth of 180
-// engines crashed twice.
-func (v *View) settle(address string) []message.BackendServer {
+// One address belongs to one server. A crashed server is up again at its address within seconds as
+// another instance, and announces itself to any control VM, mostly not to the one that knew the
+// earlier instance. With ten control VMs, in nine cases of ten only a view that merges the reports
+// of all of them can detect that the earlier instance has ended. If the earlier instance were used
+// until it is silent, for five seconds, each crashed engine would cost a dozen prompts that are
+// read and then refused by the wrong instance: 289 prompts on a day on which a fifth of 180 engines
+// crashed twice.
+func (v *View) resolveAddress(address string) []message.BackendServer {
 	var changed []message.BackendServer
 	var holder *instance
-	for _, name := range v.at[address] {
-		if i := v.known[name]; holder == nil || i.after(holder) {
+	for _, name := range v.byAddress[address] {
+		if i := v.instances[name]; holder == nil || i.supersedes(holder) {
 			holder = i
 		}
 	}
-	for _, name := range v.at[address] {
-		i := v.known[name]
-		server := i.joined
+	for _, name := range v.byAddress[address] {
+		i := v.instances[name]
+		server := i.merged
 		if i != holder && server.Phase == message.PhaseReady {
 			server.Phase = message.PhaseDraining
 		}
-		if server != i.told {
-			i.told = server
+		if server != i.published {
+			i.published = server
 			changed = append(changed, server)
 		}
 	}
 	return changed
 }
 
-// after reports whether an instance has taken the address of another one. Who goes on
-// announcing itself goes before who is silent: a late announcement of an instance that
-// has ended can come after those of its successor.
-func (i *instance) after(other *instance) bool {
-	a, b := i.joined, other.joined
+// supersedes reports whether an instance has taken over the address of another one. An instance that
+// continues to announce itself takes precedence over a silent one: a delayed announcement of an
+// instance that has ended can arrive after those of its successor.
+func (i *instance) supersedes(other *instance) bool {
+	a, b := i.merged, other.merged
 	switch {
 	case a.Silent != b.Silent:
 		return b.Silent
 	case a.Incarnation != 0 && b.Incarnation != 0 && a.Incarnation != b.Incarnation:
 		return a.Incarnation > b.Incarnation
-	case i.whole && other.whole && a.Sequence != b.Sequence:
-		// Neither was seen to come; who has announced itself less often is younger.
+	case i.complete && other.complete && a.Sequence != b.Sequence:
+		// Neither was observed to start. The instance with fewer announcements is younger.
 		return a.Sequence < b.Sequence
 	case i.appeared != other.appeared:
 		return i.appeared > other.appeared
--- a/internal/reducer/registry/script_test.go
+++ b/internal/reducer/registry/script_test.go
@@ -14,15 +14,15 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// scriptStart is when scripts begin.
+// scriptStart is the time at which scripts begin.
 var scriptStart = time.Date(2131, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// script is one control VM, or one forwarder that several of them tell.
+// script simulates one control VM, or one forwarder that receives the reports of several.
 type script struct {
 	now   time.Time
 	state *State
 	view  *View
-	// followed is what a forwarder has that takes in each change of the view.
+	// followed are the servers of a forwarder that applies each change of the view.
 	followed Servers
 }
 
@@ -30,12 +30,12 @@
 // control VM, a block "view" one forwarder; each line of a block is an event:
 //
 //	announce INSTANCE ADDRESS PHASE SEQUENCE [ROLE]
-//	withdraw INSTANCE | changes INSTANCE FOR | pass FOR
-//	told CONTROL [whole] INSTANCE[/HOST]:PHASE:SEQUENCE[:silent]...
+//	withdraw INSTANCE | change-role INSTANCE DURATION | wait DURATION
+//	report CONTROL [complete] INSTANCE[/HOST]:PHASE:SEQUENCE[:silent]...
 //	lost CONTROL
 //
-// INSTANCE@N is the start N of an instance that says which start it is. HOST is where
-// it is, by itself unless said.
+// INSTANCE@N is incarnation N of an instance that reports its incarnation. HOST is the host of its
+// address; the default is the instance's name.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		s := &script{now: scriptStart, state: New(Config{}), view: NewView(), followed: Servers{}}
@@ -46,7 +46,7 @@
 				if d.Cmd == "control" {
 					s.control(t, words, &out)
 				} else {
-					s.tell(t, words)
+					s.updateView(t, words)
 				}
 			}
 			list := s.state.Servers()
@@ -78,33 +78,33 @@
 	case "withdraw":
 		name, incarnation := start(t, words[1])
 		event = Withdrawn{At: s.now, Instance: name, Incarnation: incarnation}
-	case "changes":
+	case "change-role":
 		name, incarnation := start(t, words[1])
 		event = RoleChangeOrdered{Instance: name, Incarnation: incarnation, Until: s.now.Add(duration(t, words[2]))}
-	case "pass":
+	case "wait":
 		s.now = s.now.Add(duration(t, words[1]))
 		event = Ticked{At: s.now}
 	}
 	for _, effect := range Reduce(s.state, event) {
-		fmt.Fprintln(out, "tell "+text(effect.(Changed).Server))
+		fmt.Fprintln(out, "send "+text(effect.(Changed).Server))
 	}
 }
 
-// follow takes in what has changed in the view, and lists all that is known then.
+// follow applies the changes of the view, and lists all servers that are known then.
 func (s *script) follow() []message.BackendServer {
 	s.followed.Apply(s.view.Changes(s.now))
 	return s.followed.List()
 }
 
-func (s *script) tell(t *testing.T, words []string) {
+func (s *script) updateView(t *testing.T, words []string) {
 	t.Helper()
 	switch words[0] {
-	case "pass":
+	case "wait":
 		s.now = s.now.Add(duration(t, words[1]))
 	case "lost":
 		s.view.Lost(s.now, words[1])
-	case "told":
-		whole := len(words) > 2 && words[2] == "whole"
+	case "report":
+		complete := len(words) > 2 && words[2] == "complete"
 		var servers []message.BackendServer
 		for _, word := range words[2:] {
 			if parts := strings.Split(word, ":"); len(parts) > 2 {
@@ -119,7 +119,7 @@
 				})
 			}
 		}
-		s.view.Update(s.now, words[1], whole, servers)
+		s.view.Update(s.now, words[1], complete, servers)
 	}
 }
 
@@ -141,11 +141,11 @@
 	return strings.Join(words, " ")
 }
 
-// start splits INSTANCE or INSTANCE@N.
+// start parses INSTANCE or INSTANCE@N.
 func start(t *testing.T, word string) (string, uint64) {
 	t.Helper()
-	name, number, says := strings.Cut(word, "@")
-	if !says {
+	name, number, found := strings.Cut(word, "@")
+	if !found {
 		return name, 0
 	}
 	return name, count(t, number)
--- a/internal/reducer/registry/state.go
+++ b/internal/reducer/registry/state.go
@@ -1,6 +1,6 @@
-// Package registry is the reducer of what a control VM knows of the backend
-// servers that announce themselves to it, and the view in which a forwarder joins
-// what several control VMs tell. It is pure: time comes in events.
+// Package registry is the reducer that holds, in a control VM, the backend servers that
+// announce themselves to it, and the view in which a forwarder merges the reports of several
+// control VMs. It is pure: time comes in events.
 package registry
 
 import (
@@ -14,45 +14,46 @@
 
 // Defaults of Config.
 const (
-	// DefaultSilentAfter is three missed announcements of the slowest period
-	// in use (1.5 s) and a little.
+	// DefaultSilentAfter is three missed announcements at the longest period in
+	// use (1.5 s), and some margin.
 	DefaultSilentAfter = 5 * time.Second
-	// DefaultForgetAfter is longer than any announcement is late: until then a
-	// late one of a server that is gone can be told from a new server.
+	// DefaultForgetAfter is longer than any announcement is delayed: until then a
+	// delayed announcement of a server that has left can be distinguished from a
+	// new server.
 	DefaultForgetAfter = 2 * time.Minute
 )
 
 // Config sets up a State.
 type Config struct {
-	// SilentAfter is how long a server may say nothing before it is passed on
-	// as silent; zero means DefaultSilentAfter.
+	// SilentAfter is the time without an announcement after which a server is
+	// reported as silent; zero means DefaultSilentAfter.
 	SilentAfter time.Duration
-	// ForgetAfter is how long a server that is gone or silent is remembered;
-	// zero means DefaultForgetAfter.
+	// ForgetAfter is how long a server is kept that has left or is silent; zero
+	// means DefaultForgetAfter.
 	ForgetAfter time.Duration
 }
 
-// State is what one control VM knows. Only Reduce changes it.
+// State holds the servers that one control VM knows. Only Reduce changes it.
 type State struct {
 	config  Config
-	servers map[string]*known
-	// changing are the instances that change their role. One may have announced
-	// itself to other control VMs only.
-	changing map[string]change
+	servers map[string]*entry
+	// changing holds the instances that change their role. Such an instance may
+	// have announced itself to other control VMs only.
+	changing map[string]roleChange
 	// holders names, for each address, the instance that announced it last.
 	holders map[string]string
 }
 
-// known is one instance and when it was last heard of.
-type known struct {
-	server message.BackendServer
-	heard  time.Time
+// entry is one instance and the time of its last announcement.
+type entry struct {
+	server      message.BackendServer
+	announcedAt time.Time
 	// superseded is set while another instance holds the address.
 	superseded bool
 }
 
-// change is a start of an instance that changes its role until a time.
-type change struct {
+// roleChange is a role change of one incarnation of an instance, which takes until a time.
+type roleChange struct {
 	incarnation uint64
 	until       time.Time
 }
@@ -61,7 +62,7 @@
 func New(c Config) *State {
 	c.SilentAfter = cmp.Or(c.SilentAfter, DefaultSilentAfter)
 	c.ForgetAfter = cmp.Or(c.ForgetAfter, DefaultForgetAfter)
-	return &State{config: c, servers: map[string]*known{}, changing: map[string]change{}, holders: map[string]string{}}
+	return &State{config: c, servers: map[string]*entry{}, changing: map[string]roleChange{}, holders: map[string]string{}}
 }
 
 // Event changes a State.
@@ -73,69 +74,69 @@
 	Server message.BackendServer
 }
 
-// Withdrawn says that an instance leaves for good. Incarnation is the start that
-// leaves, zero if the instance did not say.
+// Withdrawn reports that an instance has left permanently. Incarnation is the
+// incarnation that has left, zero if the instance did not report it.
 type Withdrawn struct {
 	At          time.Time
 	Instance    string
 	Incarnation uint64
 }
 
-// RoleChangeOrdered says that a start of an instance is about to be ordered to change its
-// role, and is away until a time.
+// RoleChangeOrdered reports that an incarnation of an instance is about to be ordered to change its
+// role, and is not available until a time.
 type RoleChangeOrdered struct {
 	Instance    string
 	Incarnation uint64
 	Until       time.Time
 }
 
-// Ticked passes time.
+// Ticked reports the current time.
 type Ticked struct{ At time.Time }
 
-func (Announced) isRegistryEvent()   {}
-func (Withdrawn) isRegistryEvent()   {}
+func (Announced) isRegistryEvent()         {}
+func (Withdrawn) isRegistryEvent()         {}
 func (RoleChangeOrdered) isRegistryEvent() {}
-func (Ticked) isRegistryEvent()      {}
+func (Ticked) isRegistryEvent()            {}
 
-// Effect is what the caller of Reduce has to do.
+// Effect is an action that the caller of Reduce must carry out.
 type Effect interface{ isRegistryEffect() }
 
-// Changed asks to pass a server on to all that watch.
+// Changed requests that a server's state be sent to all watchers.
 type Changed struct{ Server message.BackendServer }
 
 func (Changed) isRegistryEffect() {}
 
-// Reduce moves the state on and returns what is to be done.
+// Reduce applies one event and returns the effects that the caller must carry out.
 func Reduce(s *State, event Event) []Effect {
 	switch e := event.(type) {
 	case Announced:
-		return s.announced(e)
+		return s.applyAnnouncement(e)
 	case Withdrawn:
-		return s.withdrawn(e)
+		return s.applyWithdrawal(e)
 	case RoleChangeOrdered:
-		return s.roleChanges(e)
+		return s.applyRoleChange(e)
 	case Ticked:
-		return s.ticked(e.At)
+		return s.expire(e.At)
 	}
 	return nil
 }
 
-// Servers returns all that is known, in the order of the instances' names.
+// Servers returns all known servers, in the order of the instances' names.
 func (s *State) Servers() []message.BackendServer {
 	list := make([]message.BackendServer, 0, len(s.servers))
 	for _, name := range slices.Sorted(maps.Keys(s.servers)) {
-		list = append(list, s.told(name))
+		list = append(list, s.published(name))
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.changing)) {
 		if s.servers[name] == nil {
-			list = append(list, s.told(name))
+			list = append(list, s.published(name))
 		}
 	}
 	return list
 }
 
-// told is an instance as others are told of it.
-func (s *State) told(instance string) message.BackendServer {
+// published returns the state of an instance that is sent to watchers.
+func (s *State) published(instance string) message.BackendServer {
 	k := s.servers[instance]
 	c, changing := s.changing[instance]
 	if k == nil {
@@ -151,66 +152,67 @@
 	return server
 }
 
-func (s *State) roleChanges(e RoleChangeOrdered) []Effect {
+func (s *State) applyRoleChange(e RoleChangeOrdered) []Effect {
 	if k := s.servers[e.Instance]; k != nil && k.server.Incarnation > e.Incarnation {
-		return nil // it has started again and knows of no order
+		return nil // the instance has restarted and does not have the order
 	}
-	s.changing[e.Instance] = change{incarnation: e.Incarnation, until: e.Until}
-	return []Effect{Changed{Server: s.told(e.Instance)}}
+	s.changing[e.Instance] = roleChange{incarnation: e.Incarnation, until: e.Until}
+	return []Effect{Changed{Server: s.published(e.Instance)}}
 }
 
-func (s *State) announced(e Announced) []Effect {
+func (s *State) applyAnnouncement(e Announced) []Effect {
 	k := s.servers[e.Server.Instance]
 	if k == nil || e.Server.Incarnation > k.server.Incarnation {
-		return s.started(e)
+		return s.addIncarnation(e)
 	}
 	if e.Server.Incarnation < k.server.Incarnation {
-		// A late announcement of an earlier start. Were it taken, requests would be
-		// sent by what the earlier one held, and an end that it told would end the
-		// later one.
+		// A delayed announcement of an earlier incarnation. If it were applied,
+		// requests would be routed by the earlier incarnation's state, and if it
+		// reported the end of the earlier incarnation, the later one would count as
+		// ended.
 		return nil
 	}
 	if e.Server.Sequence <= k.server.Sequence {
-		// A late or doubled announcement tells nothing new. Were it taken, a
-		// server that said it drains would be ready again.
+		// A delayed or duplicate announcement. If it were applied, a draining
+		// server would count as ready again.
 		return nil
 	}
-	before := s.told(e.Server.Instance)
+	before := s.published(e.Server.Instance)
 	phase := k.server.Phase
-	k.server, k.heard = e.Server, e.At
+	k.server, k.announcedAt = e.Server, e.At
 	if phase.After(k.server.Phase) {
 		k.server.Phase = phase
 	}
-	effects := s.hold(k)
-	if after := s.told(e.Server.Instance); worthTelling(before, after) {
+	effects := s.assignAddress(k)
+	if after := s.published(e.Server.Instance); relevantChange(before, after) {
 		effects = append(effects, Changed{Server: after})
 	}
 	return effects
 }
 
-// started takes in an instance that is new here, or that has started again under its
-// name: it counts its announcements anew, and nothing of before holds for it. Were
-// its numbers compared with the earlier start's, it would stay unknown for as long
-// as that one had been there.
-func (s *State) started(e Announced) []Effect {
+// addIncarnation adds an instance that is new here, or that has restarted under its name. A
+// restarted instance numbers its announcements from the beginning, and nothing of the earlier
+// incarnation applies to it. If its numbers were compared with the earlier incarnation's, its
+// announcements would be ignored for as long as the earlier incarnation had existed.
+func (s *State) addIncarnation(e Announced) []Effect {
 	name := e.Server.Instance
 	if c, changing := s.changing[name]; changing && c.incarnation < e.Server.Incarnation {
 		delete(s.changing, name)
 	}
-	k := &known{server: e.Server, heard: e.At}
+	k := &entry{server: e.Server, announcedAt: e.At}
 	if earlier := s.servers[name]; earlier != nil && s.holders[earlier.server.Address] == name {
 		delete(s.holders, earlier.server.Address)
 	}
 	s.servers[name] = k
-	return append(s.hold(k), Changed{Server: s.told(name)})
+	return append(s.assignAddress(k), Changed{Server: s.published(name)})
 }
 
-// hold gives the server's address to it, and takes it from the instance that
-// had it. One address is one server: what is sent to the earlier instance would
-// reach the later one, which is perhaps of another service. An instance that
-// goes on announcing itself gets the address back, since the other one can have
-// been a late announcement of the dead.
-func (s *State) hold(k *known) []Effect {
+// assignAddress records the server as the holder of its address, in place of the previous holder.
+// One address belongs to one server: requests to the previous instance would reach the new one,
+// which may belong to another service. A previous holder that continues to announce itself gets the
+// address back, because the announcement of the other instance may have been a delayed one of an
+// instance that has ended.
+func (s *State) assignAddress(k *entry) []Effect {
 	if k.server.Phase == message.PhaseGone {
 		return nil
 	}
@@ -221,29 +223,29 @@
 		return nil
 	}
 	holder.superseded = true
-	return []Effect{Changed{Server: s.told(holder.server.Instance)}}
+	return []Effect{Changed{Server: s.published(holder.server.Instance)}}
 }
 
-// worthTelling reports whether a change matters to forwarders; a sequence number
-// that merely grows does not.
-func worthTelling(before, after message.BackendServer) bool {
+// relevantChange reports whether a change matters to forwarders. A higher sequence number alone does
+// not.
+func relevantChange(before, after message.BackendServer) bool {
 	before.Sequence, before.SlowFor = after.Sequence, after.SlowFor
 	return before != after
 }
 
-func (s *State) withdrawn(e Withdrawn) []Effect {
+func (s *State) applyWithdrawal(e Withdrawn) []Effect {
 	k := s.servers[e.Instance]
 	if k != nil && e.Incarnation != 0 && e.Incarnation < k.server.Incarnation {
-		return nil // the last word of an earlier start
+		return nil // the withdrawal of an earlier incarnation
 	}
 	if k == nil || e.Incarnation > k.server.Incarnation {
 		// The announcements went to another control VM, or to this one before
-		// its restart. The end is remembered, so that a late announcement does
-		// not bring the server back.
-		k = &known{server: message.BackendServer{Instance: e.Instance, Incarnation: e.Incarnation}}
+		// its restart. The withdrawal is recorded, so that a delayed announcement
+		// does not add the server again.
+		k = &entry{server: message.BackendServer{Instance: e.Instance, Incarnation: e.Incarnation}}
 		s.servers[e.Instance] = k
 	}
-	k.heard = e.At
+	k.announcedAt = e.At
 	if k.server.Phase == message.PhaseGone {
 		return nil
 	}
@@ -251,24 +253,24 @@
 	return []Effect{Changed{Server: k.server}}
 }
 
-func (s *State) ticked(at time.Time) []Effect {
+func (s *State) expire(at time.Time) []Effect {
 	var effects []Effect
 	for _, name := range slices.Sorted(maps.Keys(s.changing)) {
 		if !at.Before(s.changing[name].until) {
 			delete(s.changing, name)
-			effects = append(effects, Changed{Server: s.told(name)})
+			effects = append(effects, Changed{Server: s.published(name)})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.servers)) {
 		k := s.servers[name]
-		quiet := at.Sub(k.heard)
-		if quiet >= s.config.ForgetAfter {
+		silence := at.Sub(k.announcedAt)
+		if silence >= s.config.ForgetAfter {
 			delete(s.servers, name)
 			continue
 		}
-		if quiet >= s.config.SilentAfter && !k.server.Silent {
+		if silence >= s.config.SilentAfter && !k.server.Silent {
 			k.server.Silent = true
-			effects = append(effects, Changed{Server: s.told(name)})
+			effects = append(effects, Changed{Server: s.published(name)})
 		}
 	}
 	return effects
--- a/internal/reducer/registry/view.go
+++ b/internal/reducer/registry/view.go
@@ -9,51 +9,51 @@
 )
 
 const (
-	// keepAway is how long what a control VM told is used after the session
-	// with it ended: its servers announce themselves elsewhere within two
-	// periods, and a control VM that restarts is back in seconds.
-	keepAway = 10 * time.Second
-	// keepGone is how long the end of an instance is remembered here.
-	keepGone = DefaultForgetAfter
+	// sourceLifetime is how long the reports of a control VM are used after the
+	// session with it has ended: its servers announce themselves to another one
+	// within two periods, and a control VM that restarts is up again in seconds.
+	sourceLifetime = 10 * time.Second
+	// endingLifetime is how long the end of an instance is recorded in a view.
+	endingLifetime = DefaultForgetAfter
 )
 
-// View is what a forwarder knows of the backend servers: what each control VM told
-// it, joined. It is not safe for use by several goroutines.
+// View holds the backend servers that a forwarder knows: the merged reports of all control VMs. It
+// is not safe for use by several goroutines.
 //
-// Only the instances that are told of are joined anew. With thousands of servers that
-// start within a second each of them is news of its own; were all of them joined and
-// sorted for each, 4 ms of a whole core for 3,000 of them, a small VM would do nothing
-// else for half a minute after a restart of everything, and answer no request meanwhile.
+// Only the reported instances are merged again. When thousands of servers start within a second,
+// each of them is reported separately. If every report caused all of them to be merged and sorted,
+// which takes 4 ms of a core for 3,000 of them, a small VM would do nothing else for half a minute
+// after a restart of the whole site, and answer no request in that time.
 type View struct {
 	sources map[string]*source
-	// inOrder names the sources in a fixed order, in which they are joined.
-	inOrder []string
-	// gone remembers instances that left, also if the control VM that told it
-	// has lost its memory since.
-	gone map[string]end
-	// known are the instances as of the last Changes, stale those that have been told
-	// of since.
-	known map[string]*instance
-	stale map[string]struct{}
-	// at names the instances at each address.
-	at map[string][]string
+	// sourceOrder names the sources in the fixed order in which they are merged.
+	sourceOrder []string
+	// ended records the instances that have left, also if the control VM that
+	// reported that has lost its state since.
+	ended map[string]ending
+	// instances are the instances as of the last Changes, stale those that have been
+	// reported since.
+	instances map[string]*instance
+	stale     map[string]struct{}
+	// byAddress names the instances at each address.
+	byAddress map[string][]string
 	// rounds counts the calls of Changes.
 	rounds uint64
 }
 
-// Changes is what has become different in a View.
+// Changes lists the differences of a View since the previous call of its method Changes.
 type Changes struct {
-	// Servers are those that are new or are told of differently, in the order of
-	// the instances' names.
+	// Servers are the servers that are new or have changed, in the order of the
+	// instances' names.
 	Servers []message.BackendServer
-	// Left names the instances that are not in the view any more.
+	// Left names the instances that are no longer in the view.
 	Left []string
 }
 
 // Servers holds the backend servers of a View by the names of their instances.
 type Servers map[string]message.BackendServer
 
-// Apply takes in what has changed.
+// Apply applies changes of a View.
 func (s Servers) Apply(c Changes) {
 	for _, server := range c.Servers {
 		s[server.Instance] = server
@@ -63,7 +63,7 @@
 	}
 }
 
-// List lists them in the order of the instances' names.
+// List returns the servers in the order of the instances' names.
 func (s Servers) List() []message.BackendServer {
 	list := make([]message.BackendServer, 0, len(s))
 	for _, name := range slices.Sorted(maps.Keys(s)) {
@@ -72,146 +72,147 @@
 	return list
 }
 
-// end is the start of an instance that left, and when that was told.
-type end struct {
+// ending is the incarnation of an instance that has left, and when that was reported.
+type ending struct {
 	incarnation uint64
-	told        time.Time
+	reportedAt  time.Time
 }
 
-// source is what one control VM told.
+// source holds the reports of one control VM.
 type source struct {
 	servers map[string]message.BackendServer
-	// lost is when the session ended; zero while there is one.
+	// lost is when the session ended, zero while there is a session.
 	lost time.Time
-	// atOnce is set while all that it told was told at once, with its first word.
-	atOnce bool
+	// complete is set while the only report is a complete list.
+	complete bool
 }
 
 // NewView returns an empty view.
 func NewView() *View {
 	return &View{
-		sources: map[string]*source{}, gone: map[string]end{},
-		known: map[string]*instance{}, stale: map[string]struct{}{}, at: map[string][]string{},
+		sources: map[string]*source{}, ended: map[string]ending{},
+		instances: map[string]*instance{}, stale: map[string]struct{}{}, byAddress: map[string][]string{},
 	}
 }
 
-// Update takes what a control VM told; whole replaces all that it told before.
-func (v *View) Update(at time.Time, control string, whole bool, servers []message.BackendServer) {
+// Update applies a report of a control VM. A complete report replaces all its earlier reports.
+func (v *View) Update(at time.Time, control string, complete bool, servers []message.BackendServer) {
 	s := v.sources[control]
-	if s != nil && whole {
-		v.drop(s)
+	if s != nil && complete {
+		v.markStale(s)
 	}
-	if s == nil || whole {
+	if s == nil || complete {
 		s = &source{servers: map[string]message.BackendServer{}}
 		v.sources[control] = s
-		v.inOrder = slices.Sorted(maps.Keys(v.sources))
+		v.sourceOrder = slices.Sorted(maps.Keys(v.sources))
 	}
-	s.lost, s.atOnce = time.Time{}, whole
+	s.lost, s.complete = time.Time{}, complete
 	for _, server := range servers {
 		s.servers[server.Instance] = server
 		v.stale[server.Instance] = struct{}{}
-		if server.Phase == message.PhaseGone && server.Incarnation >= v.gone[server.Instance].incarnation {
-			v.gone[server.Instance] = end{incarnation: server.Incarnation, told: at}
+		if server.Phase == message.PhaseGone && server.Incarnation >= v.ended[server.Instance].incarnation {
+			v.ended[server.Instance] = ending{incarnation: server.Incarnation, reportedAt: at}
 		}
 	}
 }
 
-// Lost notes that the session with a control VM ended.
+// Lost records that the session with a control VM has ended.
 func (v *View) Lost(at time.Time, control string) {
 	if s := v.sources[control]; s != nil && s.lost.IsZero() {
 		s.lost = at
 	}
 }
 
-// Changes returns what has become different since it was asked last.
+// Changes returns the differences since its previous call.
 func (v *View) Changes(at time.Time) Changes {
-	v.forget(at)
+	v.expire(at)
 	v.rounds++
 	var c Changes
 	touched := map[string]struct{}{}
 	for _, name := range slices.Sorted(maps.Keys(v.stale)) {
-		if left := v.rejoin(name, touched); left {
+		if left := v.refresh(name, touched); left {
 			c.Left = append(c.Left, name)
 		}
 	}
-	v.stale = map[string]struct{}{} // clearing one that has held thousands costs as if it still did
+	v.stale = map[string]struct{}{} // clearing a map that held thousands of keys takes as long as if it still held them
 	for address := range touched {
-		c.Servers = append(c.Servers, v.settle(address)...)
+		c.Servers = append(c.Servers, v.resolveAddress(address)...)
 	}
 	slices.SortFunc(c.Servers, byName)
 	return c
 }
 
-// rejoin joins anew what all sources say of an instance, and notes the addresses that
-// this concerns. It reports whether the instance has left the view.
-func (v *View) rejoin(name string, touched map[string]struct{}) (left bool) {
-	server, whole, usable := v.join(name)
-	i := v.known[name]
-	if i != nil && (!usable || i.joined.Address != server.Address) {
-		v.leave(i.joined.Address, name)
-		touched[i.joined.Address] = struct{}{}
+// refresh merges the reports of all sources on an instance again, and adds the affected addresses to
+// touched. It reports whether the instance has left the view.
+func (v *View) refresh(name string, touched map[string]struct{}) (left bool) {
+	server, complete, usable := v.merge(name)
+	i := v.instances[name]
+	if i != nil && (!usable || i.merged.Address != server.Address) {
+		v.removeFromAddress(i.merged.Address, name)
+		touched[i.merged.Address] = struct{}{}
 	}
 	if !usable {
-		delete(v.known, name)
+		delete(v.instances, name)
 		return i != nil
 	}
 	if i == nil {
-		i = &instance{appeared: v.rounds, whole: whole}
-		v.known[name] = i
+		i = &instance{appeared: v.rounds, complete: complete}
+		v.instances[name] = i
 	}
-	i.joined = server
-	if !slices.Contains(v.at[server.Address], name) {
-		v.at[server.Address] = append(v.at[server.Address], name)
+	i.merged = server
+	if !slices.Contains(v.byAddress[server.Address], name) {
+		v.byAddress[server.Address] = append(v.byAddress[server.Address], name)
 	}
 	touched[server.Address] = struct{}{}
 	return false
 }
 
-// leave takes an instance from those at an address.
-func (v *View) leave(address, name string) {
-	rest := slices.DeleteFunc(v.at[address], func(other string) bool { return other == name })
-	v.at[address] = rest
+// removeFromAddress removes an instance from the instances at an address.
+func (v *View) removeFromAddress(address, name string) {
+	rest := slices.DeleteFunc(v.byAddress[address], func(other string) bool { return other == name })
+	v.byAddress[address] = rest
 	if len(rest) == 0 {
-		delete(v.at, address)
+		delete(v.byAddress, address)
 	}
 }
 
-// join is what all sources say of an instance, and whether one of them had told of it
-// with all else that it knew; usable is false if it has left, or if nobody knows where
-// it is. Of several starts of an instance the last one counts. It is as far towards its
-// end as any control VM says; the rest is what it announced last. It is silent if it is
-// to all that told of it.
-func (v *View) join(name string) (joined message.BackendServer, whole, usable bool) {
-	for _, control := range v.inOrder {
+// merge returns the merged state of an instance over all sources, and whether one of them had
+// reported it in a complete list. usable is false if the instance has left, or if its address is not
+// known. The latest incarnation of an instance counts. Its phase is the most advanced phase that any
+// control VM reports; the rest is its latest announcement. It is silent if every control VM that
+// reports it reports it as silent.
+func (v *View) merge(name string) (merged message.BackendServer, complete, usable bool) {
+	for _, control := range v.sourceOrder {
 		s := v.sources[control]
-		if server, told := s.servers[name]; told {
-			joined = join(joined, server)
-			whole = whole || s.atOnce
+		if server, reported := s.servers[name]; reported {
+			merged = merge(merged, server)
+			complete = complete || s.complete
 		}
 	}
-	e, gone := v.gone[name]
-	return joined, whole, joined.Address != "" && (!gone || joined.Incarnation > e.incarnation)
+	e, ended := v.ended[name]
+	return merged, complete, merged.Address != "" && (!ended || merged.Incarnation > e.incarnation)
 }
 
-// drop has all that a source told of joined anew.
-func (v *View) drop(s *source) {
+// markStale marks all instances that a source has reported to be merged again.
+func (v *View) markStale(s *source) {
 	for name := range s.servers {
 		v.stale[name] = struct{}{}
 	}
 }
 
-func (v *View) forget(at time.Time) {
-	v.inOrder = slices.DeleteFunc(v.inOrder, func(name string) bool {
+// expire drops the reports of control VMs whose session ended long ago, and old endings.
+func (v *View) expire(at time.Time) {
+	v.sourceOrder = slices.DeleteFunc(v.sourceOrder, func(name string) bool {
 		s := v.sources[name]
-		old := !s.lost.IsZero() && at.Sub(s.lost) >= keepAway
+		old := !s.lost.IsZero() && at.Sub(s.lost) >= sourceLifetime
 		if old {
-			v.drop(s)
+			v.markStale(s)
 			delete(v.sources, name)
 		}
 		return old
 	})
-	maps.DeleteFunc(v.gone, func(name string, e end) bool {
-		old := at.Sub(e.told) >= keepGone
+	maps.DeleteFunc(v.ended, func(name string, e ending) bool {
+		old := at.Sub(e.reportedAt) >= endingLifetime
 		if old {
 			v.stale[name] = struct{}{}
 		}
@@ -219,8 +220,8 @@
 	})
 }
 
-// join returns what two control VMs say of one instance.
-func join(a, b message.BackendServer) message.BackendServer {
+// merge merges the reports of two control VMs on one instance.
+func merge(a, b message.BackendServer) message.BackendServer {
 	switch {
 	case a.Instance == "" || b.Incarnation > a.Incarnation:
 		return b
--- a/internal/reducer/registry/view_test.go
+++ b/internal/reducer/registry/view_test.go
@@ -10,9 +10,8 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// Whoever takes in each change knows what a view that was told all of it at once knows:
-// whatever control VMs tell, in whatever order their sessions end, and whenever changes
-// are asked for.
+// Applying every change of a view results in the same servers as merging all reports at once,
+// whatever control VMs report, in whatever order their sessions end, and whenever Changes is called.
 func TestChangesAddUpToTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := scriptStart
@@ -24,29 +23,29 @@
 			if rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
 				v.Lost(now, control)
 			} else {
-				v.Update(now, control, rapid.Bool().Draw(t, "whole"), drawServers(t))
+				v.Update(now, control, rapid.Bool().Draw(t, "complete"), drawServers(t))
 			}
-			if rapid.Bool().Draw(t, "ask") {
+			if rapid.Bool().Draw(t, "changes") {
 				followed.Apply(v.Changes(now))
 			}
 		}
 		followed.Apply(v.Changes(now))
-		if want := joinAll(v); fmt.Sprint(followed.List()) != fmt.Sprint(want.List()) {
-			t.Fatalf("followed %v\nwhole    %v", followed.List(), want.List())
+		if want := mergeAll(v); fmt.Sprint(followed.List()) != fmt.Sprint(want.List()) {
+			t.Fatalf("applied changes %v\nmerged at once  %v", followed.List(), want.List())
 		}
 	})
 }
 
-// joinAll joins all that a view was told, anew.
-func joinAll(v *View) Servers {
+// mergeAll merges all reports of a view from the beginning.
+func mergeAll(v *View) Servers {
 	all := Servers{}
 	for _, s := range v.sources {
 		for name := range s.servers {
-			server, _, usable := v.join(name)
+			server, _, usable := v.merge(name)
 			if !usable {
 				continue
 			}
-			if server.Phase == message.PhaseReady && succeeded(v, name) {
+			if server.Phase == message.PhaseReady && superseded(v, name) {
 				server.Phase = message.PhaseDraining
 			}
 			all[name] = server
@@ -55,11 +54,11 @@
 	return all
 }
 
-// succeeded reports whether another instance has taken the address of one.
-func succeeded(v *View, name string) bool {
-	i := v.known[name]
-	for _, other := range v.known {
-		if other != i && other.joined.Address == i.joined.Address && other.after(i) {
+// superseded reports whether another instance has taken over the address of an instance.
+func superseded(v *View, name string) bool {
+	i := v.instances[name]
+	for _, other := range v.instances {
+		if other != i && other.merged.Address == i.merged.Address && other.supersedes(i) {
 			return true
 		}
 	}
@@ -83,8 +82,8 @@
 	return list
 }
 
-// BenchmarkOneOfThousands takes in the announcement of one server among others, as a
-// forwarder does for each of them after a restart of everything.
+// BenchmarkOneOfThousands applies the announcement of one server among others, as a forwarder does
+// for each of them after a restart of the whole site.
 func BenchmarkOneOfThousands(b *testing.B) {
 	for _, others := range []int{100, 3000} {
 		b.Run(fmt.Sprint(others), func(b *testing.B) {
