--- a/internal/reducer/follow/event.go
+++ b/internal/reducer/follow/event.go
@@ -1,6 +1,6 @@
-// Package follow is the reducer of a process that follows the declared state:
-// an entry or a sidecar. It never goes back to an older revision, and keeps
-// serving with what it has while the control VMs are away.
+// Package follow is the reducer of a process that follows the declared state: an
+// entry or a sidecar. A follower never returns to an older revision, and keeps
+// serving with its current state while the control VMs are unreachable.
 package follow
 
 import (
@@ -10,29 +10,29 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Link numbers one watch of one control VM; it is never used again.
+// Link identifies one watch of one control VM. Links are not reused.
 type Link uint64
 
-// Event is something that happened to the follower. At is when, by its clock.
+// Event is an input of Reduce. At is the time of the event by the follower's clock.
 type Event interface{ followEvent() }
 
-// Started begins to follow.
+// Started reports that the process has started; the follower opens its first watch.
 type Started struct{ At time.Time }
 
-// Received is a message that came over a watch.
+// Received is an update received over a watch.
 type Received struct {
 	At     time.Time
 	Link   Link
 	Update message.Update
 }
 
-// Lost tells that a watch could not be opened, or ended.
+// Lost reports that a watch could not be opened, or has ended.
 type Lost struct {
 	At   time.Time
 	Link Link
 }
 
-// Ticked passes time; it comes at least every TickEvery.
+// Ticked reports the current time; it must be passed at least every TickEvery.
 type Ticked struct{ At time.Time }
 
 func (Started) followEvent()  {}
@@ -40,10 +40,10 @@
 func (Lost) followEvent()     {}
 func (Ticked) followEvent()   {}
 
-// Effect is something that the follower is to do.
+// Effect is an action that the caller of Reduce must carry out.
 type Effect interface{ followEffect() }
 
-// Open opens a watch at a control VM; Received or Lost follow.
+// Open opens a watch at a control VM; Received or Lost events follow.
 type Open struct {
 	Link    Link
 	Control string
@@ -51,7 +51,7 @@
 	Watch   message.Watch
 }
 
-// Close ends a watch; nothing need follow.
+// Close closes a watch; no event needs to follow.
 type Close struct{ Link Link }
 
 // Send sends a message over a watch.
@@ -60,40 +60,43 @@
 	Message message.Message
 }
 
-// Changed tells the rest of the process what is declared from now on.
+// Changed reports the declared state from now on to the rest of the process.
 type Changed struct {
 	Revision uint64
-	// Whole is true if Servers and Resources are all there is.
+	// Whole is true if Servers and Resources are the complete state, false if they
+	// are only its changes.
 	Whole     bool
 	Servers   []oriolebend.Server
 	Resources []oriolebend.Resource
 }
 
-// Count adds one to the counter of what happened.
+// Count increments a counter.
 type Count struct {
 	What    CountName
 	Control string
 }
 
-// CountName names what is counted.
+// CountName names a counter.
 type CountName string
 
-// What is counted.
+// Counters of a follower.
 const (
-	// CountGap: an update was missed; the tail is asked for again.
+	// CountGap counts missed updates; the follower opens a new watch from its own
+	// revision.
 	CountGap CountName = "gap"
-	// CountOlder: a control VM offered a state older than the one in force.
+	// CountOlder counts updates that are older than the state in force.
 	CountOlder CountName = "older"
-	// CountUnconfirmed: a control VM could not confirm its state to a process
-	// that has none yet.
+	// CountUnconfirmed counts updates that a control VM could not confirm for a
+	// process that has no state yet.
 	CountUnconfirmed CountName = "unconfirmed"
-	// CountStale: a control VM went without a quorum's word for too long.
+	// CountStale counts control VMs that were left because they were not confirmed
+	// by a quorum for too long.
 	CountStale CountName = "stale"
-	// CountLost: a watch ended or could not be opened.
+	// CountLost counts watches that ended or could not be opened.
 	CountLost CountName = "lost"
-	// CountMalformed: an update held a resource that can't be read.
+	// CountMalformed counts updates with a resource that can't be decoded.
 	CountMalformed CountName = "malformed"
-	// CountReturned: the follower went back to its preferred control VM.
+	// CountReturned counts returns to the preferred control VM.
 	CountReturned CountName = "returned"
 )
 
--- a/internal/reducer/follow/state.go
+++ b/internal/reducer/follow/state.go
@@ -15,11 +15,11 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TickEvery is how often Ticked comes at least.
+// TickEvery is the longest interval between two Ticked events.
 const TickEvery = 500 * time.Millisecond
 
-// maxGaps is how many updates in a row may be missed before another control
-// VM is followed.
+// maxGaps is the number of consecutive missed updates after which the follower
+// switches to another control VM.
 const maxGaps = 3
 
 // Control is one control VM.
@@ -28,31 +28,30 @@
 	Address string
 }
 
-// Config sets whom to follow and for how long to trust; zero times take the
-// defaults named.
+// Config configures a follower; zero durations mean the defaults stated.
 type Config struct {
 	// Node and Role name this process.
 	Node string
 	Role string
 	// Controls are all control VMs.
 	Controls []Control
-	// StaleAfter is how long a control VM may go without a quorum's word
-	// before another is followed; zero means 6s.
+	// StaleAfter is how long a control VM may be without confirmation by a quorum
+	// before the follower switches to another one; zero means 6s.
 	StaleAfter time.Duration
-	// RetryFirst and RetryMost bound the waits between tries; zero means
+	// RetryFirst and RetryMost bound the delays between attempts; zero means
 	// 200ms and 5s.
 	RetryFirst time.Duration
 	RetryMost  time.Duration
-	// ReportEvery is how often the revision in force is told unchanged; zero
-	// means 10s.
+	// ReportEvery is the interval at which an unchanged revision is reported;
+	// zero means 10s.
 	ReportEvery time.Duration
-	// ReturnAfter is how long another than the preferred control VM is
-	// followed before that is tried again; zero means 5m.
+	// ReturnAfter is how long the follower stays with a control VM other than the
+	// preferred one before it tries that again; zero means 5m.
 	ReturnAfter time.Duration
-	// UnconfirmedAfter lets a process that has no state take the newest that
-	// any control VM offers, unconfirmed, after that long; zero means never.
+	// UnconfirmedAfter is the time after which a process without a state adopts
+	// the newest unconfirmed state that any control VM has sent; zero means never.
 	UnconfirmedAfter time.Duration
-	// Seed feeds the jitter.
+	// Seed is the seed of the jitter.
 	Seed uint64
 }
 
@@ -65,28 +64,31 @@
 	return c
 }
 
-// watch is the one watch that is open.
+// watch is the open watch; there is at most one.
 type watch struct {
-	link    Link
-	control int
-	openAt  time.Time
-	// heard is true once an update came; silence before it is a failed try.
-	heard bool
-	// candidate is what it sent while this process has no state yet.
+	link     Link
+	control  int
+	openedAt time.Time
+	// received is true once an update was received. A watch that ends before that
+	// is a failed attempt.
+	received bool
+	// candidate is the state received over the watch while this process has no
+	// state in force yet.
 	candidate *declared.View
 }
 
-// State is what a follower knows.
+// State is the state of a follower. Only Reduce changes it.
 type State struct {
 	config Config
 	random *rand.Rand
-	// order is the control VMs, the preferred first. It differs by node, so
-	// that followers spread over the control VMs.
+	// order lists the control VMs, the preferred one first. It differs between
+	// nodes, so that followers are spread over the control VMs.
 	order []Control
 	view  declared.View
-	// current is false until a state was taken in this life of the process.
+	// current is true once a state was adopted since the start of the process.
 	current bool
-	// confirmedAt is when, as far as is known, the state was last the newest.
+	// confirmedAt is the latest time at which the state is known to have been the
+	// newest.
 	confirmedAt time.Time
 	startedAt   time.Time
 	watch       *watch
@@ -97,7 +99,7 @@
 	gaps        int
 	reportedAt  time.Time
 	returnAt    time.Time
-	// offer is the newest state that was offered unconfirmed.
+	// offer is the newest unconfirmed state that was received.
 	offer *declared.View
 }
 
@@ -115,15 +117,15 @@
 	return cmp.Compare(policy.Rendezvous(s.config.Node, a.Name), policy.Rendezvous(s.config.Node, b.Name))
 }
 
-// View returns the declared state in force; the caller must not change it,
-// nor keep it over the next Reduce.
+// View returns the declared state in force. The caller must not change it, nor
+// use it after the next Reduce.
 func (s *State) View() declared.View { return s.view }
 
-// Current reports whether a state was taken in this life of the process.
-// Before that there is nothing to serve with.
+// Current reports whether a state was adopted since the start of the process.
+// Before that the process can't serve.
 func (s *State) Current() bool { return s.current }
 
-// Age tells how long ago the state in force was last known to be the newest.
+// Age returns how long ago the state in force was last known to be the newest.
 func (s *State) Age(at time.Time) time.Duration {
 	if !s.current {
 		return at.Sub(s.startedAt)
@@ -131,7 +133,8 @@
 	return at.Sub(s.confirmedAt)
 }
 
-// Following names the control VM that is followed now, empty if none.
+// Following returns the name of the control VM that is followed now, empty if
+// there is none.
 func (s *State) Following() string {
 	if s.watch == nil {
 		return ""
@@ -139,7 +142,7 @@
 	return s.order[s.watch.control].Name
 }
 
-// Reduce takes one event and returns what is to be done.
+// Reduce applies one event and returns the effects that the caller must carry out.
 func Reduce(s *State, e Event) []Effect {
 	switch e := e.(type) {
 	case Started:
@@ -147,29 +150,29 @@
 		return s.open(e.At, 0)
 	case Received:
 		if s.watch == nil || s.watch.link != e.Link {
-			return nil // late, from a watch that was left
+			return nil // delayed, from a watch that was closed
 		}
-		return s.received(e.At, e.Update)
+		return s.applyUpdate(e.At, e.Update)
 	case Lost:
 		if s.watch == nil || s.watch.link != e.Link {
 			return nil
 		}
-		return s.leave(e.At, CountLost)
+		return s.closeWatch(e.At, CountLost)
 	case Ticked:
 		return s.tick(e.At)
 	}
 	return nil
 }
 
-// open watches a control VM from the revision in force, or from nothing after
-// repeated gaps.
+// open opens a watch at a control VM from the revision in force, or from the
+// beginning after repeated gaps.
 func (s *State) open(at time.Time, control int) []Effect {
 	if len(s.order) == 0 {
 		return nil
 	}
 	s.nextLink++
 	s.nextControl = control
-	s.watch = &watch{link: s.nextLink, control: control, openAt: at}
+	s.watch = &watch{link: s.nextLink, control: control, openedAt: at}
 	s.returnAt = at.Add(s.config.ReturnAfter + s.jitter(s.config.ReturnAfter))
 	from := s.view.Revision
 	if !s.current || s.gaps > 1 {
@@ -183,24 +186,24 @@
 	}}
 }
 
-// leave gives a watch up and plans the next try, at the next control VM. Waits
-// double and are jittered, so that a control VM that comes back is not met by
-// every follower at once.
-func (s *State) leave(at time.Time, why CountName) []Effect {
-	left := *s.watch
+// closeWatch closes the watch and schedules the next attempt, at the next control
+// VM. Delays double and have jitter, to avoid a reconnect storm at a control VM
+// that has restarted.
+func (s *State) closeWatch(at time.Time, reason CountName) []Effect {
+	closed := *s.watch
 	s.watch = nil
-	if left.heard {
+	if closed.received {
 		s.failures = 0
 	}
-	s.nextControl = (left.control + 1) % len(s.order)
-	wait := s.config.RetryFirst << min(s.failures, 10)
-	wait = min(wait, s.config.RetryMost)
+	s.nextControl = (closed.control + 1) % len(s.order)
+	delay := s.config.RetryFirst << min(s.failures, 10)
+	delay = min(delay, s.config.RetryMost)
 	s.failures++
-	s.retryAt = at.Add(s.jitter(wait))
-	return []Effect{Count{What: why, Control: s.order[left.control].Name}, Close{Link: left.link}}
+	s.retryAt = at.Add(s.jitter(delay))
+	return []Effect{Count{What: reason, Control: s.order[closed.control].Name}, Close{Link: closed.link}}
 }
 
-// jitter returns a time up to a bound.
+// jitter returns a random duration up to a bound.
 func (s *State) jitter(bound time.Duration) time.Duration {
 	return time.Duration(s.random.Int64N(int64(bound) + 1))
 }
@@ -216,60 +219,61 @@
 		return s.open(at, s.nextControl)
 	}
 	if s.stale(at) {
-		return append(s.takeUnconfirmed(at), s.leave(at, CountStale)...)
+		return append(s.adoptUnconfirmed(at), s.closeWatch(at, CountStale)...)
 	}
 	if s.watch.control != 0 && !at.Before(s.returnAt) {
 		effects := []Effect{Count{What: CountReturned, Control: s.order[0].Name}, Close{Link: s.watch.link}}
 		return append(effects, s.open(at, 0)...)
 	}
-	if s.current && s.watch.heard && at.Sub(s.reportedAt) >= s.config.ReportEvery {
+	if s.current && s.watch.received && at.Sub(s.reportedAt) >= s.config.ReportEvery {
 		return s.report(at)
 	}
 	return nil
 }
 
-// stale reports whether the followed control VM has gone too long without a
-// quorum's word. Silence alone does not tell a cut-off control VM from a quiet
-// one; so each tells how old its own knowledge is, and one that can't confirm
-// it is left, however alive it seems.
+// stale reports whether the followed control VM was not confirmed by a quorum for
+// too long. Missing updates alone don't distinguish a partitioned control VM from
+// one without changes. So each control VM reports the age of its last confirmation,
+// and the follower leaves one that can't confirm its state, even if it still sends
+// updates.
 func (s *State) stale(at time.Time) bool {
-	since := s.watch.openAt
+	since := s.watch.openedAt
 	if s.current && s.confirmedAt.After(since) {
 		since = s.confirmedAt
 	}
 	limit := s.config.StaleAfter
-	if !s.current { // nothing is served meanwhile
+	if !s.current { // the process does not serve until it has a state
 		limit /= 3
 	}
 	return at.Sub(since) > limit
 }
 
-func (s *State) received(at time.Time, u message.Update) []Effect {
-	s.watch.heard = true
+func (s *State) applyUpdate(at time.Time, u message.Update) []Effect {
+	s.watch.received = true
 	if !s.current {
-		return s.first(at, u)
+		return s.applyFirst(at, u)
 	}
 	if u.Revision < s.view.Revision {
-		// The control VM is behind what is in force here. It is not believed,
-		// and left once it has gone StaleAfter without catching up.
+		// The control VM is behind the state in force here. Its update is ignored,
+		// and the watch is closed if it has not caught up after StaleAfter.
 		return []Effect{Count{What: CountOlder, Control: s.Following()}}
 	}
 	if !u.Snapshot && u.From > s.view.Revision {
-		return s.gap(at)
+		return s.handleGap(at)
 	}
 	var effects []Effect
 	if u.Revision > s.view.Revision {
-		taken, err := s.take(u)
+		applied, err := s.merge(u)
 		if err != nil {
-			return s.leave(at, CountMalformed)
+			return s.closeWatch(at, CountMalformed)
 		}
-		effects = append(taken, s.report(at)...)
+		effects = append(applied, s.report(at)...)
 	}
 	s.confirm(at, u)
 	return effects
 }
 
-// confirm notes until when the state in force was known to be the newest.
+// confirm records the time at which the state in force was known to be the newest.
 func (s *State) confirm(at time.Time, u message.Update) {
 	if !u.Confirmed {
 		return
@@ -280,16 +284,16 @@
 	}
 }
 
-// first takes the first state of this life of the process. The process may
-// have had a newer one before it restarted and can't know; a control VM that
-// is cut off would hand it an old one in good faith. So only a state is taken
-// that the control VM confirmed with a quorum after it was asked: it holds all
-// that was accepted, hence all that was ever in force here. The control VM
-// says so itself; its Age would not do, since a message that was long on its
-// way looks younger than it is.
-func (s *State) first(at time.Time, u message.Update) []Effect {
-	if err := s.watch.consider(u); err != nil {
-		return s.leave(at, CountMalformed)
+// applyFirst applies an update while no state was adopted since the start of the
+// process. The process may have had a newer state before it restarted, but has no
+// record of it, and a partitioned control VM sends an old state without knowing
+// that it is old. So only a state is adopted that the control VM has confirmed with
+// a quorum after the watch was opened: it contains every accepted change, and so
+// every state that was ever in force here. The control VM reports that in Fresh; Age
+// is not sufficient, because a delayed message appears younger than it is.
+func (s *State) applyFirst(at time.Time, u message.Update) []Effect {
+	if err := s.watch.collect(u); err != nil {
+		return s.closeWatch(at, CountMalformed)
 	}
 	candidate := s.watch.candidate
 	if candidate == nil || candidate.Revision != u.Revision {
@@ -304,11 +308,11 @@
 		s.offer = candidate
 	}
 	effects := []Effect{Count{What: CountUnconfirmed, Control: s.Following()}}
-	return append(effects, s.takeUnconfirmed(at)...)
+	return append(effects, s.adoptUnconfirmed(at)...)
 }
 
-// consider keeps what a control VM sends until it can be confirmed.
-func (w *watch) consider(u message.Update) error {
+// collect merges an update into the candidate, until the candidate can be confirmed.
+func (w *watch) collect(u message.Update) error {
 	resources, err := decode(u)
 	if err != nil {
 		return err
@@ -323,7 +327,7 @@
 	return nil
 }
 
-// adopt puts a whole state into force.
+// adopt brings a complete state into force.
 func (s *State) adopt(v declared.View) []Effect {
 	s.view = v.Copy()
 	s.current = true
@@ -331,29 +335,30 @@
 	return []Effect{Changed{Revision: v.Revision, Whole: true, Servers: v.Members(), Resources: v.List("")}}
 }
 
-// takeUnconfirmed takes the newest state offered, if the settings allow it and
-// no control VM could confirm one for long enough.
-func (s *State) takeUnconfirmed(at time.Time) []Effect {
-	wait := s.config.UnconfirmedAfter
-	if s.current || wait == 0 || s.offer == nil || at.Sub(s.startedAt) < wait {
+// adoptUnconfirmed adopts the newest unconfirmed state, if the settings allow it and
+// no control VM has confirmed a state within UnconfirmedAfter.
+func (s *State) adoptUnconfirmed(at time.Time) []Effect {
+	delay := s.config.UnconfirmedAfter
+	if s.current || delay == 0 || s.offer == nil || at.Sub(s.startedAt) < delay {
 		return nil
 	}
 	s.confirmedAt = s.startedAt
 	return s.adopt(*s.offer)
 }
 
-// gap asks for what was missed.
-func (s *State) gap(at time.Time) []Effect {
+// handleGap opens a new watch to get the missed updates. After more than maxGaps gaps
+// it switches to another control VM.
+func (s *State) handleGap(at time.Time) []Effect {
 	s.gaps++
 	if s.gaps > maxGaps {
-		return s.leave(at, CountGap)
+		return s.closeWatch(at, CountGap)
 	}
 	effects := []Effect{Count{What: CountGap, Control: s.Following()}, Close{Link: s.watch.link}}
 	return append(effects, s.open(at, s.watch.control)...)
 }
 
-// take puts an update into force: all of it or, on an error, none of it.
-func (s *State) take(u message.Update) ([]Effect, error) {
+// merge brings an update into force: all of it or, on an error, nothing of it.
+func (s *State) merge(u message.Update) ([]Effect, error) {
 	resources, err := decode(u)
 	if err != nil {
 		return nil, err
--- a/internal/reducer/follow/state_test.go
+++ b/internal/reducer/follow/state_test.go
@@ -17,20 +17,20 @@
 
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
-		w := newWorld(3, Config{Node: "entry-1", Role: "entry"})
+		c := newCluster(3, Config{Node: "entry-1", Role: "entry"})
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			w.effects = nil
-			runScript(t, w, d)
-			return render(w)
+			c.effects = nil
+			runScript(t, c, d)
+			return render(c)
 		})
 	})
 }
 
-func runScript(t *testing.T, w *world, d *datadriven.TestData) {
+func runScript(t *testing.T, c *cluster, d *datadriven.TestData) {
 	var count int
 	on := func(set func(*vm)) {
 		for _, arg := range d.CmdArgs {
-			if v, found := w.vms[arg.Key]; found {
+			if v, found := c.vms[arg.Key]; found {
 				set(v)
 			}
 		}
@@ -39,34 +39,34 @@
 	case "change":
 		d.ScanArgs(t, "times", &count)
 		for i := range count {
-			w.change(fmt.Sprintf("s%d", i%5))
+			c.change(fmt.Sprintf("s%d", i%5))
 		}
-	case "cut":
-		on(func(v *vm) { v.cut = true })
-	case "away":
-		on(func(v *vm) { v.away = true })
+	case "partition":
+		on(func(v *vm) { v.partitioned = true })
+	case "disconnect":
+		on(func(v *vm) { v.unreachable = true })
 	case "heal":
-		on(func(v *vm) { v.cut, v.away = false, false })
-	case "drop": // what is on its way is lost, though the watch goes on
-		w.send(false)
-		w.way = nil
-	case "pass":
+		on(func(v *vm) { v.partitioned, v.unreachable = false, false })
+	case "drop": // messages in flight are lost, but the watch stays open
+		c.send(false)
+		c.inFlight = nil
+	case "wait":
 		d.ScanArgs(t, "s", &count)
-		w.pass(time.Duration(count) * time.Second)
+		c.pass(time.Duration(count) * time.Second)
 	case "restart":
-		w.restart()
+		c.restart()
 	case "unconfirmed":
-		w.config.UnconfirmedAfter = 30 * time.Second
-		w.restart()
+		c.config.UnconfirmedAfter = 30 * time.Second
+		c.restart()
 	default:
-		t.Fatalf("no command %q", d.Cmd)
+		t.Fatalf("unknown command %q", d.Cmd)
 	}
 }
 
-// render prints what was done, repeated effects counted.
-func render(w *world) string {
+// render prints the effects and the follower's state; repeated effects are counted.
+func render(c *cluster) string {
 	counts := map[string]int{}
-	for _, effect := range w.effects {
+	for _, effect := range c.effects {
 		switch e := effect.(type) {
 		case Open:
 			counts[fmt.Sprintf("open %s from=%d", e.Control, e.Watch.From)]++
@@ -82,96 +82,97 @@
 	for _, line := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(&lines, "%s x%d\n", line, counts[line])
 	}
-	fmt.Fprintf(&lines, "= %s at %d, current %t, %s old\n", w.follower.Following(),
-		w.follower.View().Revision, w.follower.Current(), w.follower.Age(w.now))
+	fmt.Fprintf(&lines, "= %s at %d, current %t, %s old\n", c.follower.Following(),
+		c.follower.View().Revision, c.follower.Current(), c.follower.Age(c.now))
 	return lines.String()
 }
 
-// TestRevisionsNeverGoBack runs random lives of a follower beside control VMs
-// that are cut off, away or behind, over watches that lose, double and reorder.
+// TestRevisionsNeverGoBack runs a follower through random sequences with control
+// VMs that are partitioned, unreachable or behind, over watches that lose,
+// duplicate and reorder messages.
 //
-// Symptom: a configuration that was in force is undone on one VM. Sequence: a
-// process restarts, or changes its control VM, and takes the state of one that
-// is cut off. Cause: it took that for the newest without a quorum's word.
+// It guards against a follower that returns to an older configuration: a process
+// restarts, or switches to another control VM, and adopts the state of a
+// partitioned one without confirmation by a quorum.
 func TestRevisionsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(3, Config{Node: rapid.StringMatching("[a-z]{1,4}").Draw(t, "node")})
+		c := newCluster(3, Config{Node: rapid.StringMatching("[a-z]{1,4}").Draw(t, "node")})
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			randomStep(t, w)
+			randomStep(t, c)
 		}
-		if w.wentBack {
-			t.Fatal("went back")
+		if c.wentBack {
+			t.Fatal("the revision in force decreased")
 		}
-		for _, v := range w.vms {
-			v.cut, v.away = false, false
+		for _, v := range c.vms {
+			v.partitioned, v.unreachable = false, false
 		}
-		w.pass(2 * time.Minute)
-		if newest := w.vms["c1"].state.Revision(); w.follower.View().Revision != newest || w.wentBack {
-			t.Fatalf("at %d of %d", w.follower.View().Revision, newest)
+		c.pass(2 * time.Minute)
+		if newest := c.vms["c1"].state.Revision(); c.follower.View().Revision != newest || c.wentBack {
+			t.Fatalf("the follower is at revision %d, the newest is %d", c.follower.View().Revision, newest)
 		}
-		if !sameResources(w) {
-			t.Fatal("state differs")
+		if !sameResources(c) {
+			t.Fatal("the follower's resources differ from the declared ones")
 		}
 	})
 }
 
-func sameResources(w *world) bool {
-	want, _ := w.vms["c1"].state.Update(0)
-	held := map[string]bool{}
-	for _, r := range w.follower.View().List("") {
+func sameResources(c *cluster) bool {
+	want, _ := c.vms["c1"].state.Update(0)
+	followed := map[string]bool{}
+	for _, r := range c.follower.View().List("") {
 		data, _ := r.MarshalCBOR()
-		held[string(data)] = true
+		followed[string(data)] = true
 	}
 	for _, r := range want.Resources {
-		if !held[string(r)] {
+		if !followed[string(r)] {
 			return false
 		}
 	}
-	return len(want.Resources) == len(held)
+	return len(want.Resources) == len(followed)
 }
 
-func randomStep(t *rapid.T, w *world) {
-	v := w.vms[rapid.SampledFrom([]string{"c1", "c2", "c3"}).Draw(t, "vm")]
+func randomStep(t *rapid.T, c *cluster) {
+	v := c.vms[rapid.SampledFrom([]string{"c1", "c2", "c3"}).Draw(t, "vm")]
 	switch rapid.IntRange(0, 9).Draw(t, "step") {
 	case 0, 1:
-		w.change(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"))
-	case 2: // at most one is cut off, so that a quorum remains
-		for _, other := range w.vms {
-			other.cut = false
+		c.change(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"))
+	case 2: // at most one is partitioned, so that a quorum remains
+		for _, other := range c.vms {
+			other.partitioned = false
 		}
-		v.cut = true
+		v.partitioned = true
 	case 3:
-		v.away = !v.away
+		v.unreachable = !v.unreachable
 	case 4:
-		w.restart()
+		c.restart()
 	case 5:
-		if w.open != nil {
-			w.send(false)
+		if c.open != nil {
+			c.send(false)
 		}
-	case 6: // any message on its way arrives next, perhaps not for the last time
-		if len(w.way) > 0 {
-			i := rapid.IntRange(0, len(w.way)-1).Draw(t, "message")
-			if rapid.Bool().Draw(t, "doubled") {
-				w.way = append(w.way, w.way[i])
+	case 6: // any message in flight arrives next, and may be duplicated
+		if len(c.inFlight) > 0 {
+			i := rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "message")
+			if rapid.Bool().Draw(t, "duplicated") {
+				c.inFlight = append(c.inFlight, c.inFlight[i])
 			}
-			w.arrive(i)
+			c.arrive(i)
 		}
 	case 7:
-		if len(w.way) > 0 {
-			i := rapid.IntRange(0, len(w.way)-1).Draw(t, "lost")
-			w.way = append(w.way[:i:i], w.way[i+1:]...)
+		if len(c.inFlight) > 0 {
+			i := rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "lost")
+			c.inFlight = append(c.inFlight[:i:i], c.inFlight[i+1:]...)
 		}
 	case 8:
-		w.pass(time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds")) * time.Second)
+		c.pass(time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds")) * time.Second)
 	default:
-		w.now = w.now.Add(time.Second)
-		w.replicate()
-		w.reduce(Ticked{At: w.now})
+		c.now = c.now.Add(time.Second)
+		c.replicate()
+		c.reduce(Ticked{At: c.now})
 	}
 }
 
-// TestFollowersSpread checks that followers prefer control VMs evenly, and that
-// the loss of one sends only its own followers elsewhere.
+// TestFollowersSpread checks that followers are spread evenly over the control VMs,
+// and that the followers of a lost control VM are spread over all others.
 func TestFollowersSpread(t *testing.T) {
 	is := is.New(t)
 	controls := []Control{{Name: "c1"}, {Name: "c2"}, {Name: "c3"}, {Name: "c4"}, {Name: "c5"}}
@@ -192,14 +193,14 @@
 
 func TestMalformedUpdatesAreDropped(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3, Config{Node: "n"})
-	w.change("a")
-	w.pass(2 * time.Second)
-	is.Equal(w.follower.View().Revision, uint64(1))
+	c := newCluster(3, Config{Node: "n"})
+	c.change("a")
+	c.pass(2 * time.Second)
+	is.Equal(c.follower.View().Revision, uint64(1))
 	bad := message.Update{Revision: 2, From: 1, Confirmed: true, Resources: [][]byte{[]byte("torn")}}
-	before := w.follower.Following()
-	w.reduce(Received{At: w.now, Link: w.open.Link, Update: bad})
-	is.Equal(w.follower.View().Revision, uint64(1))
-	w.pass(10 * time.Second)
-	is.True(w.follower.Following() != before)
+	before := c.follower.Following()
+	c.reduce(Received{At: c.now, Link: c.open.Link, Update: bad})
+	is.Equal(c.follower.View().Revision, uint64(1))
+	c.pass(10 * time.Second)
+	is.True(c.follower.Following() != before)
 }
