--- a/internal/reducer/control/command.go
+++ b/internal/reducer/control/command.go
@@ -21,16 +21,16 @@
 	PartRouting  PartName = "routing"
 )
 
-// TypedPart is a part of the state machine that takes commands of type C and
-// answers with results of type R.
+// TypedPart is a part of the state machine that applies commands of type C and
+// returns results of type R.
 type TypedPart[C, R any] interface {
 	Apply(index uint64, command C) R
 	Snapshot() ([]byte, error)
 	Restore(snapshot []byte) error
 }
 
-// Envelope is one command of the log: the part that it is for and that part's
-// own encoded command.
+// Envelope is one command of the log: the name of the part that applies it, and
+// that part's own encoded command.
 type Envelope struct {
 	Part PartName        `cbor:"part"`
 	Body cbor.RawMessage `cbor:"body"`
@@ -39,11 +39,13 @@
 // Reply is the encoded result of one command.
 type Reply struct {
 	Body cbor.RawMessage `cbor:"body,omitempty"`
-	// Malformed is set if the command could not be read; it changed nothing.
+	// Malformed is the reason why the command could not be decoded, empty if it
+	// was applied. A malformed command changes nothing.
 	Malformed string `cbor:"malformed,omitempty"`
 }
 
-// MalformedError means that a command or its result could not be read.
+// MalformedError means that a command, its result or a snapshot could not be
+// encoded or decoded.
 type MalformedError struct {
 	What  string
 	Cause error
@@ -57,10 +59,10 @@
 	return fmt.Sprintf("control: %s: %v", e.What, e.Cause)
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// part is a Typed with its types taken away.
+// part is a TypedPart without its type parameters.
 type part struct {
 	apply    func(index uint64, body []byte) Reply
 	snapshot func() ([]byte, error)
@@ -87,9 +89,9 @@
 	return Reply{Body: encoded}
 }
 
-// State is the whole replicated state machine; it implements Machine. To add
-// a part, add its field, its name and its line in NewState. Restore replaces
-// the parts, so their users must not hold them over it.
+// State is the complete replicated state machine; it implements Machine. A new
+// part needs a field, a name and a line in NewState. Restore replaces the parts,
+// so their users must not keep references to them across a Restore.
 type State struct {
 	Declared *declared.State
 
@@ -115,8 +117,8 @@
 }()
 
 // Apply implements Machine. An empty command, such as a new leader appends,
-// changes nothing. A command that can't be read changes nothing either, on
-// every control VM alike.
+// changes nothing. Nor does a command that can't be decoded; all control VMs
+// ignore the same commands.
 func (s *State) Apply(index uint64, command []byte) []byte {
 	if len(command) == 0 {
 		return nil
@@ -124,7 +126,7 @@
 	reply := s.apply(index, command)
 	encoded, err := cbor.Marshal(reply)
 	if err != nil {
-		return nil // two plain fields always encode
+		return nil // the two fields of a Reply can always be encoded
 	}
 	return encoded
 }
@@ -154,8 +156,8 @@
 	return encoding.Marshal(encoded)
 }
 
-// Restore implements Machine. A part that the snapshot lacks, because an
-// older program wrote it, starts empty.
+// Restore implements Machine. A part that the snapshot does not contain, because
+// an older program wrote it, starts empty.
 func (s *State) Restore(snapshot []byte) error {
 	var encoded map[PartName][]byte
 	if err := cbor.Unmarshal(snapshot, &encoded); err != nil {
@@ -187,14 +189,14 @@
 // Decode reads the result of a command.
 func Decode[R any](reply []byte) (R, error) {
 	var result R
-	var form Reply
-	if err := cbor.Unmarshal(reply, &form); err != nil {
+	var decoded Reply
+	if err := cbor.Unmarshal(reply, &decoded); err != nil {
 		return result, &MalformedError{What: "result", Cause: err}
 	}
-	if form.Malformed != "" {
-		return result, &MalformedError{What: "command refused: " + form.Malformed}
+	if decoded.Malformed != "" {
+		return result, &MalformedError{What: "command refused: " + decoded.Malformed}
 	}
-	if err := cbor.Unmarshal(form.Body, &result); err != nil {
+	if err := cbor.Unmarshal(decoded.Body, &result); err != nil {
 		return result, &MalformedError{What: "result", Cause: err}
 	}
 	return result, nil
--- a/internal/reducer/control/command_test.go
+++ b/internal/reducer/control/command_test.go
@@ -37,12 +37,12 @@
 	is.Equal(again.Revision, result.Revision)
 }
 
-// TestDamagedCommandsChangeNothing: a command that can't be read is refused
-// alike by every control VM.
+// TestDamagedCommandsChangeNothing checks that a command that can't be decoded is
+// refused and changes nothing.
 func TestDamagedCommandsChangeNothing(t *testing.T) {
-	foreign, _ := Encode("foreign", modelOrder("m"))
-	torn, _ := Encode(PartDeclared, modelOrder("m"))
-	for _, command := range [][]byte{[]byte("x"), foreign, torn[:len(torn)-3]} {
+	unknown, _ := Encode("foreign", modelOrder("m"))
+	truncated, _ := Encode(PartDeclared, modelOrder("m"))
+	for _, command := range [][]byte{[]byte("x"), unknown, truncated[:len(truncated)-3]} {
 		is := is.New(t)
 		s := NewState()
 		var malformed *MalformedError
@@ -54,7 +54,7 @@
 	is.True(NewState().Restore([]byte("x")) != nil)
 }
 
-// FuzzApply feeds the whole machine bytes as a damaged log could hold them.
+// FuzzApply applies arbitrary bytes, as a damaged log could contain them.
 func FuzzApply(f *testing.F) {
 	command, err := Encode(PartDeclared, modelOrder("m"))
 	if err != nil {
--- a/internal/reducer/control/mux.go
+++ b/internal/reducer/control/mux.go
@@ -7,20 +7,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Mux is a Machine made of named machines that share one log. The log applies
-// to it from one goroutine.
+// Mux is a Machine that consists of named machines which share one log. The log
+// calls Apply from one goroutine.
 type Mux struct {
 	machines map[PartName]Machine
 }
 
-// NewMux joins machines; the map must not change afterwards.
+// NewMux returns a Mux of the given machines; the map must not change afterwards.
 func NewMux(machines map[PartName]Machine) *Mux {
 	return &Mux{machines: machines}
 }
 
 // Apply implements Machine. An empty command, such as a new leader appends,
-// changes nothing; nor does one that can't be read or names no machine, on
-// every control VM alike.
+// changes nothing. Nor does a command that can't be decoded or names no machine;
+// all control VMs ignore the same commands.
 func (m *Mux) Apply(index uint64, command []byte) []byte {
 	if len(command) == 0 {
 		return nil
@@ -49,8 +49,8 @@
 	return encoding.Marshal(parts)
 }
 
-// Restore implements Machine. A machine that the snapshot does not hold keeps
-// its empty state, so that a snapshot of an older program can be read.
+// Restore implements Machine. A machine that the snapshot does not contain keeps
+// its empty state, so that a snapshot of an older program can be restored.
 func (m *Mux) Restore(snapshot []byte) error {
 	parts := map[PartName][]byte{}
 	if err := cbor.Unmarshal(snapshot, &parts); err != nil {
@@ -59,7 +59,7 @@
 	for name, data := range parts {
 		machine, ok := m.machines[name]
 		if !ok {
-			return &MalformedError{What: fmt.Sprintf("snapshot of the unknown part %q", name)}
+			return &MalformedError{What: fmt.Sprintf("snapshot contains the unknown part %q", name)}
 		}
 		if err := machine.Restore(data); err != nil {
 			return fmt.Errorf("restore %s: %w", name, err)
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// PartLog is a Log whose commands go to one machine of a Mux.
+// PartLog is a Log whose commands are applied by one machine of a Mux.
 type PartLog struct {
 	Log
 	Part PartName
@@ -83,7 +83,7 @@
 	return p.Log.Propose(ctx, envelope)
 }
 
-// Enveloped is a Machine of a Mux that reads whole envelopes itself.
+// Enveloped is a Machine of a Mux that decodes envelopes itself.
 type Enveloped struct {
 	Machine
 	Part PartName
--- a/internal/reducer/follow/event.go
+++ b/internal/reducer/follow/event.go
@@ -81,8 +81,7 @@
 
 // Counters of a follower.
 const (
-	// CountGap counts missed updates; the follower opens a new watch from its own
-	// revision.
+	// CountGap counts missed updates; the follower requests them with a new watch.
 	CountGap CountName = "gap"
 	// CountOlder counts updates that are older than the state in force.
 	CountOlder CountName = "older"
--- a/internal/reducer/reached/explain.go
+++ b/internal/reducer/reached/explain.go
@@ -7,31 +7,31 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Explain says why a resource, or a member that no resource names, is not
-// reached yet. It reports false if there is neither.
-func (k Observed) Explain(key oriolebend.ResourceKey) (oriolebend.Explanation, bool) {
+// Explain explains why a resource, or a member without a declared resource, has
+// not reached its declared state yet. It returns false if neither exists.
+func (o Observed) Explain(key oriolebend.ResourceKey) (oriolebend.Explanation, bool) {
 	e := oriolebend.Explanation{Kind: key.Kind, Name: key.Name, Reached: true}
-	r, isDeclared := k.View.Resources[key]
-	_, member := k.View.Servers[key.Name]
+	r, isDeclared := o.View.Resources[key]
+	_, member := o.View.Servers[key.Name]
 	if !isDeclared && !(key.Kind == oriolebend.KindServer && member) {
 		return e, false
 	}
 	if isDeclared {
 		e.Revision = r.Revision
-		k.explainFollowers(&e)
+		o.explainFollowers(&e)
 	}
-	servers := k.Servers()
+	servers := o.Servers()
 	switch spec := r.Spec.(type) {
 	case *oriolebend.Pool:
 		explainPool(&e, poolStatus(r, servers))
 	case *oriolebend.Model:
-		k.explainPools(&e, servers, func(p *oriolebend.Pool) bool { return p.Model == key.Name })
+		o.explainPools(&e, servers, func(p *oriolebend.Pool) bool { return p.Model == key.Name })
 	case *oriolebend.Version:
-		k.explainPools(&e, servers, func(p *oriolebend.Pool) bool {
+		o.explainPools(&e, servers, func(p *oriolebend.Pool) bool {
 			return p.Model == spec.Model && p.Version == spec.Version
 		})
 	case *oriolebend.Adapter:
-		k.explainPools(&e, servers, func(p *oriolebend.Pool) bool {
+		o.explainPools(&e, servers, func(p *oriolebend.Pool) bool {
 			return p.Model == spec.Model && slices.Contains(p.Adapters, spec.Adapter)
 		})
 	}
@@ -41,19 +41,19 @@
 	return e, true
 }
 
-// explainer adds sentences to an explanation.
+// explainer adds lines to an explanation.
 type explainer oriolebend.Explanation
 
-// miss adds something that is not reached.
-func (e *explainer) miss(format string, args ...any) {
+// addUnreached adds a line on a state that is not reached.
+func (e *explainer) addUnreached(format string, args ...any) {
 	e.Reached = false
 	e.Lines = append(e.Lines, fmt.Sprintf(format, args...))
 }
 
-func (k Observed) explainFollowers(e *oriolebend.Explanation) {
-	count, rest := k.inForce(e.Revision)
+func (o Observed) explainFollowers(e *oriolebend.Explanation) {
+	count, rest := o.inForce(e.Revision)
 	e.Lines = append(e.Lines, fmt.Sprintf("followers: revision %d is %s", e.Revision,
-		forceText(count, len(k.Reports), rest)))
+		forceText(count, len(o.Reports), rest)))
 	if len(rest) > 0 {
 		e.Reached = false
 	}
@@ -64,16 +64,16 @@
 	e.Lines = append(e.Lines, fmt.Sprintf("pool %s: %d of %d servers are as declared (%s), %d serve, minimum %d",
 		p.Name, p.Settled, p.Servers, p.Declared, p.Serving, p.MinServers))
 	if p.Servers == 0 {
-		add.miss("pool %s has no server: none that announced itself is listed or selected", p.Name)
+		add.addUnreached("pool %s has no server: none that announced itself is listed or selected", p.Name)
 	}
 	if p.Serving < p.MinServers {
-		add.miss("pool %s is under its minimum of %d", p.Name, p.MinServers)
+		add.addUnreached("pool %s is under its minimum of %d", p.Name, p.MinServers)
 	}
 	if p.Serving == p.Servers && p.Serving == p.MinServers && p.Settled < p.Servers {
-		add.miss("pool %s has no server to spare: add one, or lower minServers", p.Name)
+		add.addUnreached("pool %s has no server to spare: add one, or lower minServers", p.Name)
 	}
 	for _, s := range p.Rest {
-		add.miss("%s", serverText(s))
+		add.addUnreached("%s", serverText(s))
 	}
 }
 
@@ -85,16 +85,16 @@
 	return text
 }
 
-func (k Observed) explainPools(e *oriolebend.Explanation, servers []oriolebend.ServerStatus, uses func(*oriolebend.Pool) bool) {
+func (o Observed) explainPools(e *oriolebend.Explanation, servers []oriolebend.ServerStatus, uses func(*oriolebend.Pool) bool) {
 	found := false
-	for _, r := range k.View.List(oriolebend.KindPool) {
+	for _, r := range o.View.List(oriolebend.KindPool) {
 		if uses(r.Spec.(*oriolebend.Pool)) {
 			found = true
 			explainPool(e, poolStatus(r, servers))
 		}
 	}
 	if !found {
-		(*explainer)(e).miss("no pool serves it")
+		(*explainer)(e).addUnreached("no pool serves it")
 	}
 }
 
@@ -105,9 +105,9 @@
 		}
 		e.Lines = append(e.Lines, fmt.Sprintf("server %s is %s, in pool %q", name, s.Server.State, s.Pool))
 		if !s.Settled {
-			(*explainer)(e).miss("%s", serverText(s))
+			(*explainer)(e).addUnreached("%s", serverText(s))
 		}
 		return
 	}
-	(*explainer)(e).miss("no server %s holds a membership lease", name)
+	(*explainer)(e).addUnreached("no server %s holds a membership lease", name)
 }
--- a/internal/reducer/reached/status.go
+++ b/internal/reducer/reached/status.go
@@ -10,38 +10,39 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// SilentAfter is how long after its last report a follower is called silent;
-// they report every 10 s at least.
+// SilentAfter is how long after its last report a follower counts as silent;
+// followers report every 10 s at least.
 const SilentAfter = 30 * time.Second
 
-// Observed is all that a status is drawn from.
+// Observed is the input from which a status or an explanation is computed.
 type Observed struct {
 	At      time.Time
 	View    declared.View
 	Reports []Report
-	// Announcements are the latest of each server; only the leader has them.
+	// Announcements are the latest announcements by server; only the leader has
+	// them.
 	Announcements map[string]message.Announce
 }
 
-// Status compares what is declared with what is reached.
-func (k Observed) Status() oriolebend.Status {
-	status := oriolebend.Status{Revision: k.View.Revision, Total: len(k.Reports)}
-	status.InForce, status.Rest = k.inForce(k.View.Revision)
+// Status compares the declared state with the reached state.
+func (o Observed) Status() oriolebend.Status {
+	status := oriolebend.Status{Revision: o.View.Revision, Total: len(o.Reports)}
+	status.InForce, status.Rest = o.inForce(o.View.Revision)
 	status.Text = forceText(status.InForce, status.Total, status.Rest)
-	servers := k.Servers()
-	for _, r := range k.View.List(oriolebend.KindPool) {
+	servers := o.Servers()
+	for _, r := range o.View.List(oriolebend.KindPool) {
 		status.Pools = append(status.Pools, poolStatus(r, servers))
 	}
 	return status
 }
 
-// inForce counts the followers that have a revision in force and are heard
-// of, and lists the others.
-func (k Observed) inForce(revision uint64) (int, []oriolebend.NodeStatus) {
+// inForce counts the followers that have a revision in force and are not silent,
+// and lists the others.
+func (o Observed) inForce(revision uint64) (int, []oriolebend.NodeStatus) {
 	count := 0
 	var rest []oriolebend.NodeStatus
-	for _, r := range k.Reports {
-		age := k.At.Sub(r.At)
+	for _, r := range o.Reports {
+		age := o.At.Sub(r.At)
 		silent := age > SilentAfter
 		if r.Revision >= revision && !silent {
 			count++
@@ -55,7 +56,7 @@
 	return count, rest
 }
 
-// maxNamed bounds how many followers a sentence names.
+// maxNamed bounds the number of followers that a text names.
 const maxNamed = 5
 
 func forceText(count, total int, rest []oriolebend.NodeStatus) string {
@@ -82,23 +83,23 @@
 	return text
 }
 
-// Servers compares each member with what is declared for it, by name.
-func (k Observed) Servers() []oriolebend.ServerStatus {
-	pools := k.View.PoolServers()
-	members := k.View.Members()
+// Servers compares each member with its declared state, sorted by name.
+func (o Observed) Servers() []oriolebend.ServerStatus {
+	pools := o.View.PoolServers()
+	members := o.View.Members()
 	list := make([]oriolebend.ServerStatus, 0, len(members))
 	for _, s := range members {
-		list = append(list, k.server(s, pools[s.Name]))
+		list = append(list, o.server(s, pools[s.Name]))
 	}
 	return list
 }
 
-func (k Observed) server(s oriolebend.Server, pool string) oriolebend.ServerStatus {
-	target := k.View.TargetIn(s, pool)
+func (o Observed) server(s oriolebend.Server, pool string) oriolebend.ServerStatus {
+	target := o.View.TargetIn(s, pool)
 	status := oriolebend.ServerStatus{Server: s, Pool: pool, Declared: target.State}
 	status.Detail = target.Missing(s)
 	status.Settled = status.Detail == ""
-	announce, known := k.Announcements[s.Name]
+	announce, known := o.Announcements[s.Name]
 	if !known {
 		return status
 	}
--- a/internal/reducer/reached/table_test.go
+++ b/internal/reducer/reached/table_test.go
@@ -25,7 +25,7 @@
 	return strings.Join(words, " ")
 }
 
-// TestTablesMerge is the contract of what control VMs tell each other.
+// TestTablesMerge checks the reports that control VMs exchange.
 func TestTablesMerge(t *testing.T) {
 	is := is.New(t)
 	c1, c2 := New("c1"), New("c2")
@@ -34,7 +34,7 @@
 	c2.Merge(after(1), c1.LocalFollowers(after(1)))
 	is.Equal(list(c2), "e1@5(c1) e2@6(c2)")
 
-	// The follower moves to c2 and goes on; what c1 tells of it is older.
+	// The follower moves to c2 and reports a later revision; c1 has an older report.
 	c2.Record(after(3), message.Reached{Node: "e1", Revision: 7})
 	c2.Merge(after(4), c1.LocalFollowers(after(4)))
 	is.Equal(list(c2), "e1@7(c2) e2@6(c2)")
@@ -42,7 +42,7 @@
 	is.Equal(list(c1), "e1@7(c2) e2@6(c2)")
 	is.Equal(len(c1.LocalFollowers(after(4)).List), 0)
 
-	// It restarts and has nothing yet: that is told, not hidden.
+	// The follower restarts and has no state yet: that is reported.
 	c1.Record(after(5), message.Reached{Node: "e1", Revision: 0})
 	c2.Merge(after(6), c1.LocalFollowers(after(6)))
 	is.Equal(list(c2), "e1@0(c1) e2@6(c2)")
@@ -51,8 +51,9 @@
 	is.Equal(list(c2), "")
 }
 
-// TestAgesBridgeClocks: the clocks of control VMs differ by an hour.
-func TestAgesBridgeClocks(t *testing.T) {
+// TestMergeWithDifferentClocks merges reports of control VMs whose clocks differ by
+// an hour.
+func TestMergeWithDifferentClocks(t *testing.T) {
 	is := is.New(t)
 	ahead, here := New("c1"), New("c2")
 	ahead.Record(after(3600), message.Reached{Node: "e1", Revision: 5})
@@ -63,51 +64,51 @@
 
 func TestStatusText(t *testing.T) {
 	is := is.New(t)
-	k := Observed{At: after(100), View: declared.View{Revision: 42}}
+	o := Observed{At: after(100), View: declared.View{Revision: 42}}
 	for i := range 320 {
 		r := Report{Node: fmt.Sprintf("entry-%03d", i), Revision: 42, At: after(99)}
 		switch i {
 		case 7:
 			r.Revision = 40
-		case 8: // has it, but was not heard of for too long to count on
+		case 8: // has the revision, but has been silent for too long to count
 			r.At = after(10)
 		case 9:
 			r.Revision, r.At = 39, after(0)
 		}
-		k.Reports = append(k.Reports, r)
+		o.Reports = append(o.Reports, r)
 	}
 	want := "in force on 317 of 320; the rest: entry-007 at 40, entry-008 at 42, silent for 1m30s, entry-009 at 39, silent for 1m40s"
-	is.Equal(k.Status().Text, want)
+	is.Equal(o.Status().Text, want)
 }
 
-// TestExplain is a table of why a pool or server is not as declared.
+// TestExplain checks the reasons given for a pool or server that is not as declared.
 func TestExplain(t *testing.T) {
 	pool := &oriolebend.Pool{Role: oriolebend.Decode, Model: "m", Version: "v2", MinServers: 2, Adapters: []string{"a"}, Servers: []string{"s1", "s2"}}
-	held := func(state oriolebend.ServerState, models ...oriolebend.LoadedModel) oriolebend.Server {
+	server := func(state oriolebend.ServerState, models ...oriolebend.LoadedModel) oriolebend.Server {
 		return oriolebend.Server{State: state, Role: oriolebend.Decode, Models: models}
 	}
-	done := oriolebend.LoadedModel{Model: "m", Version: "v2", Adapters: []string{"a"}}
+	loaded := oriolebend.LoadedModel{Model: "m", Version: "v2", Adapters: []string{"a"}}
 	for _, test := range []struct {
 		name   string
 		s1, s2 oriolebend.Server
 		want   string
 	}{
-		{"as declared", held(oriolebend.ServerServing, done), held(oriolebend.ServerServing, done), ""},
+		{"as declared", server(oriolebend.ServerServing, loaded), server(oriolebend.ServerServing, loaded), ""},
 		{
 			"old version, none to spare",
-			held(oriolebend.ServerServing, oriolebend.LoadedModel{Model: "m", Version: "v1"}), held(oriolebend.ServerServing, done),
+			server(oriolebend.ServerServing, oriolebend.LoadedModel{Model: "m", Version: "v1"}), server(oriolebend.ServerServing, loaded),
 			"has no server to spare|s1 holds m@v1, declared m@v2; waits its turn (waiting)",
 		},
 		{
-			"adapter missing", held(oriolebend.ServerServing, done),
-			held(oriolebend.ServerServing, oriolebend.LoadedModel{Model: "m", Version: "v2"}), "s2 lacks adapter a",
+			"adapter missing", server(oriolebend.ServerServing, loaded),
+			server(oriolebend.ServerServing, oriolebend.LoadedModel{Model: "m", Version: "v2"}), "s2 lacks adapter a",
 		},
 		{
-			"empty", held(oriolebend.ServerServing, done), held(oriolebend.ServerLoading),
+			"empty", server(oriolebend.ServerServing, loaded), server(oriolebend.ServerLoading),
 			"under its minimum of 2|s2 holds no model",
 		},
 		{
-			"role", held(oriolebend.ServerServing, done),
+			"role", server(oriolebend.ServerServing, loaded),
 			oriolebend.Server{State: oriolebend.ServerServing, Role: oriolebend.Prefill},
 			"s2 has role prefill, declared decode",
 		},
@@ -118,10 +119,10 @@
 			test.s1.Name, test.s2.Name = "s1", "s2"
 			r := oriolebend.Resource{Kind: oriolebend.KindPool, Name: "p", Revision: 3, Spec: pool}
 			view.Merge(5, []oriolebend.Server{test.s1, test.s2}, []oriolebend.Resource{r})
-			k := Observed{At: start, View: view, Announcements: map[string]message.Announce{
+			o := Observed{At: start, View: view, Announcements: map[string]message.Announce{
 				"s1": {Progress: message.ProgressWaiting, Detail: "waits its turn"},
 			}}
-			e, found := k.Explain(r.Key())
+			e, found := o.Explain(r.Key())
 			is.True(found)
 			is.Equal(e.Reached, test.want == "")
 			text := strings.Join(e.Lines, "\n")
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -1,7 +1,7 @@
-// Package reducer is the one reducer over all events of the system. Each part
-// of it is a package of its own: its state, its events, and its effects, which
-// are data. A process holds the parts of the roles that it runs, and feeds all
-// their events through Reduce, one at a time.
+// Package reducer combines the reducers of all parts of the system. Each part is
+// a package with its own state, events and effects, which are data. A process
+// holds the parts of the roles that it runs, and passes all their events to
+// Reduce, one at a time.
 package reducer
 
 import (
@@ -47,17 +47,17 @@
 	ServerLimit *serverlimit.State
 }
 
-// UnknownEventError is an event that belongs to no part. It is a mistake in
-// the program, and Reduce panics with it.
+// UnknownEventError means that an event belongs to no part. This is a programming
+// error, and Reduce panics with it.
 type UnknownEventError struct{ Event Event }
 
 // Error implements error.
 func (e *UnknownEventError) Error() string {
-	return fmt.Sprintf("an event of no part: %T", e.Event)
+	return fmt.Sprintf("reducer: event of type %T belongs to no part", e.Event)
 }
 
-// Reduce moves the part that an event belongs to on, and returns what is to be
-// done, in order. It reads no clock and does no I/O; its random numbers come
+// Reduce applies an event to the part that it belongs to, and returns the effects
+// to carry out, in order. It reads no clock and does no I/O; random numbers come
 // from seeds in the state.
 func Reduce(s *State, event Event) []Effect {
 	switch e := event.(type) {
--- a/internal/reducer/reducer_test.go
+++ b/internal/reducer/reducer_test.go
@@ -19,15 +19,15 @@
 		Gate:  gate.New(gate.Config{Role: oriolebend.Service}),
 	}
 	at := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
-	told := Reduce(s, gate.Ticked{At: at})
-	is.Equal(told, []Effect{gate.Announce{State: oriolebend.ServerServing}}) // the gate of a plain service is ready
+	announced := Reduce(s, gate.Ticked{At: at})
+	is.Equal(announced, []Effect{gate.Announce{State: oriolebend.ServerServing}}) // the gate of a service is ready at once
 	drained := Reduce(s, entry.Stopping{At: at})
-	is.Equal(drained, []Effect{entry.Drained{}}) // an entry without requests has drained
+	is.Equal(drained, []Effect{entry.Drained{}}) // an entry without requests is drained at once
 }
 
-// Symptom: an event is lost without a word. Sequence: a new part's event is
-// posted, and Reduce was not told of the part. Cause: the switch lacks it.
-func TestAnEventOfNoPartPanics(t *testing.T) {
+// Guards against events that are ignored without notice: a new part's event is
+// posted, but the part is missing in Reduce's switch.
+func TestUnknownEventPanics(t *testing.T) {
 	is := is.New(t)
 	defer func() {
 		err, ok := recover().(error)
