--- a/internal/reducer/follow/event.go
+++ b/internal/reducer/follow/event.go
@@ -63,9 +63,9 @@
 // Changed reports the declared state from now on to the rest of the process.
 type Changed struct {
 	Revision uint64
-	// Whole is true if Servers and Resources are the complete state, false if they
+	// Complete is true if Servers and Resources are the complete state, false if they
 	// are only its changes.
-	Whole     bool
+	Complete     bool
 	Servers   []oriolebend.Server
 	Resources []oriolebend.Resource
 }
--- a/internal/reducer/follow/state.go
+++ b/internal/reducer/follow/state.go
@@ -332,7 +332,7 @@
 	s.view = v.Copy()
 	s.current = true
 	s.offer = nil
-	return []Effect{Changed{Revision: v.Revision, Whole: true, Servers: v.Members(), Resources: v.List("")}}
+	return []Effect{Changed{Revision: v.Revision, Complete: true, Servers: v.Members(), Resources: v.List("")}}
 }
 
 // adoptUnconfirmed adopts the newest unconfirmed state, if the settings allow it and
@@ -368,7 +368,7 @@
 	}
 	s.view.Merge(u.Revision, u.Servers, resources)
 	return []Effect{Changed{
-		Revision: u.Revision, Whole: u.Snapshot, Servers: u.Servers, Resources: resources,
+		Revision: u.Revision, Complete: u.Snapshot, Servers: u.Servers, Resources: resources,
 	}}, nil
 }
 
--- a/internal/reducer/follow/state_test.go
+++ b/internal/reducer/follow/state_test.go
@@ -71,7 +71,7 @@
 		case Open:
 			counts[fmt.Sprintf("open %s from=%d", e.Control, e.Watch.From)]++
 		case Changed:
-			counts[fmt.Sprintf("changed to %d whole=%t resources=%d", e.Revision, e.Whole, len(e.Resources))]++
+			counts[fmt.Sprintf("changed to %d whole=%t resources=%d", e.Revision, e.Complete, len(e.Resources))]++
 		case Count:
 			counts[fmt.Sprintf("count %s %s", e.What, e.Control)]++
 		case Send:
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -83,7 +83,7 @@
 	e.follower = NewFollower(FollowerConfig{
 		Reducer:  c.Follow,
 		Dialer:   c.Dialer,
-		Apply:    func(_ declared.View, changed follow.Changed) { e.Servers(changed.Servers, changed.Whole) },
+		Apply:    func(_ declared.View, changed follow.Changed) { e.Servers(changed.Servers, changed.Complete) },
 		Observer: c.Observer,
 	})
 	state := &reducer.State{Entry: entry.New(c.Reducer), Follow: e.follower.State}
