--- a/internal/reducer/follow/state.go
+++ b/internal/reducer/follow/state.go
@@ -38,9 +38,9 @@
 	// StaleAfter is how long a control VM may be without confirmation by a quorum
 	// before the follower switches to another one; zero means 6s.
 	StaleAfter time.Duration
-	// RetryFirst and RetryMost bound the delays between attempts; zero means
+	// RetryMin and RetryMost bound the delays between attempts; zero means
 	// 200ms and 5s.
-	RetryFirst time.Duration
+	RetryMin time.Duration
 	RetryMost  time.Duration
 	// ReportEvery is the interval at which an unchanged revision is reported;
 	// zero means 10s.
@@ -57,7 +57,7 @@
 
 func (c Config) withDefaults() Config {
 	c.StaleAfter = cmp.Or(c.StaleAfter, 6*time.Second)
-	c.RetryFirst = cmp.Or(c.RetryFirst, 200*time.Millisecond)
+	c.RetryMin = cmp.Or(c.RetryMin, 200*time.Millisecond)
 	c.RetryMost = cmp.Or(c.RetryMost, 5*time.Second)
 	c.ReportEvery = cmp.Or(c.ReportEvery, 10*time.Second)
 	c.ReturnAfter = cmp.Or(c.ReturnAfter, 5*time.Minute)
@@ -196,7 +196,7 @@
 		s.failures = 0
 	}
 	s.nextControl = (closed.control + 1) % len(s.order)
-	delay := s.config.RetryFirst << min(s.failures, 10)
+	delay := s.config.RetryMin << min(s.failures, 10)
 	delay = min(delay, s.config.RetryMost)
 	s.failures++
 	s.retryAt = at.Add(s.jitter(delay))
