--- a/internal/reducer/follow/state.go
+++ b/internal/reducer/follow/state.go
@@ -41,7 +41,7 @@
 	// RetryMin and RetryMost bound the delays between attempts; zero means
 	// 200ms and 5s.
 	RetryMin time.Duration
-	RetryMost  time.Duration
+	RetryMax  time.Duration
 	// ReportEvery is the interval at which an unchanged revision is reported;
 	// zero means 10s.
 	ReportEvery time.Duration
@@ -58,7 +58,7 @@
 func (c Config) withDefaults() Config {
 	c.StaleAfter = cmp.Or(c.StaleAfter, 6*time.Second)
 	c.RetryMin = cmp.Or(c.RetryMin, 200*time.Millisecond)
-	c.RetryMost = cmp.Or(c.RetryMost, 5*time.Second)
+	c.RetryMax = cmp.Or(c.RetryMax, 5*time.Second)
 	c.ReportEvery = cmp.Or(c.ReportEvery, 10*time.Second)
 	c.ReturnAfter = cmp.Or(c.ReturnAfter, 5*time.Minute)
 	return c
@@ -197,7 +197,7 @@
 	}
 	s.nextControl = (closed.control + 1) % len(s.order)
 	delay := s.config.RetryMin << min(s.failures, 10)
-	delay = min(delay, s.config.RetryMost)
+	delay = min(delay, s.config.RetryMax)
 	s.failures++
 	s.retryAt = at.Add(s.jitter(delay))
 	return []Effect{Count{What: reason, Control: s.order[closed.control].Name}, Close{Link: closed.link}}
