--- a/internal/heldbytes/account.go
+++ b/internal/heldbytes/account.go
@@ -102,7 +102,7 @@
 
 // checkBounds returns an error if a holding can't grow by n bytes. The caller holds the mutex.
 func (a *Account) checkBounds(h *Holding, n int64) *FullError {
-	full := &FullError{Kind: h.kind, Asked: n, Held: a.held, Limit: a.limit}
+	full := &FullError{Kind: h.kind, Requested: n, Held: a.held, Limit: a.limit}
 	switch {
 	case a.limit == 0:
 		return nil
@@ -191,8 +191,8 @@
 	Kind Kind
 	// Peer is set if the share of one peer is used up, and not the bound of the whole account.
 	Peer bool
-	// Asked, Held and Limit are in bytes.
-	Asked, Held, Limit int64
+	// Requested, Held and Limit are in bytes.
+	Requested, Held, Limit int64
 }
 
 // Error implements error.
@@ -202,7 +202,7 @@
 		whose = "one peer"
 	}
 	return fmt.Sprintf("heldbytes: no room for %d bytes of a body (%s): %d of %d bytes are held for %s",
-		e.Asked, e.Kind, e.Held, e.Limit, whose)
+		e.Requested, e.Kind, e.Held, e.Limit, whose)
 }
 
 // ClosedError means that a holding was to grow after Close.
