--- a/internal/reducer/registry/script_test.go
+++ b/internal/reducer/registry/script_test.go
@@ -102,7 +102,7 @@
 	case "wait":
 		s.now = s.now.Add(duration(t, words[1]))
 	case "lost":
-		s.view.Lost(s.now, words[1])
+		s.view.SessionEnded(s.now, words[1])
 	case "report":
 		complete := len(words) > 2 && words[2] == "complete"
 		var servers []message.BackendServer
--- a/internal/reducer/registry/view.go
+++ b/internal/reducer/registry/view.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// Lost records that the session with a control VM has ended.
-func (v *View) Lost(at time.Time, control string) {
+// SessionEnded records that the session with a control VM has ended.
+func (v *View) SessionEnded(at time.Time, control string) {
 	if s := v.sources[control]; s != nil && s.lost.IsZero() {
 		s.lost = at
 	}
--- a/internal/reducer/registry/view_test.go
+++ b/internal/reducer/registry/view_test.go
@@ -21,7 +21,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 			control := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "control")
 			if rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
-				v.Lost(now, control)
+				v.SessionEnded(now, control)
 			} else {
 				v.Update(now, control, rapid.Bool().Draw(t, "complete"), drawServers(t))
 			}
--- a/internal/routewatch/link.go
+++ b/internal/routewatch/link.go
@@ -189,5 +189,5 @@
 	if f.first == l {
 		f.first = nil
 	}
-	f.view.Lost(time.Now(), l.address)
+	f.view.SessionEnded(time.Now(), l.address)
 }
