--- a/internal/crashreports/sender_test.go
+++ b/internal/crashreports/sender_test.go
@@ -51,8 +51,8 @@
 }
 
 // Guards against a request that is quarantined at some forwarders only while no control VM is
-// connected. Three of forty forwarders have each seen it crash one server; each forwarder knows five
-// others. Forwarders must send on the reports that they receive.
+// connected. Three of forty forwarders have each seen it crash one server; each forwarder knows
+// five others. Forwarders must send on the reports that they receive.
 func TestPropagationWithoutControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -82,9 +82,9 @@
 	})
 }
 
-// Guards against a forwarder that keeps sending a request that crashes servers. The control VMs that
-// receive its reports are lost at that moment, and count as connected until their sessions time out.
-// A failed delivery must be repeated.
+// Guards against a forwarder that keeps sending a request that crashes servers. The control VMs
+// that receive its reports are lost at that moment, and count as connected until their sessions
+// time out. A failed delivery must be repeated.
 func TestPropagationWhileControlIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -110,8 +110,8 @@
 }
 
 // Guards against a saturated link of 10 Mbit/s after a failure domain was lost: servers crash with
-// thousands of requests in progress, and each is reported. A control VM sends on only the reports of
-// requests under which several servers crashed.
+// thousands of requests in progress, and each is reported. A control VM sends on only the reports
+// of requests under which several servers crashed.
 func TestControlForwardsOnlyRepeatedCrashes(t *testing.T) {
 	is := is.New(t)
 	sent := 0
--- a/internal/quarantine/store_test.go
+++ b/internal/quarantine/store_test.go
@@ -15,8 +15,8 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-// A process that sends requests reports every crash, quarantines the request from the third crash on,
-// and logs that. It allows the request again after a quarter of an hour at the latest.
+// A process that sends requests reports every crash, quarantines the request from the third crash
+// on, and logs that. It allows the request again after a quarter of an hour at the latest.
 func TestStoreOfAForwarder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -114,8 +114,8 @@
 	return order
 }
 
-// markUnreachable records that a control VM did not answer, and closes its session. Requests that wait
-// there continue with another control VM.
+// markUnreachable records that a control VM did not answer, and closes its session. Requests that
+// wait there continue with another control VM.
 func (c *Client) markUnreachable(address string, err error) {
 	c.mutex.Lock()
 	c.unreachable[address] = time.Now().Add(unreachableFor)
@@ -135,8 +135,8 @@
 	return c.requests.Ask(ctx, address, request)
 }
 
-// Return implements forwarder.Quotas. If the message is lost, the organisation lacks the units until
-// its bucket is full again.
+// Return implements forwarder.Quotas. If the message is lost, the organisation lacks the units
+// until its bucket is full again.
 func (c *Client) Return(charge forwarder.Charge) {
 	c.requests.Tell(charge.Keeper, returnMessage(charge.Organisation, charge.Cost))
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -90,8 +90,8 @@
 	return c
 }
 
-// take takes a cost, and returns the control VM that granted it, the reason if none did, and how long
-// that took.
+// take takes a cost, and returns the control VM that granted it, the reason if none did, and how
+// long that took.
 func take(t *testing.T, c *Client, cost float64) (keeper string, reason oriolebend.Reason, took time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -150,8 +150,8 @@
 }
 
 // Guards against an organisation that is granted more than its quota while control VMs are killed
-// repeatedly. A control VM that has just started must not grant from its reserve before it knows the
-// number of control VMs: until then the reserve would be as large as all reserves together.
+// repeatedly. A control VM that has just started must not grant from its reserve before it knows
+// the number of control VMs: until then the reserve would be as large as all reserves together.
 func TestReserveAfterStart(t *testing.T) {
 	testGroup(t, 3, tenASecond, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
 		synctest.Wait()
@@ -191,8 +191,8 @@
 	})
 }
 
-// If no control VM is reached, the quota's state is unknown: the refusal must not state that the quota
-// is used up.
+// If no control VM is reached, the quota's state is unknown: the refusal must not state that the
+// quota is used up.
 func TestNobodyCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -203,8 +203,8 @@
 	})
 }
 
-// Guards against refusals of an organisation below its quota just after its load begins. A control VM
-// has led for a long time before the first request; the bucket must fill from the start of the
+// Guards against refusals of an organisation below its quota just after its load begins. A control
+// VM has led for a long time before the first request; the bucket must fill from the start of the
 // leadership, not from the first request.
 func TestBucketIsFullBeforeTheFirstRequest(t *testing.T) {
 	testGroup(t, 1, oriolebend.Quota{PerSecond: 1000, Burst: 9000}, func(ctx context.Context, t *testing.T, is *is.I, g *group) {
--- a/internal/quota/server.go
+++ b/internal/quota/server.go
@@ -129,8 +129,8 @@
 	return message.QuotaAnswer{ID: request.ID, Granted: a.Granted, Known: a.Exhausted, RetryAfter: a.RetryAfter, Left: a.Left, Since: a.Since}
 }
 
-// updateLeadership passes the current leadership, and jumps of the clock, to the reducer. The caller
-// holds the mutex.
+// updateLeadership passes the current leadership, and jumps of the clock, to the reducer. The
+// caller holds the mutex.
 func (s *Server) updateLeadership() {
 	now := time.Now()
 	leader := s.Leader()
--- a/internal/reducer/quarantine/state.go
+++ b/internal/reducer/quarantine/state.go
@@ -188,8 +188,8 @@
 	return effects
 }
 
-// effectsOfChange returns the effects of a change to the reports of a request. before is the number of
-// crashes before the change; send allows SendReports.
+// effectsOfChange returns the effects of a change to the reports of a request. before is the number
+// of crashes before the change; send allows SendReports.
 func (s *State) effectsOfChange(at time.Time, fingerprint Fingerprint, before int, send bool) []Effect {
 	var effects []Effect
 	r := s.requests[fingerprint]
--- a/internal/reducer/reached/table.go
+++ b/internal/reducer/reached/table.go
@@ -23,7 +23,7 @@
 	Node     string
 	Role     string
 	Revision uint64
-	// At is when the report was received, by the clock of this control VM.
+	// At is when a control VM received the report, by the clock of this control VM.
 	At time.Time
 	// Control is the control VM that received the report.
 	Control string
--- a/internal/reducer/registry/address.go
+++ b/internal/reducer/registry/address.go
@@ -48,9 +48,9 @@
 	return changed
 }
 
-// supersedes reports whether an instance has taken over the address of another one. An instance that
-// continues to announce itself takes precedence over a silent one: a delayed announcement of an
-// instance that has ended can arrive after those of its successor.
+// supersedes reports whether an instance has taken over the address of another one. An instance
+// that continues to announce itself takes precedence over a silent one: a delayed announcement of
+// an instance that has ended can arrive after those of its successor.
 func (i *instance) supersedes(other *instance) bool {
 	a, b := i.merged, other.merged
 	switch {
--- a/internal/reducer/registry/state.go
+++ b/internal/reducer/registry/state.go
@@ -226,8 +226,8 @@
 	return []Effect{Changed{Server: s.published(holder.server.Instance)}}
 }
 
-// relevantChange reports whether a change matters to forwarders. A higher sequence number alone does
-// not.
+// relevantChange reports whether a change matters to forwarders. A higher sequence number alone
+// does not.
 func relevantChange(before, after message.BackendServer) bool {
 	before.Sequence, before.SlowFor = after.Sequence, after.SlowFor
 	return before != after
--- a/internal/reducer/registry/view.go
+++ b/internal/reducer/registry/view.go
@@ -142,8 +142,8 @@
 	return c
 }
 
-// refresh merges the reports of all sources on an instance again, and adds the affected addresses to
-// touched. It reports whether the instance has left the view.
+// refresh merges the reports of all sources on an instance again, and adds the affected addresses
+// to touched. It reports whether the instance has left the view.
 func (v *View) refresh(name string, touched map[string]struct{}) (left bool) {
 	server, complete, usable := v.merge(name)
 	i := v.instances[name]
@@ -177,10 +177,10 @@
 }
 
 // merge returns the merged state of an instance over all sources, and whether one of them had
-// reported it in a complete list. usable is false if the instance has left, or if its address is not
-// known. The latest incarnation of an instance counts. Its phase is the most advanced phase that any
-// control VM reports; the rest is its latest announcement. It is silent if every control VM that
-// reports it reports it as silent.
+// reported it in a complete list. usable is false if the instance has left, or if its address is
+// not known. The latest incarnation of an instance counts. Its phase is the most advanced phase
+// that any control VM reports; the rest is its latest announcement. It is silent if every control
+// VM that reports it reports it as silent.
 func (v *View) merge(name string) (merged message.BackendServer, complete, usable bool) {
 	for _, control := range v.sourceOrder {
 		s := v.sources[control]
--- a/internal/serverlimit/client.go
+++ b/internal/serverlimit/client.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// Permit implements forwarder.Limits. Without a control VM that counts, nothing is permitted: if each
-// forwarder allowed itself a part of the limit, all together could exceed it, and no forwarder could
-// detect that.
+// Permit implements forwarder.Limits. Without a control VM that counts, nothing is permitted: if
+// each forwarder allowed itself a part of the limit, all together could exceed it, and no forwarder
+// could detect that.
 func (c *Client) Permit(ctx context.Context, request forwarder.LimitAsk) forwarder.Permission {
 	leader := c.Leader()
 	if wait := c.backoff(leader); wait > 0 {
@@ -102,8 +102,9 @@
 	c.requests.Tell(c.Leader(), message.LimitAsk{Step: message.LimitReturned, Server: server.Start()})
 }
 
-// Ended implements forwarder.Limits. A forwarder that has never requested a permission has no session
-// over which to report the end of a limit; the other forwarders then detect it by their own requests.
+// Ended implements forwarder.Limits. A forwarder that has never requested a permission has no
+// session over which to report the end of a limit; the other forwarders then detect it by their own
+// requests.
 func (c *Client) Ended(server message.BackendServer, age time.Duration) {
 	c.requests.Tell(c.Leader(), message.LimitAsk{Step: message.LimitEnded, Server: server.Start(), Age: age})
 }
--- a/internal/serverlimit/server.go
+++ b/internal/serverlimit/server.go
@@ -57,8 +57,8 @@
 	peer.AnswerQuestions(ctx, stream, s.handle)
 }
 
-// handle passes one message of a forwarder to the reducer and returns the answer, if the message needs
-// one.
+// handle passes one message of a forwarder to the reducer and returns the answer, if the message
+// needs one.
 func (s *Server) handle(m message.LimitAsk) (message.LimitAnswer, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -84,8 +84,8 @@
 	return s.state.Limited(time.Now(), server.Start())
 }
 
-// updateLeadership passes the current leadership, and jumps of the clock, to the reducer. The caller
-// holds the mutex.
+// updateLeadership passes the current leadership, and jumps of the clock, to the reducer. The
+// caller holds the mutex.
 func (s *Server) updateLeadership() {
 	now := time.Now()
 	jumped := s.clock.Moved(now.Sub(s.start), now)
--- a/internal/serverlimit/serverlimit_test.go
+++ b/internal/serverlimit/serverlimit_test.go
@@ -98,10 +98,10 @@
 	})
 }
 
-// Guards against requests that each wait for an unreachable leader, and against two control VMs that
-// each grant a server's limit. The leader stalls, and another control VM becomes the leader a second
-// later. Meanwhile nothing is permitted, and no request waits after the first one; the new leader
-// begins with an empty bucket.
+// Guards against requests that each wait for an unreachable leader, and against two control VMs
+// that each grant a server's limit. The leader stalls, and another control VM becomes the leader a
+// second later. Meanwhile nothing is permitted, and no request waits after the first one; the new
+// leader begins with an empty bucket.
 func TestLeaderThatStandsStill(t *testing.T) {
 	testGroup(t, func(is *is.I, g *group) {
 		c := g.client("f1")
