--- a/internal/reducer/follow/event.go
+++ b/internal/reducer/follow/event.go
@@ -65,7 +65,7 @@
 	Revision uint64
 	// Complete is true if Servers and Resources are the complete state, false if they
 	// are only its changes.
-	Complete     bool
+	Complete  bool
 	Servers   []oriolebend.Server
 	Resources []oriolebend.Resource
 }
--- a/internal/reducer/follow/state.go
+++ b/internal/reducer/follow/state.go
@@ -41,7 +41,7 @@
 	// RetryMin and RetryMost bound the delays between attempts; zero means
 	// 200ms and 5s.
 	RetryMin time.Duration
-	RetryMax  time.Duration
+	RetryMax time.Duration
 	// ReportEvery is the interval at which an unchanged revision is reported;
 	// zero means 10s.
 	ReportEvery time.Duration
