--- a/internal/crashreports/sender.go
+++ b/internal/crashreports/sender.go
@@ -37,9 +37,10 @@
 
 // Sender sends crash reports to other processes.
 //
-// Forwarders send to a few control VMs, which count over all forwarders and send to all of them
-// once there are several crashes. While no control VM is connected, forwarders send to some other
-// forwarders, which send on the reports that are new to them.
+// Forwarders send reports to a few control VMs, which count over all forwarders and send the
+// reports of a request to all forwarders once there are several crashes. While no control VM is
+// connected, forwarders send reports to some other forwarders, which send on the reports that are
+// new to them.
 type Sender struct {
 	Dialer peer.Dialer
 	// Controls returns the connected control VMs, Peers some other forwarders.
--- a/internal/reducer/follow/state.go
+++ b/internal/reducer/follow/state.go
@@ -38,8 +38,8 @@
 	// StaleAfter is how long a control VM may be without confirmation by a quorum
 	// before the follower switches to another one; zero means 6s.
 	StaleAfter time.Duration
-	// RetryMin and RetryMost bound the delays between attempts; zero means
-	// 200ms and 5s.
+	// RetryMin and RetryMax bound the delays between attempts; zero means 200ms
+	// and 5s.
 	RetryMin time.Duration
 	RetryMax time.Duration
 	// ReportEvery is the interval at which an unchanged revision is reported;
--- a/internal/reducer/registry/state.go
+++ b/internal/reducer/registry/state.go
@@ -44,7 +44,7 @@
 	holders map[string]string
 }
 
-// entry is one instance and the time of its last announcement.
+// entry is one instance and the time of its last announcement or withdrawal.
 type entry struct {
 	server      message.BackendServer
 	announcedAt time.Time
@@ -52,7 +52,7 @@
 	superseded bool
 }
 
-// roleChange is a role change of one incarnation of an instance, which takes until a time.
+// roleChange is a role change of one incarnation of an instance, and when it ends at the latest.
 type roleChange struct {
 	incarnation uint64
 	until       time.Time
@@ -253,6 +253,8 @@
 	return []Effect{Changed{Server: k.server}}
 }
 
+// expire ends role changes whose time has passed, marks servers without recent announcements as
+// silent, and drops those without announcements for ForgetAfter.
 func (s *State) expire(at time.Time) []Effect {
 	var effects []Effect
 	for _, name := range slices.Sorted(maps.Keys(s.changing)) {
--- a/internal/serverlimit/client.go
+++ b/internal/serverlimit/client.go
@@ -28,8 +28,8 @@
 	Logger *slog.Logger
 
 	mutex sync.Mutex
-	// unreachableUntil is until when the control VM unreachable, which did not answer, is not
-	// queried.
+	// unreachable is the address of the control VM that did not answer last, and unreachableUntil
+	// until when it is not queried.
 	unreachableUntil time.Time
 	unreachable      string
 	requests         peer.Questions[message.LimitAsk, message.LimitAnswer]
--- a/internal/serverlimit/server.go
+++ b/internal/serverlimit/server.go
@@ -16,7 +16,7 @@
 	"github.com/oriolebend/oriolebend/internal/steady"
 )
 
-// Server counts for backend servers with a limit in one control VM, while that leads.
+// Server counts, in one control VM while it leads, the requests to backend servers with a limit.
 type Server struct {
 	// Leads reports whether this control VM holds an unexpired lease, and Term returns the term
 	// of the leadership.
