--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -91,7 +91,7 @@
 		c.Logger = slog.New(slog.DiscardHandler)
 	}
 	if c.Quarantine == nil {
-		c.Quarantine = quarantine.New(quarantine.Config{Sends: true, Logger: c.Logger})
+		c.Quarantine = quarantine.New(quarantine.Config{SendsRequests: true, Logger: c.Logger})
 	}
 	if c.Limits == nil {
 		c.Limits = newLocalLimits()
@@ -300,7 +300,7 @@
 		w.refuse(refusal{reason: oriolebend.ReasonUnknownService, after: retryNotReady})
 		return false
 	}
-	if left, held := w.f.config.Quarantine.Held(w.fingerprint); held {
+	if left, held := w.f.config.Quarantine.Quarantined(w.fingerprint); held {
 		w.refuse(refusal{reason: oriolebend.ReasonCrashesServers, after: left})
 		return false
 	}
--- a/internal/forwarder/held_test.go
+++ b/internal/forwarder/held_test.go
@@ -127,7 +127,7 @@
 		s.awaitProbes()
 	}
 	is.True(reached.Load() > 4)
-	_, held := s.forwarder.config.Quarantine.Held(bodyFingerprint("/safe/"))
+	_, held := s.forwarder.config.Quarantine.Quarantined(bodyFingerprint("/safe/"))
 	is.True(!held)
 }
 
--- a/internal/forwarder/local_limits.go
+++ b/internal/forwarder/local_limits.go
@@ -19,7 +19,7 @@
 
 func newLocalLimits() *localLimits {
 	l := &localLimits{state: serverlimit.New()}
-	serverlimit.Reduce(l.state, serverlimit.Leads{At: time.Now(), Lead: true})
+	serverlimit.Reduce(l.state, serverlimit.LeadershipObserved{At: time.Now(), Lead: true})
 	return l
 }
 
@@ -32,8 +32,8 @@
 // Permit implements Limits.
 func (l *localLimits) Permit(_ context.Context, request PermissionRequest) Permission {
 	now := time.Now()
-	a := l.reduce(serverlimit.Asked{At: now, Server: request.Server.Start(), PerSecond: request.PerSecond, Named: now.Add(-request.Age)})[0]
-	return Permission{Granted: a.Granted, Ended: a.Ended, After: a.After}
+	a := l.reduce(serverlimit.Requested{At: now, Server: request.Server.Start(), PerSecond: request.PerSecond, ReportedAt: now.Add(-request.Age)})[0]
+	return Permission{Granted: a.Granted, Ended: a.Unlimited, After: a.RetryAfter}
 }
 
 // Return implements Limits.
@@ -44,5 +44,5 @@
 // Ended implements Limits.
 func (l *localLimits) Ended(server message.BackendServer, age time.Duration) {
 	now := time.Now()
-	l.reduce(serverlimit.Ended{At: now, Server: server.Start(), Sent: now.Add(-age)})
+	l.reduce(serverlimit.LimitLifted{At: now, Server: server.Start(), Sent: now.Add(-age)})
 }
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -79,7 +79,7 @@
 // run carries out one send.
 func (s *streamSend) run(ctx context.Context) streamResult {
 	s.placed = time.Since(s.request.Received)
-	if left, held := s.f.config.Quarantine.Held(s.fingerprint); held {
+	if left, held := s.f.config.Quarantine.Quarantined(s.fingerprint); held {
 		s.releasePrefill()
 		return s.abandon(nil, streamResult{reason: oriolebend.ReasonCrashesServers, retryAfter: left, unsent: true})
 	}
@@ -88,7 +88,7 @@
 	if err != nil && ctx.Err() != nil {
 		return s.abandon(nil, streamResult{reason: backend.ReasonOfEnd(ctx)})
 	}
-	if left, held := s.f.config.Quarantine.Held(s.fingerprint); held {
+	if left, held := s.f.config.Quarantine.Quarantined(s.fingerprint); held {
 		return s.abandon(source, streamResult{reason: oriolebend.ReasonCrashesServers, retryAfter: left, unsent: true})
 	}
 	reason := s.f.refusalForGrant(s.grant)
--- a/internal/role/confirmer.go
+++ b/internal/role/confirmer.go
@@ -230,7 +230,7 @@
 func (r *ReachedTable) Record(m message.Reached) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.Heard(time.Now(), m)
+	r.table.Record(time.Now(), m)
 }
 
 // Merge adds the reports of followers that another control VM has sent.
@@ -249,7 +249,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.Forget(time.Now())
-	return r.table.Own(time.Now())
+	return r.table.LocalFollowers(time.Now())
 }
 
 // Others returns the reports of the followers of all control VMs except one.
--- a/internal/role/control_process.go
+++ b/internal/role/control_process.go
@@ -50,9 +50,9 @@
 	places       *places.Allocator
 	observer     *routewatch.Follower
 	crashes      *quarantine.Store
-	crashReports *crashreports.Keeper
-	quotas       *quota.Keeper
-	limits       *serverlimit.Keeper
+	crashReports *crashreports.DiskStore
+	quotas       *quota.Server
+	limits       *serverlimit.Server
 	cancel       context.CancelFunc
 	// done is closed once the replica has stopped; runErr is its error.
 	done   chan struct{}
@@ -183,13 +183,13 @@
 	c.members = &MemberLeader{Self: name, Log: log, Store: store, Observer: p.observer(), Logger: p.Logger}
 	c.members.Prepare()
 	c.crashes = quarantine.New(quarantine.Config{
-		Tell: func(reports []message.CrashReport) {
+		SendReports: func(reports []message.CrashReport) {
 			c.routes.TellReports(reports)
-			c.crashReports.Changed()
+			c.crashReports.RequestSave()
 		},
 		Logger: p.Logger,
 	})
-	c.crashReports = &crashreports.Keeper{Folder: p.Settings.Control.DataFolder, Store: c.crashes, Logger: p.Logger}
+	c.crashReports = &crashreports.DiskStore{Folder: p.Settings.Control.DataFolder, Store: c.crashes, Logger: p.Logger}
 	c.crashReports.Load()
 	c.quotas, c.limits = c.newQuotas(), c.newLimits()
 	c.routes = &routewatch.Server{
@@ -325,9 +325,9 @@
 
 // newQuotas returns the server that counts requests against the quotas of
 // organisations.
-func (c *ControlProcess) newQuotas() *quota.Keeper {
+func (c *ControlProcess) newQuotas() *quota.Server {
 	s := c.process.Settings.Control
-	k := &quota.Keeper{
+	k := &quota.Server{
 		Config:  quota.Config{Window: time.Duration(s.QuotaWindow), Overshoot: s.QuotaOvershoot, Slack: s.QuotaSlack},
 		Routing: c.routing, Logger: c.process.Logger,
 		Self: c.process.self(),
@@ -343,8 +343,8 @@
 
 // newLimits returns the server that counts the requests sent to backend servers
 // that have reported a limit.
-func (c *ControlProcess) newLimits() *serverlimit.Keeper {
-	k := &serverlimit.Keeper{
+func (c *ControlProcess) newLimits() *serverlimit.Server {
+	k := &serverlimit.Server{
 		Leads: c.Leads, Term: func() uint64 { return c.replica.Status().Term }, Logger: c.process.Logger,
 	}
 	k.Prepare()
--- a/internal/role/forwarder_process.go
+++ b/internal/role/forwarder_process.go
@@ -43,7 +43,7 @@
 	quotas        *quota.Client
 	limits        *serverlimit.Client
 	crashes       *quarantine.Store
-	crashReporter *crashreports.Teller
+	crashReporter *crashreports.Sender
 	callers       *http1.Server
 	metrics       *httpServer
 	stopping      chan struct{}
@@ -56,13 +56,13 @@
 func StartForwarder(p Process, dialect forwarder.Dialect) (*ForwarderProcess, error) {
 	p = p.withMetrics(peer.RoleForwarder)
 	process := &ForwarderProcess{process: p, stopping: make(chan struct{}), done: make(chan struct{})}
-	process.crashReporter = &crashreports.Teller{
+	process.crashReporter = &crashreports.Sender{
 		Controls: func() []string { return process.follower.Open() },
 		Peers:    func() []string { return process.follower.Peers() },
 		Logger:   p.Logger,
 	}
 	process.crashReporter.Prepare()
-	process.crashes = quarantine.New(quarantine.Config{Sends: true, Tell: process.crashReporter.Tell, Logger: p.Logger})
+	process.crashes = quarantine.New(quarantine.Config{SendsRequests: true, SendReports: process.crashReporter.Send, Logger: p.Logger})
 	endpoint, err := p.listen(map[message.Kind]peer.Handler{message.KindCrashReports: crashreports.Serve(process.crashes)})
 	if err != nil {
 		return nil, fmt.Errorf("listen for peers: %w", err)
@@ -104,8 +104,8 @@
 			Listen: p.Settings.Peer.Listen,
 		},
 		Sink:    process.forwarder,
-		Reports: func(reports []message.CrashReport) { process.crashes.Heard(reports, false) },
-		Found:   func(address string) { process.crashReporter.TellOne(address, process.crashes.Reports()) },
+		Reports: func(reports []message.CrashReport) { process.crashes.ApplyReports(reports, false) },
+		Found:   func(address string) { process.crashReporter.SendTo(address, process.crashes.Reports()) },
 		Logger:  p.Logger,
 	}
 	if err := process.serve(); err != nil {
--- a/internal/routewatch/server_test.go
+++ b/internal/routewatch/server_test.go
@@ -236,7 +236,7 @@
 // held.
 func TestReportsCrossANewWatcher(t *testing.T) {
 	var r *Server
-	store := quarantine.New(quarantine.Config{Tell: func(reports []message.CrashReport) { r.TellReports(reports) }})
+	store := quarantine.New(quarantine.Config{SendReports: func(reports []message.CrashReport) { r.TellReports(reports) }})
 	r = newServer(func(r *Server) { r.Reports = store.Reports })
 	const rounds = 500
 	done := make(chan struct{})
@@ -245,7 +245,7 @@
 		var group sync.WaitGroup
 		group.Go(func() {
 			for i := range rounds {
-				store.Heard([]message.CrashReport{{Fingerprint: uint64(i / quarantine.Limit), Instance: fmt.Sprint(i)}}, true)
+				store.ApplyReports([]message.CrashReport{{Fingerprint: uint64(i / quarantine.Limit), Instance: fmt.Sprint(i)}}, true)
 			}
 		})
 		group.Go(func() {
