--- a/internal/caller/answer.go
+++ b/internal/caller/answer.go
@@ -11,8 +11,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// answerBody is an answer of the completions protocol, whole or one part of a
-// stream.
+// answerBody is the body of an answer of the completions protocol, or of one event
+// of a stream.
 type answerBody struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -22,17 +22,17 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// choice holds Text, Message or Delta, by the form of the request.
+// choice holds Text, Message or Delta, depending on the form of the request.
 type choice struct {
 	Index        int                   `json:"index"`
 	Text         *string               `json:"text,omitempty"`
-	Message      *said                 `json:"message,omitempty"`
-	Delta        *said                 `json:"delta,omitempty"`
+	Message      *answerMessage        `json:"message,omitempty"`
+	Delta        *answerMessage        `json:"delta,omitempty"`
 	Logprobs     *struct{}             `json:"logprobs"`
 	FinishReason *message.FinishReason `json:"finish_reason"`
 }
 
-type said struct {
+type answerMessage struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
@@ -43,31 +43,32 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// answer says how the output of one request is written to its caller.
+// answer is the answer to one model request while it is written to its caller.
 type answer struct {
 	command      command
 	promptTokens int
 	out          *output
-	// attached is true if the caller follows a request that it did not start
-	// here, and may not know of which kind it is.
+	// attached is true if the caller follows an earlier request by its ID. That request
+	// may be a call of a service, and the caller may not know it.
 	attached bool
-	// cut is the text on its way to the caller of a stream.
-	cut textCut
+	// text splits the text of a stream at character boundaries.
+	text textAligner
 }
 
-// body returns the parts that are the same in every body of one answer. They
-// depend on the record alone, so that a replay is the same answer byte by byte.
+// body returns the members that are the same in every body of one answer. They
+// depend on the record alone, so that a replayed answer is identical byte for byte.
 func (a *answer) body(object, idPrefix string) answerBody {
 	return answerBody{
 		ID:      idPrefix + a.out.requestID,
 		Object:  object,
-		Created: createdOf(a.out.requestID),
-		Model:   a.command.Named,
+		Created: createdSeconds(a.out.requestID),
+		Model:   a.command.RequestedModel,
 	}
 }
 
-// createdOf returns when a request ID was made, in seconds since 1970.
-func createdOf(requestID string) int64 {
+// createdSeconds returns the creation time in a request ID, in seconds since 1970. It
+// returns zero if the ID is not a UUID of version 7.
+func createdSeconds(requestID string) int64 {
 	const version = 7
 	id, err := uuid.Parse(requestID)
 	if err != nil || id.Version() != version {
@@ -85,20 +86,21 @@
 	}
 }
 
-func (a *answer) whole(text string, finish message.FinishReason) answerBody {
+// complete returns the body of an answer in one piece.
+func (a *answer) complete(text string, finish message.FinishReason) answerBody {
 	body := a.body("text_completion", "cmpl-")
 	last := choice{Text: &text, FinishReason: &finish}
 	if a.command.Form == formChat {
 		body = a.body("chat.completion", "chatcmpl-")
-		last = choice{Message: &said{Role: "assistant", Content: text}, FinishReason: &finish}
+		last = choice{Message: &answerMessage{Role: "assistant", Content: text}, FinishReason: &finish}
 	}
 	body.Choices = []choice{last}
 	body.Usage = a.usage()
 	return body
 }
 
-// writeWhole waits for the whole output and answers with it.
-func (h *handler) writeWhole(c *echo.Context, a *answer) error {
+// writeComplete waits for the complete output and answers with it.
+func (h *handler) writeComplete(c *echo.Context, a *answer) error {
 	var text strings.Builder
 	for {
 		next, err := a.out.next(c.Request().Context())
@@ -112,13 +114,13 @@
 		text.WriteString(next.Text)
 		if next.Finish != "" {
 			a.setHeaders(c)
-			h.extendWrite(c)
-			return c.JSON(http.StatusOK, a.whole(text.String(), next.Finish))
+			h.extendWriteDeadline(c)
+			return c.JSON(http.StatusOK, a.complete(text.String(), next.Finish))
 		}
 	}
 }
 
-// setHeaders names the record that the answer belongs to.
+// setHeaders sets the headers that identify the record of the answer.
 func (a *answer) setHeaders(c *echo.Context) {
 	a.out.setHeaders(c.Response().Header())
 }
--- a/internal/caller/bench_test.go
+++ b/internal/caller/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-// briefTokens is the length of the prompt of a usual brief.
+// briefTokens is the prompt length of a typical brief, in tokens.
 const briefTokens = 8000
 
 func briefBody() string {
@@ -27,8 +27,8 @@
 	}
 }
 
-// BenchmarkStreamBrief takes a whole brief through the handler: its body, and
-// an answer of 200 events of one token.
+// BenchmarkStreamBrief measures a complete request: the body of a brief, and an
+// answer of 200 events of one token.
 func BenchmarkStreamBrief(b *testing.B) {
 	const events = 200
 	var chunks []Chunk
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -16,13 +16,14 @@
 
 const (
 	defaultBodyTimeout = 30 * time.Second
-	// retryHeld is when a caller comes back that found no memory for its body.
-	retryHeld = time.Second
+	// memoryRetryAfter is the retry delay of a request for whose body there was no
+	// memory.
+	memoryRetryAfter = time.Second
 )
 
-// readBody returns the whole body of a request. It refuses a body over the
-// bound without reading it, and ends a caller that sends too slowly: such
-// callers would otherwise hold a connection and its memory for ever.
+// readBody returns the complete body of a request. It refuses a body over the
+// limit without reading it, and a body that does not arrive in time: callers that
+// send slowly would otherwise hold a connection and its memory for ever.
 func (h *handler) readBody(c *echo.Context) ([]byte, error) {
 	r := c.Request()
 	limit := h.Caller.MaxBodyBytes
@@ -31,26 +32,26 @@
 		return nil, tooLarge(limit)
 	}
 	control := http.NewResponseController(c.Response())
-	h.ignoreUnsupported(control.SetReadDeadline(time.Now().Add(h.Caller.BodyTimeout.Or(defaultBodyTimeout))))
+	h.logDeadlineError(control.SetReadDeadline(time.Now().Add(h.Caller.BodyTimeout.Or(defaultBodyTimeout))))
 	held, _ := c.Get(heldKey).(*heldbytes.Holding)
 	body, err := held.Read(limited, r.ContentLength)
 	if err != nil {
 		return nil, bodyProblem(r, err, limit)
 	}
-	// The deadline must go once the body is there: while the answer is written
-	// the server still reads, to notice a caller that leaves, and would take a
-	// passed deadline for that.
-	h.ignoreUnsupported(control.SetReadDeadline(time.Time{}))
+	// The deadline must be removed once the body is read. While the answer is
+	// written, the server still reads to detect a caller that disconnects, and it
+	// would take an expired deadline for a disconnect.
+	h.logDeadlineError(control.SetReadDeadline(time.Time{}))
 	return body, nil
 }
 
-// heldKey is where the memory of a request's body stands among the values of its context.
+// heldKey is the context key of the memory held for a request's body.
 const heldKey = "held"
 
-// holdBody bounds the memory of all bodies together, from before one is read to
-// the end of its answer. Without it, callers that each stay within the bound of
-// one body could together take all memory of the entry, and every request in
-// progress would be lost with it.
+// holdBody bounds the memory of all bodies together. A body counts from before it
+// is read until its answer ends. Without this bound, callers that each stay within
+// the limit of one body could together use up the memory of the entry, and every
+// request in progress would be lost with it.
 func (h *handler) holdBody(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		held := h.Held.Open(heldbytes.Request, heldbytes.PeerOf(c.Request().RemoteAddr))
@@ -60,29 +61,30 @@
 	}
 }
 
-// overloadedBodies does not say that a request with a key of its caller's own
-// did not run: it may be a retry of one that did, and no record was looked at.
-func overloadedBodies(r *http.Request) error {
+// noBodyMemory returns the problem of a request for whose body there is no memory.
+// If the request has an idempotency key of its caller's own, Ran is "unknown": it
+// may be a retry of a request that ran, and its record was not looked up.
+func noBodyMemory(r *http.Request) error {
 	problem := refuse(oriolebend.ReasonOverloaded, "the bodies of requests in progress take all memory set aside")
-	problem.RetryAfter = retryHeld
+	problem.RetryAfter = memoryRetryAfter
 	if r.Header.Get(HeaderKey) != "" {
 		problem.Ran = oriolebend.RanUnknown
 	}
 	return problem
 }
 
-// ignoreUnsupported logs an error of a connection's deadline. Recorders in
-// tests have no deadlines; on a real connection it means that the caller left,
-// which the next read or write tells too.
-func (h *handler) ignoreUnsupported(err error) {
+// logDeadlineError logs an error of setting a connection's deadline. Recorders in
+// tests do not support deadlines. On a real connection the error means that the
+// caller has disconnected, and the next read or write fails too.
+func (h *handler) logDeadlineError(err error) {
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
-		h.Logger.Debug("no deadline on a caller's connection", logging.Cause(err))
+		h.Logger.Debug("setting the deadline of a caller's connection failed", logging.Cause(err))
 	}
 }
 
 func bodyProblem(r *http.Request, err error, limit int64) error {
 	if _, full := errors.AsType[*heldbytes.FullError](err); full {
-		return overloadedBodies(r)
+		return noBodyMemory(r)
 	}
 	var overLimit *http.MaxBytesError
 	if errors.As(err, &overLimit) {
@@ -100,9 +102,9 @@
 	return refuse(oriolebend.ReasonTooLarge, fmt.Sprintf("the body is over %d bytes", limit))
 }
 
-// extendWrite gives the caller time to take the next write. A caller that
-// takes none is noticed by the failed write, and its request then cancelled.
-func (h *handler) extendWrite(c *echo.Context) {
+// extendWriteDeadline sets the deadline of the next write. If the caller does not
+// read the output in time, the write fails and the request is cancelled.
+func (h *handler) extendWriteDeadline(c *echo.Context) {
 	control := http.NewResponseController(c.Response())
-	h.ignoreUnsupported(control.SetWriteDeadline(time.Now().Add(h.WriteTimeout)))
+	h.logDeadlineError(control.SetWriteDeadline(time.Now().Add(h.WriteTimeout)))
 }
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -15,14 +15,15 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// requestHeaders are the caller's headers that a service sees. The caller's
-// token is not among them.
+// requestHeaders are the headers of a caller's request that are forwarded to a
+// service. The caller's token is not among them.
 var requestHeaders = []string{
 	"Accept", "Accept-Language", "Content-Encoding", "Content-Language", "Content-Type",
 	"If-Match", "If-None-Match", "Traceparent", "Tracestate",
 }
 
-// responseHeaders are the service's headers that a caller sees.
+// responseHeaders are the headers of a service's answer that are forwarded to
+// the caller.
 var responseHeaders = []string{
 	"Cache-Control", "Content-Encoding", "Content-Language", "Content-Type",
 	"Etag", "Last-Modified", "Location", "Retry-After",
@@ -31,12 +32,12 @@
 // maxStatus is the highest status that HTTP defines.
 const maxStatus = 599
 
-// ServiceOperation returns the operation of calls that name none.
+// ServiceOperation returns the operation of a service's calls that name none.
 func ServiceOperation(service string) string {
 	return "service:" + service
 }
 
-// call takes a call of a plain service from its headers to its answer.
+// call serves a call of a plain service.
 func (h *handler) call(c *echo.Context) error {
 	r := c.Request()
 	request, err := h.newRequest(r, ServiceOperation(c.Param("service")))
@@ -62,11 +63,10 @@
 	return h.answerCall(c, request)
 }
 
-// fillCall puts the call into the request. A call that the settings do not
-// name may run at most once: to repeat a payment is worse than not to repeat
-// a query.
+// fillCall sets the call in the request. A call that the settings do not name
+// may run at most once: repeating a payment is worse than not repeating a query.
 func (h *handler) fillCall(request *entry.Request, r *http.Request, service settings.ServiceRoute, path servicePath) {
-	route := matchRoute(service.Calls, r.Method, path.Plain)
+	route := matchRoute(service.Calls, r.Method, path.Decoded)
 	request.Service = service.Name
 	request.Once = !route.Repeatable
 	request.StatusPath = route.StatusPath
@@ -75,14 +75,14 @@
 	}
 	request.Call = &message.Call{
 		Method:   r.Method,
-		Path:     path.Sent,
-		Header:   pick(requestHeaders, r.Header.Get),
+		Path:     path.Target,
+		Header:   selectHeaders(requestHeaders, r.Header.Get),
 		Identity: IdentityOf(request.Scope),
 	}
 }
 
-// matchRoute returns the settings of the longest path prefix that covers a
-// call.
+// matchRoute returns the route with the longest path prefix that covers a call,
+// or the zero value.
 func matchRoute(routes []settings.CallRoute, method, path string) settings.CallRoute {
 	var best settings.CallRoute
 	for _, route := range routes {
@@ -94,51 +94,52 @@
 	return best
 }
 
-// covers reports whether a path is the prefix itself or stands below it.
+// covers reports whether a path is the prefix itself or lies below it.
 func covers(prefix, path string) bool {
 	prefix = strings.TrimSuffix(prefix, "/")
 	return path == prefix || strings.HasPrefix(path, prefix+"/")
 }
 
-// servicePath is the path of a call behind the service's name.
+// servicePath is the part of a call's path after the service's name.
 type servicePath struct {
-	// Plain is the path that the settings are matched against.
-	Plain string
-	// Sent is the path and query to ask of the service, escaped as the caller
-	// had it.
-	Sent string
+	// Decoded is the unescaped path that is matched against the settings.
+	Decoded string
+	// Target is the path and query that are sent to the service, escaped as in the
+	// caller's request.
+	Target string
 }
 
-// servicePathOf refuses paths that a service might read as another path than
-// the one that the settings are matched against: a call that may not be
-// repeated could otherwise pass as one that may.
+// servicePathOf returns the path of a call. It refuses paths that a service might
+// read as a path other than the one that is matched against the settings: a call
+// that may not be repeated could otherwise pass for a call that may.
 func servicePathOf(u *url.URL) (servicePath, error) {
-	const partsBefore = 3 // "", "services" and the name
+	const prefixParts = 3 // "", "services" and the name
 	parts := strings.Split(u.EscapedPath(), "/")
-	segments := parts[min(partsBefore, len(parts)):]
+	segments := parts[min(prefixParts, len(parts)):]
 	for i, segment := range segments {
 		last := i == len(segments)-1
-		if !plainSegment(segment) && !(last && segment == "") {
+		if !unambiguousSegment(segment) && !(last && segment == "") {
 			return servicePath{}, refuse(oriolebend.ReasonMalformed,
 				"the path holds an empty or dot segment, an escaped slash or a control character")
 		}
 	}
 	escaped := "/" + strings.Join(segments, "/")
-	plain, err := url.PathUnescape(escaped)
+	decoded, err := url.PathUnescape(escaped)
 	if err != nil {
 		return servicePath{}, refuse(oriolebend.ReasonMalformed, "the path can't be read")
 	}
 	if strings.ContainsFunc(u.RawQuery, func(r rune) bool { return r <= ' ' || r == 0x7f }) {
 		return servicePath{}, refuse(oriolebend.ReasonMalformed, "the query holds a space or a control character")
 	}
-	path := servicePath{Plain: plain, Sent: escaped}
+	path := servicePath{Decoded: decoded, Target: escaped}
 	if u.RawQuery != "" {
-		path.Sent += "?" + u.RawQuery
+		path.Target += "?" + u.RawQuery
 	}
 	return path, nil
 }
 
-func plainSegment(escaped string) bool {
+// unambiguousSegment reports whether all services read a path segment in the same way.
+func unambiguousSegment(escaped string) bool {
 	segment, err := url.PathUnescape(escaped)
 	if err != nil || segment == "" || segment == "." || segment == ".." {
 		return false
@@ -148,17 +149,18 @@
 	})
 }
 
-func pick(names []string, value func(string) string) map[string]string {
-	picked := map[string]string{}
+// selectHeaders returns the named headers that have a value.
+func selectHeaders(names []string, value func(string) string) map[string]string {
+	selected := map[string]string{}
 	for _, name := range names {
 		if v := value(name); v != "" {
-			picked[name] = v
+			selected[name] = v
 		}
 	}
-	return picked
+	return selected
 }
 
-// answerCall submits a call and passes its answer on.
+// answerCall submits a call and forwards its answer to the caller.
 func (h *handler) answerCall(c *echo.Context, r entry.Request) error {
 	ctx, cancel := context.WithCancel(c.Request().Context())
 	defer cancel()
@@ -189,7 +191,7 @@
 			header.Set(canonical, value)
 		}
 	}
-	h.extendWrite(c)
+	h.extendWriteDeadline(c)
 	c.Response().WriteHeader(a.Status)
 	_, err := c.Response().Write(a.Body)
 	return err
--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -12,15 +12,15 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// roles are the roles that a message may have.
+// roles holds the roles that a message may have.
 var roles = map[string]bool{"system": true, "developer": true, "user": true, "assistant": true}
 
-// Marks around messages in a prompt. A chat that goes on keeps the whole
-// rendering of its earlier messages as its prefix, so engines find it in their
+// Markers around the messages in a prompt. If a chat continues, the prompt of its
+// earlier messages is a prefix of the new prompt, so that engines find it in their
 // caches.
 const (
-	markRole = "<|%s|>\n"
-	markEnd  = "\n<|end|>\n"
+	roleMarker = "<|%s|>\n"
+	endMarker  = "\n<|end|>\n"
 )
 
 // readMessages renders the messages of a chat into one prompt.
@@ -39,7 +39,7 @@
 			return err
 		}
 	}
-	fmt.Fprintf(&prompt, markRole, "assistant")
+	fmt.Fprintf(&prompt, roleMarker, "assistant")
 	c.Prompt = prompt.String()
 	return nil
 }
@@ -52,9 +52,9 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(prompt, markRole, m.Role)
+	fmt.Fprintf(prompt, roleMarker, m.Role)
 	prompt.WriteString(text)
-	prompt.WriteString(markEnd)
+	prompt.WriteString(endMarker)
 	return nil
 }
 
--- a/internal/caller/completion.go
+++ b/internal/caller/completion.go
@@ -10,7 +10,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// form is which of the protocol's two shapes a caller speaks.
+// form is the form of the completions protocol that a request uses.
 type form string
 
 const (
@@ -18,22 +18,23 @@
 	formChat       form = "chat"
 )
 
-// command is what a caller asks of a model, read and checked.
+// command is the decoded and checked body of a model request.
 type command struct {
 	Form form
-	// Named is the model as the caller wrote it.
-	Named  string
-	Model  oriolebend.ModelName
-	Prompt string
-	// MaxTokens is zero if the caller does not say.
+	// RequestedModel is the model's name as the caller wrote it.
+	RequestedModel string
+	Model          oriolebend.ModelName
+	Prompt         string
+	// MaxTokens is zero if the caller sets no bound.
 	MaxTokens    int
 	Stream       bool
 	IncludeUsage bool
 }
 
-// refusedFields would change the shape of the answer in a way that the router
-// does not carry. Each maps to whether a value asks for nothing.
-var refusedFields = map[string]func(json.RawMessage) bool{
+// unsupportedFields would change the form of the answer in a way that the router
+// does not support. Each maps to a function that reports whether a value changes
+// nothing, so that it is accepted.
+var unsupportedFields = map[string]func(json.RawMessage) bool{
 	"stop":            isNull,
 	"suffix":          isNull,
 	"echo":            isNullOr("false"),
@@ -55,24 +56,24 @@
 	return string(value) == "null"
 }
 
-func isNullOr(nothing ...string) func(json.RawMessage) bool {
+func isNullOr(defaults ...string) func(json.RawMessage) bool {
 	return func(value json.RawMessage) bool {
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, value); err != nil {
 			return false
 		}
-		return isNull(value) || slices.Contains(nothing, compact.String())
+		return isNull(value) || slices.Contains(defaults, compact.String())
 	}
 }
 
-// decodeCommand reads a body of the completions protocol. Errors are
+// decodeCommand decodes and checks a body of the completions protocol. Errors are
 // *oriolebend.Problem.
 func decodeCommand(body []byte, f form) (command, error) {
 	members, err := decodeObject(body)
 	if err != nil {
 		return command{}, err
 	}
-	if err := members.checkRefused(); err != nil {
+	if err := members.checkUnsupported(); err != nil {
 		return command{}, err
 	}
 	decoded := command{Form: f}
@@ -85,22 +86,23 @@
 	return decoded, nil
 }
 
-func (m fields) checkRefused() error {
-	names := make([]string, 0, len(refusedFields))
-	for name := range refusedFields {
+func (m fields) checkUnsupported() error {
+	names := make([]string, 0, len(unsupportedFields))
+	for name := range unsupportedFields {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
 		value, found := m[name]
-		if found && !refusedFields[name](value) {
+		if found && !unsupportedFields[name](value) {
 			return badField(name, "is not supported by this router; leave it out")
 		}
 	}
 	return nil
 }
 
-// read decodes a member into target; it reports whether there was one.
+// read decodes the named member into target; it reports false if the member is
+// missing or null.
 func (m fields) read(name string, target any, want string) (bool, error) {
 	value, found := m[name]
 	if !found || isNull(value) {
@@ -117,14 +119,14 @@
 }
 
 func readModel(m fields, c *command) error {
-	found, err := m.read("model", &c.Named, "text")
+	found, err := m.read("model", &c.RequestedModel, "text")
 	if err != nil {
 		return err
 	}
 	if !found {
 		return badField("model", "is missing")
 	}
-	name, err := oriolebend.ParseModelName(c.Named)
+	name, err := oriolebend.ParseModelName(c.RequestedModel)
 	if err != nil {
 		return badField("model", "must be like model, model@version, model:adapter or model@version:adapter")
 	}
--- a/internal/caller/fake_test.go
+++ b/internal/caller/fake_test.go
@@ -10,16 +10,16 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// fakeRouter answers every request with the same chunks. With hold set it then
-// waits for the caller to leave and tells so on left.
+// fakeRouter answers every request with the same chunks. If hold is set, it then
+// waits until the request's context ends and closes cancelled.
 type fakeRouter struct {
-	mu       sync.Mutex
-	chunks   []Chunk
-	hold     bool
-	notReady bool
-	record   message.ClaimAnswer
-	requests []entry.Request
-	left     chan struct{}
+	mu        sync.Mutex
+	chunks    []Chunk
+	hold      bool
+	notReady  bool
+	record    message.ClaimAnswer
+	requests  []entry.Request
+	cancelled chan struct{}
 }
 
 func (f *fakeRouter) Submit(ctx context.Context, r entry.Request) <-chan Chunk {
@@ -46,7 +46,7 @@
 		}
 		if f.hold {
 			<-ctx.Done()
-			close(f.left)
+			close(f.cancelled)
 		}
 	}()
 	return out
@@ -67,14 +67,14 @@
 
 func (f *fakeRouter) Settled() bool { return !f.notReady }
 
-// asked returns the requests that came so far.
-func (f *fakeRouter) asked() []entry.Request {
+// submitted returns the requests that were submitted so far.
+func (f *fakeRouter) submitted() []entry.Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.requests
 }
 
-// endingRouter tells when the context of a request ends.
+// endingRouter closes ended when the context of a request ends.
 type endingRouter struct {
 	*fakeRouter
 	ended chan struct{}
@@ -85,8 +85,8 @@
 	return e.fakeRouter.Submit(ctx, r)
 }
 
-// testConfig has two organisations, one of which may do little, and a service
-// with a query that may be repeated.
+// testConfig returns a configuration with three organisations, of which camp is
+// limited to one operation and one urgency, and a service with a repeatable query.
 func testConfig(router Router) Config {
 	return Config{
 		Router: router,
--- a/internal/caller/fingerprint.go
+++ b/internal/caller/fingerprint.go
@@ -11,11 +11,12 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/entry"
 )
 
-// fingerprintVersion begins every provisional fingerprint.
+// fingerprintVersion is the prefix of every provisional fingerprint.
 const fingerprintVersion = "provisional-1"
 
-// ProvisionalFingerprint identifies the command of a request: what would run,
-// and nothing of how its answer is delivered or how long the caller waits.
+// ProvisionalFingerprint returns a fingerprint of a request's command. It covers
+// what would run, but neither how the answer is delivered nor how long the caller
+// waits.
 func ProvisionalFingerprint(r entry.Request) string {
 	sum := sha256.New()
 	writeParts(sum, fingerprintVersion, r.Model, r.Version, r.Adapter, r.Prompt, strconv.Itoa(r.MaxTokens), r.Service)
@@ -25,8 +26,8 @@
 	return fingerprintVersion + ":" + hex.EncodeToString(sum.Sum(nil))
 }
 
-// IdentityOf returns the identity under which a service knows an operation,
-// the same for every attempt and every retry with the same key.
+// IdentityOf returns the identity that is sent to a service for an operation. It is
+// the same for every attempt and for every retry with the same key.
 func IdentityOf(s message.Scope) string {
 	const identityBytes = 16
 	sum := sha256.New()
@@ -34,8 +35,8 @@
 	return hex.EncodeToString(sum.Sum(nil)[:identityBytes])
 }
 
-// writeParts writes each part behind its length, so that no two lists of parts
-// are written alike.
+// writeParts writes the length of each part before the part, so that no two
+// different lists of parts give the same bytes.
 func writeParts(sum hash.Hash, parts ...string) {
 	var length [8]byte
 	for _, part := range parts {
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -14,8 +14,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// FuzzDecodeCommand: a body gives a command within the protocol or a typed
-// refusal that nothing ran; never a panic.
+// FuzzDecodeCommand checks that every body decodes to a valid command or gives a
+// problem with the reason malformed and Ran "no", and never a panic.
 func FuzzDecodeCommand(f *testing.F) {
 	f.Add([]byte(`{"model":"planner-lm@v3:bridges","prompt":["plan"],"max_tokens":5,"stream":true}`), false)
 	f.Add([]byte(`{"model":"planner-lm","messages":[{"role":"user","content":[{"type":"text","text":"a"}]}]}`), true)
@@ -30,7 +30,7 @@
 		decoded, err := decodeCommand(body, form)
 		if err == nil {
 			is.True(decoded.Prompt != "" && utf8.ValidString(decoded.Prompt))
-			is.Equal(decoded.Model.String(), decoded.Named)
+			is.Equal(decoded.Model.String(), decoded.RequestedModel)
 			is.True(decoded.MaxTokens >= 0)
 			return
 		}
@@ -41,8 +41,8 @@
 	})
 }
 
-// FuzzServicePath: the path that the settings are matched against is the one
-// that is sent, however a service's own reader cleans it.
+// FuzzServicePath checks that the path that is matched against the settings is the
+// path that is sent, also after a service has cleaned it.
 func FuzzServicePath(f *testing.F) {
 	for _, seed := range []string{"/arrivals", "/a/../b", "/%2e%2e/x", "/a%2fb", "//x", "/a%00", "/a;b", "/a/", ""} {
 		f.Add(seed)
@@ -57,41 +57,42 @@
 			return
 		}
 		is := is.New(t)
-		seen := httptest.NewRequest("GET", path.Sent, nil).URL
-		is.Equal(seen.Path, path.Plain)
-		is.Equal(seen.JoinPath().Path, path.Plain) // nothing left to clean
+		seen := httptest.NewRequest("GET", path.Target, nil).URL
+		is.Equal(seen.Path, path.Decoded)
+		is.Equal(seen.JoinPath().Path, path.Decoded) // the path is clean already
 	})
 }
 
-// TestTextInRuns: however a text is cut into runs, and wherever a caller
-// attaches, what it gets is the rest of the text in whole characters.
+// Guards against text that is lost, repeated or split inside a character: for every
+// split of a text into runs and every offset, the caller gets the rest of the text
+// in complete characters.
 func TestTextInRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.String().Draw(t, "text")
 		skip := rapid.IntRange(0, len(text)).Draw(t, "skip")
-		cut := textCut{skip: skip}
+		aligner := textAligner{skip: skip}
 		var got strings.Builder
 		rest := text
 		for {
 			run := rest[:rapid.IntRange(0, len(rest)).Draw(t, "run")]
 			rest = rest[len(run):]
 			last := rest == "" && rapid.Bool().Draw(t, "last")
-			given, fits := cut.take(run, last)
-			if !fits {
+			returned, valid := aligner.add(run, last)
+			if !valid {
 				if skip == len(text) || utf8.RuneStart(text[skip]) {
 					t.Fatalf("refused offset %d of %q", skip, text)
 				}
 				return
 			}
-			if !utf8.ValidString(given) {
-				t.Fatalf("half a character in %q", given)
+			if !utf8.ValidString(returned) {
+				t.Fatalf("incomplete character in %q", returned)
 			}
-			got.WriteString(given)
+			got.WriteString(returned)
 			if last {
 				break
 			}
 		}
-		if got.String() != text[skip:] || cut.position != len(text) {
+		if got.String() != text[skip:] || aligner.position != len(text) {
 			t.Fatalf("got %q of %q at %d", got.String(), text, skip)
 		}
 	})
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -16,7 +16,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Headers of the callers' protocol.
+// Headers of the API for callers.
 const (
 	HeaderKey          = "Idempotency-Key"
 	HeaderReplayed     = "Idempotent-Replayed"
@@ -27,43 +27,44 @@
 	HeaderRequestID    = "Oriolebend-Request-Id"
 )
 
-// Metrics counts what the handler refuses on its own, before a request reaches
-// the Router; the Router counts the rest.
+// Metrics counts the requests that the handler refuses before they reach the
+// Router; the Router counts all others.
 type Metrics interface {
 	Refused(reason oriolebend.Reason)
 }
 
-// Config sets up the handler towards callers. Router is required; the zero
-// value of every other field is useful.
+// Config configures the handler for callers. Router is required; every other field
+// may be zero.
 type Config struct {
 	Router Router
-	// Caller bounds requests and says who is let in.
+	// Caller holds the limits of requests, and whether they need a token.
 	Caller settings.Caller
-	// Organisations lists who may call, and with which tokens.
+	// Organisations lists the organisations that may call, with their tokens.
 	Organisations []settings.Organisation
-	// Operations lists the operations that callers may name besides the
+	// Operations lists the operations that callers may name in addition to the
 	// default one.
 	Operations []settings.Operation
 	// Services lists the plain services that callers may call.
 	Services []settings.ServiceRoute
-	// Policy gives the latency targets of operations that set none.
+	// Policy holds the latency targets of operations that set none.
 	Policy settings.Policy
-	// Logger gets a line for each refusal and failure; nil logs nothing.
+	// Logger receives a line for each refusal and failure; nil logs nothing.
 	Logger *slog.Logger
 	// Metrics counts refusals; nil counts nothing.
 	Metrics Metrics
-	// Fingerprint identifies the command of a request, without its scope; nil
-	// means ProvisionalFingerprint.
+	// Fingerprint returns the fingerprint of a request's command, without its scope;
+	// nil means ProvisionalFingerprint.
 	Fingerprint func(entry.Request) string
-	// CountTokens sizes a prompt; nil estimates four bytes a token.
+	// CountTokens returns the number of tokens of a prompt; nil estimates four bytes
+	// a token.
 	CountTokens func(prompt string) int
-	// Prefix hashes the leading blocks of a prompt; nil means no hashes.
+	// Prefix returns the hashes of a prompt's leading blocks; nil means no hashes.
 	Prefix func(model, prompt string) []uint64
-	// Held counts the bodies of requests in progress; nil counts them here.
-	// Caller.MaxHeldBytes goes before it.
+	// Held accounts for the bodies of requests in progress. If it is nil, or if
+	// Caller.MaxHeldBytes is set, the handler uses an account of its own.
 	Held *heldbytes.Account
-	// WriteTimeout ends a caller that takes no output for so long; zero means
-	// 10s.
+	// WriteTimeout bounds each write to a caller; a request whose caller reads no
+	// output for so long is cancelled. Zero means 10s.
 	WriteTimeout time.Duration
 }
 
@@ -72,11 +73,11 @@
 	defaultBodyBytes    = 8 << 20
 	defaultPromptTokens = 65536
 	defaultOutputTokens = 4096
-	// unsaidOutputTokens bounds the output of a request that does not say.
-	unsaidOutputTokens  = 256
-	defaultWriteTimeout = 10 * time.Second
-	defaultFirst        = 1200 * time.Millisecond
-	defaultBetween      = 41 * time.Millisecond
+	// unspecifiedOutputTokens bounds the output of a request that sets no bound.
+	unspecifiedOutputTokens = 256
+	defaultWriteTimeout     = 10 * time.Second
+	defaultFirst            = 1200 * time.Millisecond
+	defaultBetween          = 41 * time.Millisecond
 )
 
 type handler struct {
@@ -86,7 +87,7 @@
 	services      map[string]settings.ServiceRoute
 }
 
-// New returns the HTTP handler towards callers.
+// New returns the HTTP handler for callers.
 func New(c Config) http.Handler {
 	h := newHandler(c)
 	e := echo.NewWithConfig(echo.Config{
@@ -155,19 +156,21 @@
 	return c
 }
 
-// estimateTokens is the usual rule of thumb for a prompt whose tokeniser is
-// not at hand: four bytes a token.
+// estimateTokens estimates the tokens of a prompt without its tokeniser, by the
+// usual rule of thumb of four bytes a token.
 func estimateTokens(prompt string) int {
 	const bytesPerToken = 4
 	return (len(prompt) + bytesPerToken - 1) / bytesPerToken
 }
 
-// health answers as long as the process serves at all.
+// health reports that the process is alive: it answers whenever the process serves
+// requests.
 func (h *handler) health(c *echo.Context) error {
 	return c.String(http.StatusOK, "alive\n")
 }
 
-// readiness tells the platform's balancer whether to send new callers here.
+// readiness tells the platform's load balancer whether to send new callers to this
+// process.
 func (h *handler) readiness(c *echo.Context) error {
 	if !h.Router.Ready() {
 		return c.String(http.StatusServiceUnavailable, "not ready\n")
@@ -176,7 +179,7 @@
 }
 
 // writeError answers with the problem document of an error that a route
-// returned. Nothing can be told any more once the answer's head is sent.
+// returned. Once the head of an answer is sent, an error can't be reported any more.
 func (h *handler) writeError(c *echo.Context, err error) {
 	response, unwrapErr := echo.UnwrapResponse(c.Response())
 	if unwrapErr == nil && response.Committed {
@@ -185,8 +188,8 @@
 	h.writeProblem(c, problemOf(err))
 }
 
-// problemOf returns the problem in err, or the one that fits an error of the
-// HTTP library.
+// problemOf returns the problem in err, or the problem that corresponds to an error
+// of the HTTP library.
 func problemOf(err error) *oriolebend.Problem {
 	var problem *oriolebend.Problem
 	if errors.As(err, &problem) {
@@ -204,8 +207,8 @@
 	}
 }
 
-// refuse returns the problem of a request that the handler turns away before
-// the Router has seen it, so that it certainly never ran.
+// refuse returns the problem of a request that the handler refuses before it
+// reaches the Router, so that it certainly did not run.
 func refuse(reason oriolebend.Reason, detail string) *oriolebend.Problem {
 	return &oriolebend.Problem{Reason: reason, Ran: oriolebend.RanNo, Detail: detail}
 }
--- a/internal/caller/header.go
+++ b/internal/caller/header.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// maxKeyBytes bounds an idempotency key; the key is kept in every record.
+	// maxKeyBytes bounds an idempotency key, which is stored in every record.
 	maxKeyBytes = 128
 	keyRule     = "1 to 128 letters, digits and -_.:~/+= are allowed"
-	// maxDeadline bounds how long a caller may say that it waits.
+	// maxDeadline bounds the deadline that a caller may set.
 	maxDeadline = 24 * time.Hour
 	// defaultOperation is the operation of a model request that names none.
 	defaultOperation = "completion"
 )
 
-// newRequest fills in what headers and settings say about a request of either
-// kind. The operation named by default is used if the caller names none.
+// newRequest returns a model request or call with the values that headers and
+// settings determine. Its operation is defaultName if the caller names none.
 func (h *handler) newRequest(r *http.Request, defaultName string) (entry.Request, error) {
 	organisation, err := h.identify(r)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return request, err
 }
 
-// newID returns a request ID; IDs of one process sort by time.
+// newID returns a new request ID; the IDs of one process sort by time.
 func newID() string {
 	return uuid.Must(uuid.NewV7()).String()
 }
@@ -73,8 +73,8 @@
 	return operation, nil
 }
 
-// keyOf returns the caller's idempotency key, or a new one: every request has
-// a key, so that a caller can learn it from the answer and retry safely.
+// keyOf returns the caller's idempotency key, or a generated one. Every request has
+// a key, so that a caller can read it from the answer and retry safely.
 func keyOf(r *http.Request) (key string, generated bool, err error) {
 	values := r.Header.Values(HeaderKey)
 	if len(values) == 0 {
@@ -110,7 +110,7 @@
 	return false
 }
 
-// urgencyOf returns the urgency that the caller asks for, or the one of its
+// urgencyOf returns the urgency that the caller requests, or the urgency of its
 // operation.
 func urgencyOf(r *http.Request, o settings.Organisation, byOperation oriolebend.Urgency) (oriolebend.Urgency, error) {
 	urgency := oriolebend.Urgency(r.Header.Get(HeaderUrgency))
@@ -129,7 +129,8 @@
 	return urgency, nil
 }
 
-// deadlineOf returns when the caller stops waiting, or zero.
+// deadlineOf returns the time at which the caller stops waiting, or zero if it sets
+// none.
 func deadlineOf(r *http.Request, now time.Time) (time.Time, error) {
 	value := r.Header.Get(HeaderDeadline)
 	if value == "" {
--- a/internal/caller/identity.go
+++ b/internal/caller/identity.go
@@ -9,10 +9,11 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// devOrganisation is who an open entry takes a caller to be that names none.
+// devOrganisation is the organisation of a caller that names none, if the entry is
+// open.
 const devOrganisation = "dev"
 
-// identities knows the organisations by name and by their tokens.
+// identities indexes the organisations by name and by token.
 type identities struct {
 	byName map[string]settings.Organisation
 	tokens identity.Keys[settings.Organisation]
@@ -29,9 +30,9 @@
 	return known
 }
 
-// identify returns the organisation that a request comes from. A wrong token
-// is refused even where none is needed: its sender takes itself for somebody
-// and would get the answers of another organisation.
+// identify returns the organisation that sent a request. An invalid token is refused
+// even if none is required: its sender means to act as one organisation and would
+// get the answers of another.
 func (h *handler) identify(r *http.Request) (settings.Organisation, error) {
 	token := bearerToken(r)
 	if owner, found := h.organisations.tokens.Owner(token); found {
@@ -44,7 +45,8 @@
 	return h.openOrganisation(r)
 }
 
-// openOrganisation takes the caller's word for who it is; only dev is open.
+// openOrganisation returns the organisation that the caller names, without a check.
+// Only dev sets Caller.Open.
 func (h *handler) openOrganisation(r *http.Request) (settings.Organisation, error) {
 	name := r.Header.Get(HeaderOrganisation)
 	if name == "" {
--- a/internal/caller/log_test.go
+++ b/internal/caller/log_test.go
@@ -12,9 +12,9 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TestLogHoldsNoContent: whatever comes of a request, the log at its lowest
-// level holds its ID and reason and nothing that caller, engine or service
-// wrote.
+// Guards against content in the log: for every outcome of a request, the log at
+// level debug holds the ID and the reason, but no text from the caller, the engine
+// or the service.
 func TestLogHoldsNoContent(t *testing.T) {
 	const secret = "patron4711"
 	lost := &oriolebend.Problem{Reason: oriolebend.ReasonServerLost, Ran: oriolebend.RanUnknown}
--- a/internal/caller/main_test.go
+++ b/internal/caller/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of random tests, so that each run gives the same
-// verdict; -rapid.seed on the command line goes before it.
+// TestMain fixes the seed of random tests, so that every run gives the same result,
+// unless -rapid.seed is set on the command line.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/internal/caller/models.go
+++ b/internal/caller/models.go
@@ -22,7 +22,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists every name that a caller may use for a model now.
+// models answers with every name under which a caller may request a model now.
 func (h *handler) models(c *echo.Context) error {
 	if _, err := h.identify(c.Request()); err != nil {
 		return err
@@ -31,12 +31,12 @@
 	for _, name := range modelNames(h.Router.Models()) {
 		list.Data = append(list.Data, modelEntry{ID: name, Object: "model", OwnedBy: "oriolebend"})
 	}
-	h.extendWrite(c)
+	h.extendWriteDeadline(c)
 	return c.JSON(http.StatusOK, list)
 }
 
-// modelNames returns the names of loaded models: without and with version and
-// adapter, sorted, each once.
+// modelNames returns the names of loaded models, without and with version and
+// adapter. The names are sorted and unique.
 func modelNames(loaded []oriolebend.LoadedModel) []string {
 	var names []string
 	for _, m := range loaded {
@@ -51,9 +51,9 @@
 	return slices.Compact(names)
 }
 
-// checkModel refuses a model that nobody holds. Until the fleet is known it knows
-// too little to say so, and leaves the question to the Router, which tells the
-// caller when to come back.
+// checkModel refuses a model that no server holds. Until the list of models is
+// complete it accepts every model and leaves the refusal to the Router, which gives
+// the caller a retry delay.
 func (h *handler) checkModel(name oriolebend.ModelName) error {
 	holds := func(m oriolebend.LoadedModel) bool { return m.Holds(name) }
 	if !h.Router.Settled() || slices.ContainsFunc(h.Router.Models(), holds) {
--- a/internal/caller/openai_test.go
+++ b/internal/caller/openai_test.go
@@ -16,7 +16,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// A library that callers use must work against the handler as it is.
+// The tests in this file check that a client library of callers works with the
+// handler unchanged.
 
 func openaiClient(t *testing.T, router *fakeRouter) openai.Client {
 	server := httptest.NewServer(New(testConfig(router)))
@@ -41,7 +42,7 @@
 	}
 }
 
-func TestOpenaiWhole(t *testing.T) {
+func TestOpenaiComplete(t *testing.T) {
 	is := is.New(t)
 	client := openaiClient(t, &fakeRouter{chunks: planChunks()})
 	chat, err := client.Chat.Completions.New(t.Context(), planChat())
@@ -74,17 +75,18 @@
 	params := planChat()
 	params.StreamOptions.IncludeUsage = openai.Bool(true)
 	stream := client.Chat.Completions.NewStreaming(t.Context(), params)
-	gathered := openai.ChatCompletionAccumulator{}
+	accumulated := openai.ChatCompletionAccumulator{}
 	for stream.Next() {
-		is.True(gathered.AddChunk(stream.Current()))
+		is.True(accumulated.AddChunk(stream.Current()))
 	}
 	is.NoErr(stream.Err())
-	is.Equal(gathered.Choices[0].Message.Content, "corridor open")
-	is.Equal(gathered.Usage.CompletionTokens, int64(3))
+	is.Equal(accumulated.Choices[0].Message.Content, "corridor open")
+	is.Equal(accumulated.Usage.CompletionTokens, int64(3))
 }
 
-// Symptom: a convoy leaves on half a plan. Sequence: the decode server dies in
-// the middle of a stream. Cause: the client takes a broken stream for its end.
+// Guards against an incomplete answer that a client takes for a complete one: the
+// decode server dies in the middle of a stream, and the client takes the broken
+// stream for its end.
 func TestOpenaiStreamBreaksOff(t *testing.T) {
 	is := is.New(t)
 	lost := &oriolebend.Problem{Reason: oriolebend.ReasonServerLost, Ran: oriolebend.RanUnknown}
@@ -96,9 +98,9 @@
 	is.True(strings.Contains(stream.Err().Error(), "serverLost"))
 }
 
-// TestOpenaiErrors: the library's own error type shows our reason, and its own
-// retries keep to what may be run again: a refusal with "ran: no" and a time to
-// come back is retried, an outcome that is lost is not.
+// TestOpenaiErrors checks that the library's error type shows the reason, and that
+// the library retries only requests that may run again: it retries a refusal with
+// "ran: no" and a retry delay, and does not retry after a lost outcome.
 func TestOpenaiErrors(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -120,36 +122,36 @@
 			is.True(errors.As(err, &apiError))
 			is.Equal(apiError.StatusCode, c.status)
 			is.Equal(apiError.Code, string(c.problem.Reason))
-			is.Equal(len(router.asked()), c.sent)
+			is.Equal(len(router.submitted()), c.sent)
 		})
 	}
 }
 
-// Symptom: engine memory stays held. Sequence: the caller cancels in the middle
-// of its stream. Cause: the request's context outlives its caller.
+// Guards against engine memory that stays held after the caller cancels in the
+// middle of its stream, because the request's context does not end.
 func TestOpenaiCancel(t *testing.T) {
 	is := is.New(t)
-	router := &fakeRouter{chunks: planChunks()[:1], hold: true, left: make(chan struct{})}
+	router := &fakeRouter{chunks: planChunks()[:1], hold: true, cancelled: make(chan struct{})}
 	client := openaiClient(t, router)
 	ctx, cancel := context.WithCancel(t.Context())
 	stream := client.Chat.Completions.NewStreaming(ctx, planChat())
 	is.True(stream.Next())
 	cancel()
-	<-router.left
+	<-router.cancelled
 }
 
-// The same before any output, with the answer asked for in one piece.
-func TestOpenaiCancelWhole(t *testing.T) {
-	router := &fakeRouter{hold: true, left: make(chan struct{})}
+// Guards against the same fault before any output, for an answer in one piece.
+func TestOpenaiCancelComplete(t *testing.T) {
+	router := &fakeRouter{hold: true, cancelled: make(chan struct{})}
 	client := openaiClient(t, router)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		for len(router.asked()) == 0 {
+		for len(router.submitted()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
 	}()
 	_, err := client.Chat.Completions.New(ctx, planChat())
 	is.New(t).True(errors.Is(err, context.Canceled))
-	<-router.left
+	<-router.cancelled
 }
--- a/internal/caller/output.go
+++ b/internal/caller/output.go
@@ -8,30 +8,30 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// output reads the chunks of one answer and checks that they make one whole:
-// this is the last place where a part that came twice, late, or from another
-// attempt can be told from the next one before the caller has it.
+// output reads the chunks of one answer and checks that they follow one another.
+// This is the last place where a chunk that arrives twice, late or from another
+// attempt can be detected before it is sent to the caller.
 type output struct {
 	chunks <-chan Chunk
-	// requestID names the record that the answer belongs to.
+	// requestID identifies the record that the answer belongs to.
 	requestID string
-	// offset is how many output tokens the caller has.
+	// offset is the number of output tokens that were returned by next.
 	offset int
-	// replayed is true if the answer was stored.
+	// replayed is true if the answer is a stored one.
 	replayed bool
 }
 
-// step is the next thing to give the caller. Exactly one of its parts is set,
-// but that Text may come with Finish.
+// step is the next part of an answer to write. Exactly one of its fields is set,
+// except that Text and Finish may both be set.
 type step struct {
 	Text   string
 	Finish message.FinishReason
-	// Call is the whole answer of a plain service.
+	// Call is the complete answer of a plain service.
 	Call *message.CallAnswer
 }
 
-// next waits for the next step. Errors are *oriolebend.Problem; that of a
-// caller which left has the reason callerCancelled.
+// next waits for the next step. Errors are *oriolebend.Problem; if the caller has
+// disconnected, the reason is callerCancelled.
 func (o *output) next(ctx context.Context) (step, error) {
 	for {
 		select {
@@ -44,17 +44,17 @@
 			if !open {
 				return step{}, o.problem(oriolebend.ReasonInternal, "the answer broke off without an outcome")
 			}
-			taken, useful, err := o.take(chunk)
-			if useful || err != nil {
-				return taken, err
+			result, found, err := o.stepOf(chunk)
+			if found || err != nil {
+				return result, err
 			}
 		}
 	}
 }
 
-// take turns a chunk into a step; it reports false for one that says nothing
-// new.
-func (o *output) take(c Chunk) (step, bool, error) {
+// stepOf converts a chunk to a step. It reports false for a chunk whose output was
+// returned before.
+func (o *output) stepOf(c Chunk) (step, bool, error) {
 	if c.RequestID != "" {
 		o.requestID = c.RequestID
 	}
@@ -68,27 +68,27 @@
 	case c.Call != nil:
 		return step{Call: c.Call}, true, nil
 	case c.Replay != nil:
-		return o.takeReplay(*c.Replay)
+		return o.replayStep(*c.Replay)
 	case c.End != nil:
-		return o.takeEnd(*c.End)
+		return o.endStep(*c.End)
 	}
-	return o.takeText(c)
+	return o.textStep(c)
 }
 
-func (o *output) takeText(c Chunk) (step, bool, error) {
-	behind := c.Offset + c.Tokens
-	if behind <= o.offset && c.Tokens > 0 {
+func (o *output) textStep(c Chunk) (step, bool, error) {
+	end := c.Offset + c.Tokens
+	if end <= o.offset && c.Tokens > 0 {
 		return step{}, false, nil
 	}
 	if c.Offset != o.offset {
 		return step{}, true, o.problem(oriolebend.ReasonInternal,
 			fmt.Sprintf("output at token %d where %d was due", c.Offset, o.offset))
 	}
-	o.offset = behind
+	o.offset = end
 	return step{Text: c.Text}, true, nil
 }
 
-func (o *output) takeEnd(e End) (step, bool, error) {
+func (o *output) endStep(e End) (step, bool, error) {
 	if e.Tokens != o.offset {
 		return step{}, true, o.problem(oriolebend.ReasonInternal,
 			fmt.Sprintf("output ended at token %d of %d", o.offset, e.Tokens))
@@ -96,8 +96,9 @@
 	return step{Finish: e.Finish}, true, nil
 }
 
-// takeReplay gives a stored answer. A stored failure is told again as it was.
-func (o *output) takeReplay(a message.Answer) (step, bool, error) {
+// replayStep converts a stored answer to a step. A stored failure is returned as it
+// was stored.
+func (o *output) replayStep(a message.Answer) (step, bool, error) {
 	o.replayed = true
 	switch {
 	case a.Reason != "":
@@ -113,8 +114,8 @@
 	return step{Text: string(a.Body), Finish: a.Finish}, true, nil
 }
 
-// problem returns a failure behind the Router, of which nothing says whether
-// the request ran.
+// problem returns a failure after the request reached the Router; whether the
+// request ran is unknown.
 func (o *output) problem(reason oriolebend.Reason, detail string) *oriolebend.Problem {
 	return &oriolebend.Problem{
 		Reason:    reason,
--- a/internal/caller/problem.go
+++ b/internal/caller/problem.go
@@ -16,13 +16,13 @@
 
 const (
 	typeProblem = "application/problem+json"
-	// problemBase begins the type URI of a problem; the reason ends it.
+	// problemBase is the type URI of a problem without the reason at its end.
 	problemBase = "https://oriolebend.github.io/problems/"
 )
 
-// Document is a problem as it is sent: RFC 9457 with the members reason, ran,
-// requestID and retryAfterMillis. Error repeats it in the form that clients of
-// the completions protocol read.
+// Document is a problem as it is sent: a problem document of RFC 9457 with the
+// additional members reason, ran, requestID and retryAfterMillis. Error repeats the
+// problem in the form that clients of the completions protocol read.
 type Document struct {
 	Type             string            `json:"type"`
 	Title            string            `json:"title"`
@@ -75,9 +75,8 @@
 	return "server_error"
 }
 
-// writeProblem answers with a problem document. Its headers tell generic
-// clients when to come back, and those of the completions protocol whether to
-// come back at all.
+// writeProblem answers with a problem document. Its headers tell generic clients
+// when to retry, and clients of the completions protocol whether to retry at all.
 func (h *handler) writeProblem(c *echo.Context, p *oriolebend.Problem) {
 	h.logProblem(c.Request().Context(), p)
 	if h.Metrics != nil && p.RequestID == "" {
@@ -93,16 +92,16 @@
 	if err != nil {
 		return
 	}
-	h.extendWrite(c)
+	h.extendWriteDeadline(c)
 	if err := c.Blob(document.Status, typeProblem, body); err != nil {
-		h.Logger.Debug("caller left before its refusal", logging.Reason(p.Reason))
+		h.Logger.Debug("caller disconnected before the refusal was sent", logging.Reason(p.Reason))
 	}
 }
 
 // setRetry sets Retry-After, in whole seconds and at least one, if a retry
 // helps. Client libraries of the completions protocol retry every status of 500
-// and above by themselves unless X-Should-Retry forbids it: without it they
-// would run again what may have run already.
+// and above by themselves unless X-Should-Retry forbids it: without that header
+// they would repeat a request that may have run already.
 func setRetry(set func(name, value string), p *oriolebend.Problem) {
 	if p.RetryAfter <= 0 {
 		set("X-Should-Retry", "false")
--- a/internal/caller/reasons_test.go
+++ b/internal/caller/reasons_test.go
@@ -16,14 +16,14 @@
 	is.Equal(len(oriolebend.Reasons()), len(statuses))
 	for _, reason := range oriolebend.Reasons() {
 		known, found := statuses[reason]
-		is.True(found) // a reason without status is told as a fault of the router
+		is.True(found) // a reason without a status is answered as a fault of the router
 		is.True(known.Status >= 400 && known.Status < 600)
 		is.True(known.Title != "")
 	}
 }
 
-// TestEveryReasonIsExplained: the page for callers has a row for each reason,
-// with the status that the handler gives it.
+// TestEveryReasonIsExplained checks that the page for callers has a row for each
+// reason, with the status that the handler answers with.
 func TestEveryReasonIsExplained(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/callers.md")
--- a/internal/caller/record.go
+++ b/internal/caller/record.go
@@ -27,8 +27,9 @@
 	FinishReason message.FinishReason `json:"finishReason,omitempty"`
 }
 
-// record tells the state of a request of the caller's organisation. Requests
-// of others are not told from those that never were.
+// record answers with the state of a request of the caller's organisation. The
+// answer for a request of another organisation is the same as for a request that
+// never existed.
 func (h *handler) record(c *echo.Context) error {
 	organisation, requestID, err := h.identifyRequest(c)
 	if err != nil {
@@ -41,7 +42,7 @@
 	if found.State == "" {
 		return unknownRequest()
 	}
-	h.extendWrite(c)
+	h.extendWriteDeadline(c)
 	return c.JSON(http.StatusOK, recordOf(requestID, found))
 }
 
@@ -53,9 +54,9 @@
 	}
 }
 
-// aboutRecord takes back that nothing ran from the refusal of a question about
-// an earlier request: its caller would read "not run" as told of that request.
-func aboutRecord(err error) error {
+// withRanUnknown sets Ran to "unknown" in the refusal of a query about an earlier
+// request: its caller would take Ran "no" as a statement about that request.
+func withRanUnknown(err error) error {
 	var problem *oriolebend.Problem
 	if errors.As(err, &problem) {
 		problem.Ran = oriolebend.RanUnknown
@@ -63,16 +64,15 @@
 	return err
 }
 
-// identifyRequest returns the caller's organisation and the request that its
-// path names.
+// identifyRequest returns the caller's organisation and the request ID in the path.
 func (h *handler) identifyRequest(c *echo.Context) (organisation, requestID string, err error) {
 	owner, err := h.identify(c.Request())
 	if err != nil {
-		return "", "", aboutRecord(err)
+		return "", "", withRanUnknown(err)
 	}
 	requestID = c.Param("id")
 	if !validKey(requestID) {
-		return "", "", aboutRecord(refuse(oriolebend.ReasonMalformed, "the request ID: "+keyRule))
+		return "", "", withRanUnknown(refuse(oriolebend.ReasonMalformed, "the request ID: "+keyRule))
 	}
 	return owner.Name, requestID, nil
 }
@@ -81,7 +81,7 @@
 	record := Record{
 		RequestID: requestID,
 		State:     found.State,
-		Ran:       ranIn[found.State],
+		Ran:       ranByState[found.State],
 		Attempt:   found.Attempt,
 	}
 	if found.Answer != nil {
@@ -95,17 +95,17 @@
 	return record
 }
 
-// ranIn says for each final state whether the request ran. A failed one may
+// ranByState maps each final state to whether the request ran. A failed request may
 // have run in part.
-var ranIn = map[message.RecordState]oriolebend.Ran{
+var ranByState = map[message.RecordState]oriolebend.Ran{
 	message.RecordAnswered: oriolebend.RanYes,
 	message.RecordFailed:   oriolebend.RanUnknown,
 	message.RecordNotRun:   oriolebend.RanNo,
 	message.RecordUnknown:  oriolebend.RanUnknown,
 }
 
-// attach streams a request's output from an offset in bytes on: that of the query, or
-// the id of the last event that an event source client has seen.
+// attach streams a request's output from an offset in bytes. The offset is a query
+// parameter, or the ID of the last event that an event source client has received.
 func (h *handler) attach(c *echo.Context) error {
 	organisation, requestID, err := h.identifyRequest(c)
 	if err != nil {
@@ -113,16 +113,16 @@
 	}
 	offset, err := offsetOf(c)
 	if err != nil {
-		return aboutRecord(err)
+		return withRanUnknown(err)
 	}
-	asked, err := attachedCommand(c)
+	cmd, err := attachedCommand(c)
 	if err != nil {
-		return aboutRecord(err)
+		return withRanUnknown(err)
 	}
 	ctx, cancel := context.WithCancel(c.Request().Context())
 	defer cancel()
 	out := &output{chunks: h.Router.Attach(ctx, organisation, requestID), requestID: requestID}
-	return h.writeStream(c, &answer{command: asked, out: out, attached: true, cut: textCut{skip: offset}})
+	return h.writeStream(c, &answer{command: cmd, out: out, attached: true, text: textAligner{skip: offset}})
 }
 
 func offsetOf(c *echo.Context) (int, error) {
--- a/internal/caller/routes.go
+++ b/internal/caller/routes.go
@@ -18,7 +18,7 @@
 	return h.complete(c, formChat)
 }
 
-// complete takes a model request from its headers to the end of its answer.
+// complete serves a model request.
 func (h *handler) complete(c *echo.Context, f form) error {
 	request, err := h.newRequest(c.Request(), defaultOperation)
 	if err != nil {
@@ -29,52 +29,52 @@
 	if err != nil {
 		return err
 	}
-	asked, err := decodeCommand(body, f)
+	cmd, err := decodeCommand(body, f)
 	if err != nil {
 		return err
 	}
-	if err := h.fillCommand(&request, asked); err != nil {
+	if err := h.fillCommand(&request, cmd); err != nil {
 		return err
 	}
-	return h.answerCommand(c, request, asked)
+	return h.answerCommand(c, request, cmd)
 }
 
-// fillCommand puts a command that is within bounds into the request.
-func (h *handler) fillCommand(r *entry.Request, asked command) error {
-	if err := h.checkModel(asked.Model); err != nil {
+// fillCommand checks the limits of a command and sets it in the request.
+func (h *handler) fillCommand(r *entry.Request, cmd command) error {
+	if err := h.checkModel(cmd.Model); err != nil {
 		return err
 	}
-	if asked.MaxTokens > h.Caller.MaxOutputTokens {
+	if cmd.MaxTokens > h.Caller.MaxOutputTokens {
 		return refuse(oriolebend.ReasonTooLarge, fmt.Sprintf("max_tokens is over %d", h.Caller.MaxOutputTokens))
 	}
-	r.PromptTokens = h.CountTokens(asked.Prompt)
+	r.PromptTokens = h.CountTokens(cmd.Prompt)
 	if r.PromptTokens > h.Caller.MaxPromptTokens {
 		return refuse(oriolebend.ReasonTooLarge, fmt.Sprintf("the prompt is over %d tokens", h.Caller.MaxPromptTokens))
 	}
-	r.Model, r.Version, r.Adapter = asked.Model.Model, asked.Model.Version, asked.Model.Adapter
-	r.Prompt = asked.Prompt
-	r.Prefix = h.Prefix(asked.Model.Model, asked.Prompt)
-	r.MaxTokens = asked.MaxTokens
+	r.Model, r.Version, r.Adapter = cmd.Model.Model, cmd.Model.Version, cmd.Model.Adapter
+	r.Prompt = cmd.Prompt
+	r.Prefix = h.Prefix(cmd.Model.Model, cmd.Prompt)
+	r.MaxTokens = cmd.MaxTokens
 	if r.MaxTokens == 0 {
-		r.MaxTokens = min(unsaidOutputTokens, h.Caller.MaxOutputTokens)
+		r.MaxTokens = min(unspecifiedOutputTokens, h.Caller.MaxOutputTokens)
 	}
 	r.Fingerprint = h.Fingerprint(*r)
 	return nil
 }
 
-// answerCommand submits a request and writes its answer. Its context ends with
-// the handler, whatever ended that: a caller that left, that takes no output,
-// or an answer that is whole.
-func (h *handler) answerCommand(c *echo.Context, r entry.Request, asked command) error {
+// answerCommand submits a request and writes its answer. The context of the request
+// is cancelled when the handler returns, for any reason: the caller has
+// disconnected, the caller reads no output, or the answer is complete.
+func (h *handler) answerCommand(c *echo.Context, r entry.Request, cmd command) error {
 	ctx, cancel := context.WithCancel(c.Request().Context())
 	defer cancel()
 	a := &answer{
-		command:      asked,
+		command:      cmd,
 		promptTokens: r.PromptTokens,
 		out:          &output{chunks: h.Router.Submit(ctx, r), requestID: r.ID},
 	}
-	if asked.Stream {
+	if cmd.Stream {
 		return h.writeStream(c, a)
 	}
-	return h.writeWhole(c, a)
+	return h.writeComplete(c, a)
 }
--- a/internal/caller/script_test.go
+++ b/internal/caller/script_test.go
@@ -20,13 +20,13 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TestScripts runs the files of testdata/scripts. Their commands:
+// TestScripts runs the scripts of testdata/scripts. Their commands are:
 //
-//	router [hold] [notReady] [state=S]  the chunks of every answer from here on, one a line
-//	http                                one request as it is sent; prints the answer
-//	refusals                            requests one a line, as METHOD PATH | HEADER | -- BODY;
-//	                                    prints the status, reason, ran and detail of each
-//	asked                               prints the last request that the Router got
+//	router [notReady] [state=S]         sets the chunks of every answer from here on, one a line
+//	http                                sends one request and prints the answer
+//	refusals                            sends one request a line, as METHOD PATH | HEADER | -- BODY,
+//	                                    and prints the status, reason, ran and detail of each answer
+//	submitted                           prints the last request that was submitted to the Router
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		router := &fakeRouter{}
@@ -40,8 +40,8 @@
 				return exchange(t, handler, d.Input)
 			case "refusals":
 				return refusals(t, handler, d.Input)
-			case "asked":
-				return lastAsked(router)
+			case "submitted":
+				return lastSubmitted(router)
 			}
 			d.Fatalf(t, "unknown command %s", d.Cmd)
 			return ""
@@ -66,7 +66,7 @@
 	}
 }
 
-// chunkOf reads "text OFFSET TOKENS QUOTED", "end REASON TOKENS", "call STATUS
+// chunkOf parses "text OFFSET TOKENS QUOTED", "end REASON TOKENS", "call STATUS
 // HEADER=VALUE BODY", "problem REASON RAN RETRYAFTER", "replay TOKENS FINISH
 // TEXT" or "failed REASON [RAN]".
 func chunkOf(t *testing.T, words []string) Chunk {
@@ -163,12 +163,12 @@
 	return names
 }
 
-func lastAsked(router *fakeRouter) string {
-	asked := router.asked()
-	if len(asked) == 0 {
+func lastSubmitted(router *fakeRouter) string {
+	submitted := router.submitted()
+	if len(submitted) == 0 {
 		return "nothing"
 	}
-	r := asked[len(asked)-1]
+	r := submitted[len(submitted)-1]
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s %s key=%s once=%v\n", r.Scope.Organisation, r.Scope.Operation, anyID.ReplaceAllString(r.Scope.Key, "<id>"), r.Once)
 	fmt.Fprintf(&out, "%s model=%s@%s:%s tokens=%d max=%d deadline=%v\n", r.Urgency, r.Model, r.Version, r.Adapter, r.PromptTokens, r.MaxTokens, !r.Deadline.IsZero())
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -13,9 +13,9 @@
 
 const (
 	defaultHeaderTimeout = 5 * time.Second
-	// idleTimeout ends connections that callers keep without using them.
+	// idleTimeout is how long a connection may be idle before it is closed.
 	idleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds a request's head.
+	// maxHeaderBytes bounds the head of a request.
 	maxHeaderBytes = 16 << 10
 	// maxStreams bounds the requests in progress on one HTTP/2 connection.
 	maxStreams = 64
@@ -23,17 +23,18 @@
 	defaultMaxConnections = 4096
 )
 
-// Probes of an idle connection: a caller's VM that died sends no end of the
-// connection, and its request would hold memory until the answer is written.
+// TCP keep-alive probes detect a caller's VM that has died: it does not close its
+// connection, and without probes its request would hold memory until the answer is
+// written.
 const (
-	probeIdle     = 15 * time.Second
-	probeInterval = 5 * time.Second
-	probeCount    = 3
+	keepAliveIdle     = 15 * time.Second
+	keepAliveInterval = 5 * time.Second
+	keepAliveCount    = 3
 )
 
-// Server returns the HTTP server towards callers, for HTTP/1.1 and for HTTP/2
-// without TLS from clients that begin with it. It bounds the head of a request
-// in bytes and time; the handler bounds bodies and writes.
+// Server returns the HTTP server for callers. It serves HTTP/1.1, and HTTP/2 without
+// TLS to clients that begin a connection with it. It bounds the size of a request's
+// head and the time to read it; the handler bounds bodies and writes.
 func Server(c settings.Caller, h http.Handler, logger *slog.Logger) *http.Server {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -52,14 +53,14 @@
 	return server
 }
 
-// Listen listens for callers. It accepts no more than MaxConnections at a
-// time; the rest wait in the system's own queue.
+// Listen listens for callers. It accepts at most MaxConnections connections at a
+// time; further ones wait in the kernel's accept queue.
 func Listen(ctx context.Context, c settings.Caller) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
 		Enable:   true,
-		Idle:     probeIdle,
-		Interval: probeInterval,
-		Count:    probeCount,
+		Idle:     keepAliveIdle,
+		Interval: keepAliveInterval,
+		Count:    keepAliveCount,
 	}}
 	listener, err := config.Listen(ctx, "tcp", c.Listen)
 	if err != nil {
@@ -72,7 +73,7 @@
 	return limitConnections(listener, limit), nil
 }
 
-// ListenError tells that the callers' address can't be listened on.
+// ListenError reports that the server can't listen on the address for callers.
 type ListenError struct {
 	Address string
 	Cause   error
@@ -83,34 +84,34 @@
 	return "listen for callers on " + e.Address + ": " + e.Cause.Error()
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// limitedListener accepts a connection only while it holds a place for it.
+// limitedListener accepts a connection only once a slot is free for it.
 type limitedListener struct {
 	net.Listener
-	places    chan struct{}
+	slots     chan struct{}
 	done      chan struct{}
 	closeOnce sync.Once
 }
 
 func limitConnections(l net.Listener, limit int) net.Listener {
-	return &limitedListener{Listener: l, places: make(chan struct{}, limit), done: make(chan struct{})}
+	return &limitedListener{Listener: l, slots: make(chan struct{}, limit), done: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	select {
-	case l.places <- struct{}{}:
+	case l.slots <- struct{}{}:
 	case <-l.done:
 		return nil, net.ErrClosed
 	}
 	conn, err := l.Listener.Accept()
 	if err != nil {
-		<-l.places
+		<-l.slots
 		return nil, err
 	}
-	return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.places })}, nil
+	return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.slots })}, nil
 }
 
 // Close implements net.Listener.
@@ -124,7 +125,7 @@
 	release func()
 }
 
-// Close implements net.Conn and gives the place back.
+// Close implements net.Conn and frees the slot of the connection.
 func (c *limitedConn) Close() error {
 	defer c.release()
 	return c.Conn.Close()
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -17,7 +17,7 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-// serve runs a server towards callers on loopback and returns its address.
+// serve runs a server for callers on loopback and returns its address.
 func serve(t *testing.T, c Config) string {
 	c.Caller.Listen = "127.0.0.1:0"
 	listener, err := Listen(t.Context(), c.Caller)
@@ -28,17 +28,17 @@
 	return listener.Addr().String()
 }
 
-// zeros reads as a body that never was in memory, and counts what was taken.
-type zeros struct{ taken atomic.Int64 }
+// zeros is an endless body of zero bytes that counts the bytes that were read.
+type zeros struct{ read atomic.Int64 }
 
 func (z *zeros) Read(p []byte) (int, error) {
-	z.taken.Add(int64(len(p)))
+	z.read.Add(int64(len(p)))
 	clear(p)
 	return len(p), nil
 }
 
-// TestHugeBody: a body of 100 MB is refused without being read, whether its
-// length is told before or not.
+// TestHugeBody checks that a body of 100 MB is refused without being read, with and
+// without a Content-Length.
 func TestHugeBody(t *testing.T) {
 	const size = 100 << 20
 	for _, length := range []int64{size, -1} {
@@ -59,8 +59,8 @@
 			is.NoErr(err)
 			is.Equal(response.StatusCode, http.StatusRequestEntityTooLarge)
 			is.True(strings.Contains(string(body), `"reason":"tooLarge","ran":"no"`))
-			is.True(source.taken.Load() < size/2) // what the sockets hold, and not more
-			is.Equal(len(router.asked()), 0)
+			is.True(source.read.Load() < size/2) // no more than the socket buffers hold
+			is.Equal(len(router.submitted()), 0)
 		})
 	}
 }
@@ -77,8 +77,8 @@
 
 const headOfPost = "POST /v1/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer lintang-token\r\n"
 
-// Symptom: no new caller gets in. Sequence: callers open connections and send
-// little or nothing. Cause: a server that waits for them without bound.
+// Guards against callers that open connections, send little or nothing, and keep
+// out new callers because the server waits for them without a timeout.
 func TestSlowCallers(t *testing.T) {
 	for _, c := range []struct{ name, sent, answer string }{
 		{"head", "POST /v1/comp", ""},
@@ -92,40 +92,39 @@
 			config := testConfig(&fakeRouter{})
 			config.Caller.HeaderTimeout = settings.Duration(20 * time.Millisecond)
 			config.Caller.BodyTimeout = settings.Duration(20 * time.Millisecond)
-			answer, _ := io.ReadAll(send(t, serve(t, config), c.sent)) // ends only when the server hangs up
+			answer, _ := io.ReadAll(send(t, serve(t, config), c.sent)) // returns only when the server closes the connection
 			is.True(strings.Contains(string(answer), c.answer))
 			is.True(!strings.Contains(string(answer), "100 Continue"))
 		})
 	}
 }
 
-// Symptom: a stream's request lives on after the time for its body. Sequence:
-// the answer takes longer than a body may. Cause: the deadline of the body still
-// stands while the server watches for the caller to leave.
+// Guards against a request that is cancelled because its answer takes longer than
+// the body timeout: the read deadline of the body is still set while the server
+// reads to detect that the caller disconnects.
 func TestAnswerOutlivesBodyTimeout(t *testing.T) {
 	const body = `{"model":"planner-lm","prompt":"a"}`
 	for _, sent := range []string{
 		headOfPost + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)) + body,
 		strings.Replace(headOfPost, "POST /v1/completions", "GET /services/dispatch-api/arrivals", 1) + "\r\n",
 	} {
-		router := &fakeRouter{hold: true, left: make(chan struct{})}
+		router := &fakeRouter{hold: true, cancelled: make(chan struct{})}
 		config := testConfig(router)
 		config.Caller.BodyTimeout = settings.Duration(10 * time.Millisecond)
 		conn := send(t, serve(t, config), sent)
 		select {
-		case <-router.left:
-			t.Fatal("the request ended with its caller still there")
+		case <-router.cancelled:
+			t.Fatal("the request was cancelled while its caller was connected")
 		case <-time.After(100 * time.Millisecond):
 		}
 		is.New(t).NoErr(conn.Close())
-		<-router.left
+		<-router.cancelled
 	}
 }
 
-// Symptom: engine memory stays held by a caller that is gone. Sequence: the
-// caller's VM stops taking output and closes nothing. Cause: a write that waits
-// for ever.
-func TestCallerTakesNoOutput(t *testing.T) {
+// Guards against engine memory that stays held for a caller whose VM stops reading
+// output without closing its connection, because a write waits for ever.
+func TestCallerReadsNoOutput(t *testing.T) {
 	chunks := make([]Chunk, 4000)
 	for i := range chunks {
 		chunks[i] = Chunk{Offset: i, Tokens: 1, Text: strings.Repeat("a", 16<<10)}
@@ -143,22 +142,23 @@
 	<-ended
 }
 
-// TestConnectionBound: a connection over the bound is served once another ends.
-func TestConnectionBound(t *testing.T) {
+// TestConnectionLimit checks that a connection over the limit is served once another
+// one ends.
+func TestConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	config := testConfig(&fakeRouter{})
 	config.Caller.MaxConnections = 1
 	config.Caller.HeaderTimeout = settings.Duration(time.Minute)
 	address := serve(t, config)
-	const ask = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"
-	first := send(t, address, ask)
+	const request = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"
+	first := send(t, address, request)
 	head, err := bufio.NewReader(first).ReadString('\n')
 	is.NoErr(err)
 	is.Equal(head, "HTTP/1.1 200 OK\r\n")
-	second := send(t, address, ask)
+	second := send(t, address, request)
 	is.NoErr(second.SetReadDeadline(time.Now().Add(50 * time.Millisecond)))
 	_, err = second.Read(make([]byte, 1))
-	is.True(err != nil) // not served while the first holds the only place
+	is.True(err != nil) // not served while the first connection holds the only slot
 	is.NoErr(first.Close())
 	is.NoErr(second.SetReadDeadline(time.Time{}))
 	head, err = bufio.NewReader(second).ReadString('\n')
@@ -166,8 +166,8 @@
 	is.Equal(head, "HTTP/1.1 200 OK\r\n")
 }
 
-// TestHeldBodies: bodies that together are over the bound are refused, and a
-// caller with a key of its own is not told that its request never ran.
+// TestHeldBodies checks that bodies that together exceed the limit are refused, and
+// that the refusal of a request with a key of its caller's own has ran "unknown".
 func TestHeldBodies(t *testing.T) {
 	is := is.New(t)
 	config := testConfig(&fakeRouter{})
@@ -180,7 +180,8 @@
 	is.True(strings.Contains(answer, `"reason":"overloaded","ran":"unknown","retryAfterMillis":1000`))
 }
 
-// TestUnencryptedHTTP2: the balancer may speak HTTP/2 without TLS.
+// TestUnencryptedHTTP2 checks that the server accepts HTTP/2 without TLS, which a
+// load balancer may use.
 func TestUnencryptedHTTP2(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, testConfig(&fakeRouter{}))
--- a/internal/caller/status.go
+++ b/internal/caller/status.go
@@ -6,11 +6,11 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// StatusCallerCancelled is the customary status for a caller that left; it is
-// seen in logs only.
+// StatusCallerCancelled is the customary status for a caller that closed its
+// connection; it appears in logs only.
 const StatusCallerCancelled = 499
 
-// statuses gives each reason its HTTP status and a short title.
+// statuses maps each reason to its HTTP status and a short title.
 var statuses = map[oriolebend.Reason]struct {
 	Status int
 	Title  string
--- a/internal/caller/stream.go
+++ b/internal/caller/stream.go
@@ -13,7 +13,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// streamDone is the last event of a whole stream.
+// streamDone is the last event of a complete stream.
 const streamDone = "[DONE]"
 
 // stream writes one answer as server-sent events.
@@ -24,8 +24,8 @@
 	begun   bool
 }
 
-// writeStream answers with the output as it comes. A failure before the first
-// output is answered with its status, like that of an answer in one piece.
+// writeStream writes the output as it arrives. A failure before the first output is
+// answered with its status, like a failure of an answer in one piece.
 func (h *handler) writeStream(c *echo.Context, a *answer) error {
 	s := &stream{handler: h, context: c, answer: a}
 	for {
@@ -40,7 +40,7 @@
 		if next.Call != nil {
 			return s.fail(a.out.problem(oriolebend.ReasonInternal, "a service's answer where a model's was due"))
 		}
-		if err := s.part(next); err != nil {
+		if err := s.sendStep(next); err != nil {
 			return s.fail(err)
 		}
 		if next.Finish != "" {
@@ -49,7 +49,8 @@
 	}
 }
 
-func (s *stream) lost(cause error) error {
+// writeFailed returns the problem of a caller that does not read the stream.
+func (s *stream) writeFailed(cause error) error {
 	problem := s.answer.out.problem(oriolebend.ReasonCallerCancelled, "the caller takes no output")
 	problem.Cause = cause
 	return problem
@@ -66,11 +67,11 @@
 	s.context.Response().WriteHeader(http.StatusOK)
 }
 
-// part sends one run of output, and the finish reason if it is the last.
-func (s *stream) part(next step) error {
-	text, fits := s.answer.cut.take(next.Text, next.Finish != "")
-	if !fits {
-		return aboutRecord(badField("offset", "ends inside a character, or behind the end of the output"))
+// sendStep sends one run of output, with the finish reason if it is the last run.
+func (s *stream) sendStep(next step) error {
+	text, valid := s.answer.text.add(next.Text, next.Finish != "")
+	if !valid {
+		return withRanUnknown(badField("offset", "ends inside a character, or behind the end of the output"))
 	}
 	if text == "" && next.Finish == "" {
 		return nil
@@ -81,7 +82,7 @@
 	body := s.body()
 	body.Choices = []choice{s.choice(text, next.Finish)}
 	if err := s.send(body); err != nil {
-		return s.lost(err)
+		return s.writeFailed(err)
 	}
 	return nil
 }
@@ -96,7 +97,7 @@
 func (s *stream) choice(text string, finish message.FinishReason) choice {
 	part := choice{Text: &text}
 	if s.answer.command.Form == formChat {
-		part = choice{Delta: &said{Role: "assistant", Content: text}}
+		part = choice{Delta: &answerMessage{Role: "assistant", Content: text}}
 	}
 	if finish != "" {
 		part.FinishReason = &finish
@@ -105,18 +106,18 @@
 }
 
 // send writes one event and flushes it. Its id is the offset, in bytes of
-// output, from which a caller that loses the stream here attaches again.
+// output, from which a caller attaches again if it loses the stream after the event.
 func (s *stream) send(content any) error {
 	data, err := json.Marshal(content)
 	if err != nil {
 		return err
 	}
-	event := "id: " + strconv.Itoa(s.answer.cut.position) + "\ndata: " + string(data) + "\n\n"
+	event := "id: " + strconv.Itoa(s.answer.text.position) + "\ndata: " + string(data) + "\n\n"
 	return s.write(event)
 }
 
 func (s *stream) write(event string) error {
-	s.handler.extendWrite(s.context)
+	s.handler.extendWriteDeadline(s.context)
 	if _, err := s.context.Response().Write([]byte(event)); err != nil {
 		return err
 	}
@@ -129,17 +130,17 @@
 		body.Choices = []choice{}
 		body.Usage = s.answer.usage()
 		if err := s.send(body); err != nil {
-			return s.fail(s.lost(err))
+			return s.fail(s.writeFailed(err))
 		}
 	}
 	if err := s.write("data: " + streamDone + "\n\n"); err != nil {
-		return s.fail(s.lost(err))
+		return s.fail(s.writeFailed(err))
 	}
 	return nil
 }
 
-// fail ends a stream that broke off: with an event that holds the problem and
-// without the last event, so that no client takes what it has for the whole.
+// fail ends a stream that broke off. It sends an event with the problem and not the
+// last event, so that no client takes an incomplete output for a complete one.
 func (s *stream) fail(err error) error {
 	if !s.begun {
 		s.answer.setHeaders(s.context)
@@ -154,7 +155,7 @@
 		return nil
 	}
 	if err := s.send(documentOf(problem)); err != nil {
-		s.handler.Logger.Debug("caller left before its failure", logging.RequestID(problem.RequestID))
+		s.handler.Logger.Debug("caller disconnected before the failure was sent", logging.RequestID(problem.RequestID))
 	}
 	return nil
 }
--- a/internal/caller/strict.go
+++ b/internal/caller/strict.go
@@ -14,13 +14,13 @@
 // maxDepth bounds the nesting of a member of a JSON body.
 const maxDepth = 31
 
-// fields are the members of a JSON object by name.
+// fields holds the members of a JSON object by name.
 type fields map[string]json.RawMessage
 
-// decodeObject reads one JSON object and refuses what readers of JSON
-// understand in different ways: a member that stands twice, text that is not
-// UTF-8, and anything behind the object. Two parts of the system that read such
-// a body differently would disagree on what the caller's command is.
+// decodeObject decodes one JSON object. It refuses input that JSON parsers read in
+// different ways: a duplicate member, text that is not UTF-8, and anything after
+// the object. Two parts of the system that read such a body differently would
+// disagree on the caller's command.
 func decodeObject(body []byte) (fields, error) {
 	if !utf8.Valid(body) {
 		return nil, refuse(oriolebend.ReasonMalformed, "the body is not UTF-8")
@@ -48,16 +48,16 @@
 	return refuse(oriolebend.ReasonMalformed, fmt.Sprintf("the body is not one JSON object, at byte %d", decoder.InputOffset()))
 }
 
-// readNext reads one member. Text needs no walk, so that a long prompt is not
-// read more often than it must be.
+// readNext decodes one member. A string has no members to check, so a long prompt
+// is not scanned another time.
 func (m fields) readNext(decoder *json.Decoder) error {
 	token, err := decoder.Token()
 	name, isName := token.(string)
 	if err != nil || !isName {
 		return notAnObject(decoder)
 	}
-	if _, twice := m[name]; twice {
-		return standsTwice(name)
+	if _, duplicate := m[name]; duplicate {
+		return duplicateMember(name)
 	}
 	var value json.RawMessage
 	if err := decoder.Decode(&value); err != nil {
@@ -70,62 +70,62 @@
 	return nil
 }
 
-func standsTwice(name string) error {
+func duplicateMember(name string) error {
 	return refuse(oriolebend.ReasonMalformed, fmt.Sprintf("the member %.64q stands twice", name))
 }
 
-// checkTokens walks the valid value of a member for depth and members that
-// stand twice.
+// checkTokens checks the depth of a valid JSON value, and that no object in it has
+// a duplicate member.
 func checkTokens(value []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(value))
-	walk := tokenWalk{}
+	checker := tokenChecker{}
 	for {
 		token, err := decoder.Token()
 		if err != nil {
-			return nil // the end: the value was decoded before
+			return nil // the end of the value, which was decoded before and is valid
 		}
-		if err := walk.take(token); err != nil {
+		if err := checker.check(token); err != nil {
 			return err
 		}
 	}
 }
 
-// tokenWalk knows the objects and arrays that are open at a token.
-type tokenWalk struct {
+// tokenChecker tracks the objects and arrays that are open at a token.
+type tokenChecker struct {
 	open []container
 }
 
 type container struct {
-	// names holds the member names seen; nil for an array.
+	// names holds the member names read so far; it is nil for an array.
 	names map[string]bool
 	// nameNext is true if the next token of an object is a name.
 	nameNext bool
 }
 
-func (w *tokenWalk) take(token json.Token) error {
+func (w *tokenChecker) check(token json.Token) error {
 	if delimiter, ok := token.(json.Delim); ok {
-		return w.delimiter(delimiter)
+		return w.checkDelimiter(delimiter)
 	}
 	if top := w.top(); top != nil && top.nameNext {
-		return top.name(token)
+		return top.addName(token)
 	}
-	w.value()
+	w.beginValue()
 	return nil
 }
 
-func (w *tokenWalk) top() *container {
+func (w *tokenChecker) top() *container {
 	if len(w.open) == 0 {
 		return nil
 	}
 	return &w.open[len(w.open)-1]
 }
 
-func (w *tokenWalk) delimiter(delimiter json.Delim) error {
+func (w *tokenChecker) checkDelimiter(delimiter json.Delim) error {
 	if delimiter == '}' || delimiter == ']' {
 		w.open = w.open[:len(w.open)-1]
 		return nil
 	}
-	w.value()
+	w.beginValue()
 	if len(w.open) == maxDepth {
 		return refuse(oriolebend.ReasonMalformed, fmt.Sprintf("the body is nested deeper than %d", maxDepth))
 	}
@@ -137,17 +137,18 @@
 	return nil
 }
 
-// value has the object around a value expect a name after it.
-func (w *tokenWalk) value() {
+// beginValue records the start of a value: after it, the object around it expects
+// a name.
+func (w *tokenChecker) beginValue() {
 	if top := w.top(); top != nil {
 		top.nameNext = top.names != nil
 	}
 }
 
-func (c *container) name(token json.Token) error {
+func (c *container) addName(token json.Token) error {
 	name, _ := token.(string)
 	if c.names[name] {
-		return standsTwice(name)
+		return duplicateMember(name)
 	}
 	c.names[name] = true
 	c.nameNext = false
