--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -16,20 +16,20 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// fakeServer answers each request on each connection with what script returns
-// for its number, counted from 1 over all connections.
+// fakeServer answers each request with the step that script returns for the number of
+// the request, counted from 1 over all connections.
 type fakeServer struct {
 	address     string
 	connections atomic.Int32
 	requests    atomic.Int32
 }
 
-// step is what a server does with one request.
+// step describes how a server answers one request.
 type step struct {
 	answer string
-	// late is sent a little after the answer.
+	// late is sent 20 ms after the answer.
 	late string
-	// close ends the connection, reset ends it with a reset.
+	// close closes the connection after the answer, reset resets it.
 	close, reset bool
 }
 
@@ -88,7 +88,7 @@
 	stray = "HTTP/1.1 200 OK\r\nId: z\r\nContent-Length: 5\r\n\r\nstray"
 )
 
-func ask() Request {
+func newRequest() Request {
 	return Request{
 		Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: []byte("body"),
 		Freshness: time.Minute,
@@ -96,10 +96,10 @@
 	}
 }
 
-// exchangeOnce sends a request and reads the whole answer.
+// exchangeOnce sends a request and reads the complete answer.
 func exchangeOnce(t *testing.T, p *Pool, address string) (string, error) {
 	t.Helper()
-	response, err := p.Do(t.Context(), address, ask())
+	response, err := p.Do(t.Context(), address, newRequest())
 	if err != nil {
 		return "", err
 	}
@@ -123,23 +123,22 @@
 	is.Equal(p.Dialled(), uint64(2))
 }
 
-// Symptom: a request that may run once is lost for no cause that a caller could
-// see. Sequence: a server closes a kept connection, or sends bytes on it that
-// belong to no request, and the next request is written to it. Cause: a kept
-// connection that is used without a look at it.
-func TestSpoiltConnectionIsNotUsed(t *testing.T) {
-	for name, spoil := range map[string]step{
-		"closed after its answer":      {answer: good, close: true},
-		"a second answer comes late":   {answer: good, late: stray},
-		"bytes behind the answer":      {answer: good + stray},
-		"an answer that closes":        {answer: "HTTP/1.1 200 OK\r\nId: a\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"},
-		"an answer that tells seconds": {answer: "HTTP/1.1 200 OK\r\nId: a\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", close: true},
+// Guards against a request that may run once and whose outcome is lost without need: a
+// server closes an idle connection, or sends bytes on it that belong to no request, and
+// the next request is written to that connection without a check.
+func TestBrokenIdleConnectionIsNotUsed(t *testing.T) {
+	for name, first := range map[string]step{
+		"closed after its answer":            {answer: good, close: true},
+		"a second, late answer":              {answer: good, late: stray},
+		"bytes after the answer":             {answer: good + stray},
+		"an answer with Connection: close":   {answer: "HTTP/1.1 200 OK\r\nId: a\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"},
+		"an answer with Keep-Alive: timeout": {answer: "HTTP/1.1 200 OK\r\nId: a\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", close: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := startFake(t, func(n int32) step {
 				if n == 1 {
-					return spoil
+					return first
 				}
 				return step{answer: good}
 			})
@@ -155,10 +154,10 @@
 	}
 }
 
-// Symptom: a caller gets the answer to another request. Sequence: a faulty
-// server sends a second answer just as the next request is written. Cause:
-// answers that are told apart by their order alone.
-func TestStrayAnswerIsPassedOver(t *testing.T) {
+// Guards against a caller that gets the answer to another request: a faulty server sends
+// a second answer while the next request is written, and answers are matched to requests
+// by their order alone.
+func TestStrayAnswerIsSkipped(t *testing.T) {
 	is := is.New(t)
 	f := startFake(t, func(int32) step { return step{answer: stray + good} })
 	body, err := exchangeOnce(t, NewPool(PoolConfig{}), f.address)
@@ -166,31 +165,31 @@
 	is.Equal(body, "ok")
 }
 
-// What a failed exchange tells of its request: "not run" only if nothing of it
+// Checks Ran in the error of a failed exchange: it is "no" only if nothing of the request
 // was written.
-func TestWhatAFailureTells(t *testing.T) {
+func TestRanOfAFailedExchange(t *testing.T) {
 	unframed := "HTTP/1.1 200 OK\r\nId: a\r\n\r\nok"
 	short := "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 9\r\n\r\nok"
 	chunk := "HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"
 	for name, c := range map[string]struct {
-		step  step
-		whole bool
+		step     step
+		complete bool
 	}{
-		"no answer":                        {step: step{close: true}},
-		"reset":                            {step: step{reset: true}},
-		"no HTTP":                          {step: step{answer: "what?\r\n\r\n", close: true}},
-		"half a body":                      {step: step{answer: short, close: true}},
-		"chunks without an end":            {step: step{answer: chunk, close: true}},
-		"no length, closed properly":       {step: step{answer: unframed, close: true}, whole: true},
-		"no length, reset on the way":      {step: step{answer: unframed, reset: true}},
-		"only answers to another request":  {step: step{answer: stray + stray + stray, close: true}},
-		"an interim answer before the one": {step: step{answer: "HTTP/1.1 102 Processing\r\n\r\n" + good}, whole: true},
+		"no answer":                       {step: step{close: true}},
+		"reset":                           {step: step{reset: true}},
+		"no HTTP":                         {step: step{answer: "what?\r\n\r\n", close: true}},
+		"incomplete body":                 {step: step{answer: short, close: true}},
+		"chunks without an end":           {step: step{answer: chunk, close: true}},
+		"no length, connection closed":    {step: step{answer: unframed, close: true}, complete: true},
+		"no length, connection reset":     {step: step{answer: unframed, reset: true}},
+		"only answers to another request": {step: step{answer: stray + stray + stray, close: true}},
+		"an interim answer first":         {step: step{answer: "HTTP/1.1 102 Processing\r\n\r\n" + good}, complete: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := startFake(t, func(int32) step { return c.step })
 			body, err := exchangeOnce(t, NewPool(PoolConfig{}), f.address)
-			if c.whole {
+			if c.complete {
 				is.NoErr(err)
 				is.Equal(body, "ok")
 				return
@@ -200,7 +199,7 @@
 			is.Equal(e.Ran, oriolebend.RanUnknown)
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		is := is.New(t)
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		is.NoErr(err)
@@ -212,19 +211,19 @@
 	})
 }
 
-// Symptom: a server works on for a caller that has left. Sequence: the context
-// of a request ends while its server works. Cause: a connection that stays open.
+// Guards against a server that continues to work on a cancelled request, because its
+// connection stays open when the context of the request ends.
 func TestCancelClosesTheConnection(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
-	gone := make(chan error, 1)
+	closed := make(chan error, 1)
 	received := make(chan struct{})
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
-			gone <- err
+			closed <- err
 			return
 		}
 		defer conn.Close()
@@ -232,24 +231,24 @@
 		_, _ = http.ReadRequest(reader)
 		close(received)
 		_, _ = io.Copy(io.Discard, reader)
-		gone <- nil
+		closed <- nil
 	}()
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-received
 		cancel()
 	}()
-	_, err = NewPool(PoolConfig{}).Do(ctx, listener.Addr().String(), ask())
+	_, err = NewPool(PoolConfig{}).Do(ctx, listener.Addr().String(), newRequest())
 	var e *Error
 	is.True(errors.As(err, &e))
 	is.Equal(e.Reason, oriolebend.ReasonCallerCancelled)
 	is.Equal(e.Ran, oriolebend.RanUnknown)
-	is.NoErr(<-gone)
+	is.NoErr(<-closed)
 }
 
-// Guards against a server that does not read its request and has this process hold it until
-// the caller's time is over.
-func TestServerThatReadsNothingIsGivenUp(t *testing.T) {
+// Guards against a server that does not read its request, so that this process holds the
+// request until the caller's deadline.
+func TestServerThatReadsNothingTimesOut(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -259,15 +258,15 @@
 	_, err = pool.Do(t.Context(), listener.Addr().String(), Request{
 		Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: make([]byte, 16<<20), Freshness: time.Second,
 	})
-	var lost *Error
-	is.True(errors.As(err, &lost))
-	is.Equal(lost.Ran, oriolebend.RanUnknown)
-	is.True(time.Since(began) < takesWithin+time.Second)
+	var failed *Error
+	is.True(errors.As(err, &failed))
+	is.Equal(failed.Ran, oriolebend.RanUnknown)
+	is.True(time.Since(began) < pieceWriteTimeout+time.Second)
 }
 
-// Guards against an answer that came before its request was read to the end, and that is
-// thrown away with it.
-func TestEarlyAnswerToALongRequestIsTaken(t *testing.T) {
+// Guards against an answer that is discarded because the server sent it before it had read
+// the complete request.
+func TestEarlyAnswerToALongRequestIsRead(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/backend/body.go
+++ b/internal/backend/body.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// pieceBytes is how much of an answer is read at a time.
-	pieceBytes = 32 << 10
-	// firstPieceBytes is the first piece of an answer that does not tell its length: most
-	// are short.
+	// readPieceBytes is the most of an answer that is read at a time.
+	readPieceBytes = 32 << 10
+	// firstPieceBytes is the size of the first piece of an answer of unknown length: most
+	// such answers are short.
 	firstPieceBytes = 4 << 10
 )
 
-// Body is the body of an answer, held as far as there is room for it. What there is no room
-// for stays with its server until the caller has taken what is before it.
+// Body is the body of an answer. It holds as much of the body in memory as the limits
+// allow. The rest is read from the server when the caller has read all that is held.
 type Body struct {
 	held   *heldbytes.Holding
 	pieces [][]byte
-	// given is how many bytes the piece holds that was returned last.
-	given int64
-	// rest is what follows the pieces, nil if nothing does.
+	// returnedBytes is the memory of the piece that Next returned last.
+	returnedBytes int64
+	// rest is the response from which the rest of the body is read, nil if the pieces are
+	// the complete body.
 	rest   *Response
 	buffer []byte
 	length int64
 }
 
-// Hold reads the body, up to most bytes and as far as there is room for them, in pieces: a
-// long answer is neither copied while it grows nor on its way out. Release must be called once
-// the body is not needed any more; it closes the holding.
-func (r *Response) Hold(h *heldbytes.Holding, most int64) (*Body, error) {
+// Hold reads the body into memory, up to limit bytes and as far as h allows. It reads in
+// pieces, so that a long answer is copied neither when it grows nor when it is written.
+// Release must be called when the body is not needed any more; it closes h.
+func (r *Response) Hold(h *heldbytes.Holding, limit int64) (*Body, error) {
 	b := &Body{held: h, length: r.length}
 	size := int64(0)
 	for {
 		next := r.nextPiece(size)
 		if next == 0 {
-			next = 1 // only the end is left to be read
+			next = 1 // all bytes are read, but not yet io.EOF
 		}
-		if size+next > most || h.Grow(next) != nil {
+		if size+next > limit || h.Grow(next) != nil {
 			b.rest = r
 			return b, nil
 		}
@@ -61,47 +62,48 @@
 	}
 }
 
-// nextPiece is how much to read next, after size bytes.
+// nextPiece returns the number of bytes to read next, after size bytes.
 func (r *Response) nextPiece(size int64) int64 {
 	switch {
 	case r.length >= 0:
-		return min(pieceBytes, r.length-size)
+		return min(readPieceBytes, r.length-size)
 	case size == 0:
 		return firstPieceBytes
 	}
-	return pieceBytes
+	return readPieceBytes
 }
 
-// Length is the length of the body, negative if it is not known.
+// Length returns the length of the body, negative if it is not known.
 func (b *Body) Length() int64 { return b.length }
 
-// Next returns the next piece, and gives back the memory of the one before.
+// Next returns the next piece and releases the memory of the previous one. The error is
+// io.EOF after the last piece.
 func (b *Body) Next() ([]byte, error) {
-	b.held.Shrink(b.given)
-	b.given = 0
+	b.held.Shrink(b.returnedBytes)
+	b.returnedBytes = 0
 	if b.buffer != nil {
-		return b.readOn()
+		return b.readRest()
 	}
 	if len(b.pieces) == 0 && b.rest == nil {
 		return nil, io.EOF
 	}
 	if len(b.pieces) == 0 {
 		b.buffer = make([]byte, firstPieceBytes)
-		return b.readOn()
+		return b.readRest()
 	}
 	piece := b.pieces[0]
-	b.pieces[0] = nil // it would stay in memory with those behind it
+	b.pieces[0] = nil // the slice would keep the piece in memory
 	b.pieces = b.pieces[1:]
-	b.given = int64(cap(piece))
+	b.returnedBytes = int64(cap(piece))
 	return piece, nil
 }
 
-// readOn reads from the server.
-func (b *Body) readOn() ([]byte, error) {
+// readRest reads the next part of the rest from the server.
+func (b *Body) readRest() ([]byte, error) {
 	for {
 		n, err := b.rest.Read(b.buffer)
 		if n > 0 {
-			return b.buffer[:n], nil // an error comes again with the next read
+			return b.buffer[:n], nil // the next read returns the error again
 		}
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
@@ -112,7 +114,8 @@
 	}
 }
 
-// Release gives back what is held, and drops what has not been read.
+// Release releases the memory of the body and closes the response if it was not read to
+// its end.
 func (b *Body) Release() {
 	if b.rest != nil {
 		b.rest.Close()
--- a/internal/backend/body_test.go
+++ b/internal/backend/body_test.go
@@ -12,10 +12,10 @@
 	"github.com/oriolebend/oriolebend/internal/heldbytes"
 )
 
-// Guards against a piece of an answer that is not counted any more while a slow caller takes it.
-func TestPieceCountsUntilTheNextIsAskedFor(t *testing.T) {
+// Guards against a piece of an answer that is not counted as held while a slow caller reads it.
+func TestPieceCountsUntilNextIsCalled(t *testing.T) {
 	is := is.New(t)
-	const length = 2*pieceBytes + 10
+	const length = 2*readPieceBytes + 10
 	s := startFake(t, func(int32) step {
 		return step{answer: "HTTP/1.1 200 OK\r\nContent-Length: 65546\r\n\r\n" + strings.Repeat("x", length)}
 	})
@@ -27,12 +27,12 @@
 	body, err := response.Hold(account.Open(heldbytes.Answer, "s"), length)
 	is.NoErr(err)
 	is.Equal(body.Length(), int64(length))
-	for left := int64(length); left > 0; {
-		is.True(account.Held(heldbytes.Answer) >= left)
+	for remaining := int64(length); remaining > 0; {
+		is.True(account.Held(heldbytes.Answer) >= remaining)
 		piece, err := body.Next()
 		is.NoErr(err)
-		is.True(account.Held(heldbytes.Answer) >= left) // the caller has not taken it yet
-		left -= int64(len(piece))
+		is.True(account.Held(heldbytes.Answer) >= remaining) // the caller has not read the piece yet
+		remaining -= int64(len(piece))
 	}
 	_, err = body.Next()
 	is.Equal(err, io.EOF)
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -16,7 +16,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Request is one request as it goes to a backend server.
+// Request is one request to a backend server.
 type Request struct {
 	Method string
 	// Target is the path and query.
@@ -24,22 +24,22 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches tells whether an answer with this header belongs to the request;
-	// nil takes every answer.
+	// Matches reports whether an answer with this header belongs to the request;
+	// nil accepts every answer.
 	Matches func(http.Header) bool
-	// Freshness is the longest that a connection may have lain unused; zero
-	// opens a new one.
+	// Freshness bounds how long a reused connection may have been idle; zero means a
+	// new connection.
 	Freshness time.Duration
 }
 
-// Error is an exchange that brought no whole answer.
+// Error is the error of an exchange that gave no complete answer.
 type Error struct {
 	Reason oriolebend.Reason
 	// Ran is "no" only if nothing of the request was written.
 	Ran oriolebend.Ran
-	// Reused is set if the connection had carried a request before.
+	// Reused is true if the connection was used for an earlier request.
 	Reused bool
-	// Opened is when the connection was opened, zero if there was none.
+	// Opened is when the connection was opened, zero if there is none.
 	Opened time.Time
 	Detail string
 	Cause  error
@@ -54,20 +54,22 @@
 	return text
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Response is the head of an answer, and its body to be read to the end.
+// Response is the head of an answer, and its body, which must be read to the end or
+// closed.
 type Response struct {
 	Status int
 	Header http.Header
-	// Took is the time from the sending to the head.
+	// Took is the time from the start of the write until the head was read.
 	Took time.Duration
 
 	exchange *exchange
 	body     io.ReadCloser
-	closes   bool
-	// length is that of the body, negative if the server does not tell it.
+	// closes is true if the connection can't be used again after the body.
+	closes bool
+	// length is the length of the body, negative if it is not known.
 	length int64
 }
 
@@ -76,33 +78,35 @@
 	pool *Pool
 	conn *connection
 	ctx  context.Context
-	// release ends the watch over the context.
-	release func() bool
+	// unwatch stops the closing of the connection when the context ends. It is nil once
+	// the exchange has ended.
+	unwatch func() bool
+	// written is true if bytes of the request were written.
 	written bool
 }
 
-// Do sends a request to a server and reads the head of its answer. The answer's
-// body must be read to its end, or the answer closed. Once ctx ends the
-// connection is closed, which has the server drop the request.
+// Do sends a request to a server and reads the head of its answer. The body must be
+// read to its end, or the response closed. When ctx ends, the connection is closed,
+// so that the server can cancel the request.
 func (p *Pool) Do(ctx context.Context, address string, r Request) (*Response, error) {
-	conn, err := p.take(ctx, address, r.Freshness)
+	conn, err := p.get(ctx, address, r.Freshness)
 	if err != nil {
-		return nil, failure(ctx, &Error{Reason: oriolebend.ReasonServerLost, Ran: oriolebend.RanNo, Detail: "connect", Cause: err})
+		return nil, withContextReason(ctx, &Error{Reason: oriolebend.ReasonServerLost, Ran: oriolebend.RanNo, Detail: "connect", Cause: err})
 	}
 	x := &exchange{pool: p, conn: conn, ctx: ctx}
-	x.release = context.AfterFunc(ctx, func() { _ = conn.Close() })
+	x.unwatch = context.AfterFunc(ctx, func() { _ = conn.Close() })
 	began := time.Now()
 	response, err := x.send(r)
 	if err != nil {
-		x.drop()
-		return nil, failure(ctx, err)
+		x.abort()
+		return nil, withContextReason(ctx, err)
 	}
 	response.Took = time.Since(began)
 	return response, nil
 }
 
-// failure names the caller's own reasons where they are the cause.
-func failure(ctx context.Context, err error) error {
+// withContextReason sets the reason of an error to the reason of ctx if ctx has ended.
+func withContextReason(ctx context.Context, err error) error {
 	var e *Error
 	if !errors.As(err, &e) || ctx.Err() == nil {
 		return err
@@ -111,7 +115,8 @@
 	return e
 }
 
-// ReasonOfEnd tells why the context of a request ended.
+// ReasonOfEnd returns the reason for which the context of a request ended: its
+// deadline, or a caller that cancelled.
 func ReasonOfEnd(ctx context.Context) oriolebend.Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return oriolebend.ReasonDeadline
@@ -119,19 +124,21 @@
 	return oriolebend.ReasonCallerCancelled
 }
 
+// send writes the request and reads the head of its answer.
 func (x *exchange) send(r Request) (*Response, error) {
 	err := x.write(r)
 	if err != nil && !x.written {
-		return nil, x.lost(oriolebend.RanNo, "write", err)
+		return nil, x.outcomeLost(oriolebend.RanNo, "write", err)
 	}
-	// A server may answer before it has read the whole request, so a failed
-	// write is no reason not to read. One that does not read on answers now or never.
+	// A server may answer before it has read the complete request, so the answer is
+	// read even if the write failed. If the write timed out, the server answers
+	// at once or not at all.
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		_ = x.conn.SetReadDeadline(time.Now().Add(answersWithin))
+		_ = x.conn.SetReadDeadline(time.Now().Add(earlyAnswerTimeout))
 	}
 	response, readErr := x.read(r)
 	if readErr != nil {
-		return nil, x.lost(oriolebend.RanUnknown, "read the answer", errors.Join(err, readErr))
+		return nil, x.outcomeLost(oriolebend.RanUnknown, "read the answer", errors.Join(err, readErr))
 	}
 	if err != nil {
 		response.closes = true
@@ -140,45 +147,47 @@
 }
 
 const (
-	// onePieceBytes is the longest body that is written together with its head, which needs
-	// a copy of it.
-	onePieceBytes = 16 << 10
-	// sendPieceBytes is the most of a body that is written at a time.
-	sendPieceBytes = 32 << 10
-	// takesWithin bounds the writing of a piece. A server that takes less holds the memory of
-	// this process for a request that it will not answer in time.
-	takesWithin = 2 * time.Second
-	// answersWithin is for how long the answer of a server is waited for that has not taken
-	// its request in time: a round trip between failure domains.
-	answersWithin = 100 * time.Millisecond
+	// maxJoinedBytes is the longest body that is written together with its head. Joining
+	// them copies the body.
+	maxJoinedBytes = 16 << 10
+	// writePieceBytes is the most of a body that is written at a time.
+	writePieceBytes = 32 << 10
+	// pieceWriteTimeout bounds the write of one piece. A server that reads more slowly holds
+	// memory of this process for a request that it will not answer in time.
+	pieceWriteTimeout = 2 * time.Second
+	// earlyAnswerTimeout bounds the wait for the answer of a server that has not read its
+	// request in time. It is a round trip between failure domains.
+	earlyAnswerTimeout = 100 * time.Millisecond
 )
 
-// write writes the request. A long body is not copied, and its server has to take it at a
-// pace.
+// write writes the request. A long body is not copied, and each of its pieces must be
+// written within pieceWriteTimeout.
 func (x *exchange) write(r Request) error {
 	body := r.Body
-	if len(body) <= onePieceBytes {
+	if len(body) <= maxJoinedBytes {
 		n, err := x.conn.Write(append(encodeHead(r), body...))
 		x.written = n > 0
 		return err
 	}
 	n, err := x.conn.Write(encodeHead(r))
 	x.written = n > 0
-	for piece := range slices.Chunk(body, sendPieceBytes) {
+	for piece := range slices.Chunk(body, writePieceBytes) {
 		if err != nil {
 			return err
 		}
-		_ = x.conn.SetWriteDeadline(time.Now().Add(takesWithin))
+		_ = x.conn.SetWriteDeadline(time.Now().Add(pieceWriteTimeout))
 		_, err = x.conn.Write(piece)
 	}
 	return err
 }
 
-func (x *exchange) lost(ran oriolebend.Ran, detail string, cause error) *Error {
+// outcomeLost returns the error of an exchange that failed after the connection was
+// opened.
+func (x *exchange) outcomeLost(ran oriolebend.Ran, detail string, cause error) *Error {
 	return &Error{Reason: oriolebend.ReasonOutcomeLost, Ran: ran, Reused: x.conn.reused, Opened: x.conn.opened, Detail: detail, Cause: cause}
 }
 
-// maxStrayAnswers bounds the answers to other requests that are passed over.
+// maxStrayAnswers bounds the answers to other requests that are skipped.
 const maxStrayAnswers = 2
 
 // StrayAnswerError is an answer that belongs to another request.
@@ -190,7 +199,7 @@
 }
 
 // read reads the head of the request's answer. A faulty server may have sent a
-// second answer to the request before; it is passed over, and the connection is
+// second answer to an earlier request; that answer is skipped, and the connection is
 // not used again.
 func (x *exchange) read(r Request) (*Response, error) {
 	strays := 0
@@ -203,7 +212,7 @@
 			continue // an interim answer
 		}
 		if r.Matches == nil || r.Matches(answer.Header) {
-			x.learnIdle(answer.Header)
+			x.applyKeepAlive(answer.Header)
 			return &Response{
 				Status: answer.StatusCode, Header: answer.Header, exchange: x,
 				body: answer.Body, closes: answer.Close || strays > 0 || unframed(answer),
@@ -220,12 +229,14 @@
 	}
 }
 
-// unframed reports whether the answer ends with its connection.
+// unframed reports whether the end of the answer is the end of its connection: it has
+// neither a length nor chunks.
 func unframed(r *http.Response) bool {
 	return r.ContentLength < 0 && len(r.TransferEncoding) == 0
 }
 
-// bodyLength is the length of the body that follows a head, negative if it is not known.
+// bodyLength returns the length of the body that follows a head, negative if it is not
+// known.
 func bodyLength(method string, answer *http.Response) int64 {
 	if method == http.MethodHead {
 		return 0
@@ -233,9 +244,10 @@
 	return answer.ContentLength
 }
 
-// learnIdle takes how long the server keeps unused connections, less a margin
-// for the way there.
-func (x *exchange) learnIdle(h http.Header) {
+// applyKeepAlive reads how long the server keeps idle connections from the header
+// Keep-Alive. The connection is kept for a shorter time, since a request takes time
+// to reach the server.
+func (x *exchange) applyKeepAlive(h http.Header) {
 	_, value, found := strings.Cut(h.Get("Keep-Alive"), "timeout=")
 	if !found {
 		return
@@ -249,11 +261,11 @@
 	x.conn.idleFor = time.Duration(float64(seconds) * margin * float64(time.Second))
 }
 
-// encodeHead writes all of the request but its body.
+// encodeHead returns the request without its body.
 func encodeHead(r Request) []byte {
 	var out bytes.Buffer
 	out.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	_ = r.Header.Write(&out) // a buffer takes every write
+	_ = r.Header.Write(&out) // writes to a buffer do not fail
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		out.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
@@ -261,55 +273,57 @@
 	return out.Bytes()
 }
 
-// Read implements io.Reader on the body. At its proper end the connection is
+// Read implements io.Reader for the body. At the end of the body the connection is
 // kept, if the server keeps it too.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if err == io.EOF {
-		r.end()
+		r.finish()
 	}
 	return n, err
 }
 
-// end gives the connection back after a whole answer. Bytes behind it belong to
-// no request.
-func (r *Response) end() {
+// finish returns the connection to the pool after a complete answer. It closes the
+// connection if that can't be used again: bytes after the answer belong to no request.
+func (r *Response) finish() {
 	x := r.exchange
-	if x.release == nil {
+	if x.unwatch == nil {
 		return
 	}
-	stopped := x.release()
-	x.release = nil
+	stopped := x.unwatch()
+	x.unwatch = nil
 	if r.closes || !stopped || x.conn.reader.Buffered() > 0 {
 		_ = x.conn.Close()
 		return
 	}
-	x.pool.give(x.conn)
+	x.pool.put(x.conn)
 }
 
-// Close drops the rest of the answer; the server sees the connection end.
-func (r *Response) Close() { r.exchange.drop() }
+// Close discards the rest of the answer by closing the connection. It does nothing
+// after the end of the body.
+func (r *Response) Close() { r.exchange.abort() }
 
-func (x *exchange) drop() {
-	if x.release == nil {
+// abort closes the connection, unless the exchange has ended.
+func (x *exchange) abort() {
+	if x.unwatch == nil {
 		return
 	}
-	x.release()
-	x.release = nil
+	x.unwatch()
+	x.unwatch = nil
 	_ = x.conn.Close()
 }
 
-// TooLongError is an answer that is longer than can be held.
-type TooLongError struct{ Most int64 }
+// TooLongError is the error of an answer that is over its limit.
+type TooLongError struct{ Limit int64 }
 
 // Error implements error.
-func (e *TooLongError) Error() string { return fmt.Sprintf("answer over %d bytes", e.Most) }
+func (e *TooLongError) Error() string { return fmt.Sprintf("answer over %d bytes", e.Limit) }
 
-// Whole reads the whole body.
-func (r *Response) Whole(most int64) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(r, most+1))
-	if err == nil && int64(len(body)) > most {
-		err = &TooLongError{Most: most}
+// Whole reads the complete body, which may have up to limit bytes.
+func (r *Response) Whole(limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(r, limit+1))
+	if err == nil && int64(len(body)) > limit {
+		err = &TooLongError{Limit: limit}
 	}
 	if err != nil {
 		r.Close()
@@ -318,7 +332,7 @@
 	return body, nil
 }
 
-// Lost makes the error of an answer whose body can't be read to its end.
+// Lost returns the error of an answer whose body can't be read to its end.
 func (r *Response) Lost(detail string, cause error) error {
-	return failure(r.exchange.ctx, r.exchange.lost(oriolebend.RanUnknown, detail, cause))
+	return withContextReason(r.exchange.ctx, r.exchange.outcomeLost(oriolebend.RanUnknown, detail, cause))
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,9 +1,8 @@
-// Package backend sends requests to backend servers over HTTP/1.1. It keeps in
-// its own hands what net/http's transport decides for itself: a request is
-// written to one connection and never silently to a second one, the caller
-// learns whether anything was written, and an answer that belongs to another
-// request is told from the one that is waited for. The syntax is read by
-// net/http.
+// Package backend sends requests to backend servers over HTTP/1.1. It does not use
+// net/http's transport, because a request must be written to one connection and
+// never silently to a second one, the caller must learn whether anything was
+// written, and an answer that belongs to another request must be detected. It
+// parses messages with net/http.
 package backend
 
 import (
@@ -19,25 +18,25 @@
 
 // Defaults of PoolConfig.
 const (
-	// DefaultDialTimeout is several round trips between failure domains; the
-	// opening packet of a full server is dropped and sent again after a second.
+	// DefaultDialTimeout is several round trips between failure domains. A full server
+	// drops the SYN of a connection, and the kernel sends it again after one second.
 	DefaultDialTimeout = 900 * time.Millisecond
-	// DefaultIdleFor is how long an unused connection is kept where the server
-	// does not say.
+	// DefaultIdleFor is how long an idle connection is kept if the server does not
+	// announce a timeout.
 	DefaultIdleFor = 4 * time.Second
-	// DefaultMaxIdle bounds the unused connections to one server.
+	// DefaultMaxIdle bounds the idle connections to one server.
 	DefaultMaxIdle = 8
-	// DefaultSilence is how long sent bytes may stay unacknowledged. A server
-	// whose VM has lost power never resets a connection.
-	DefaultSilence = 2 * time.Second
+	// DefaultUnackedTimeout is how long sent bytes may stay unacknowledged before the
+	// connection is closed. A server whose VM has lost power never resets a connection.
+	DefaultUnackedTimeout = 2 * time.Second
 )
 
-// PoolConfig sets up a Pool; zero values mean the defaults.
+// PoolConfig configures a Pool; zero values mean the defaults.
 type PoolConfig struct {
-	DialTimeout time.Duration
-	IdleFor     time.Duration
-	MaxIdle     int
-	Silence     time.Duration
+	DialTimeout    time.Duration
+	IdleFor        time.Duration
+	MaxIdle        int
+	UnackedTimeout time.Duration
 }
 
 // Pool keeps connections to backend servers.
@@ -45,7 +44,7 @@
 	config PoolConfig
 	mutex  sync.Mutex
 	idle   map[string][]*connection
-	// dialled counts connections that were opened.
+	// dialled counts the connections that were opened.
 	dialled uint64
 }
 
@@ -54,7 +53,7 @@
 	c.DialTimeout = cmp.Or(c.DialTimeout, DefaultDialTimeout)
 	c.IdleFor = cmp.Or(c.IdleFor, DefaultIdleFor)
 	c.MaxIdle = cmp.Or(c.MaxIdle, DefaultMaxIdle)
-	c.Silence = cmp.Or(c.Silence, DefaultSilence)
+	c.UnackedTimeout = cmp.Or(c.UnackedTimeout, DefaultUnackedTimeout)
 	return &Pool{config: c, idle: map[string][]*connection{}}
 }
 
@@ -63,27 +62,27 @@
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// idleSince is when it was last given back, idleFor how long the server
-	// keeps it.
+	// idleSince is when the connection was last returned to the pool, idleFor how long
+	// the server keeps it idle.
 	idleSince time.Time
 	idleFor   time.Duration
 	reused    bool
-	// opened is when it was.
+	// opened is when the connection was opened.
 	opened time.Time
 }
 
-// readerBytes is the read buffer of a connection to a server.
+// readerBytes is the size of the read buffer of a connection.
 const readerBytes = 4 << 10
 
-// take returns a connection that is younger than freshness since its last use,
-// or a new one.
-func (p *Pool) take(ctx context.Context, address string, freshness time.Duration) (*connection, error) {
+// get returns an open connection that has been idle for less than freshness, or a
+// new one.
+func (p *Pool) get(ctx context.Context, address string, freshness time.Duration) (*connection, error) {
 	for {
 		c := p.pop(address, freshness)
 		if c == nil {
 			return p.dial(ctx, address)
 		}
-		if c.quiet() {
+		if c.reusable() {
 			c.reused = true
 			return c, nil
 		}
@@ -91,6 +90,7 @@
 	}
 }
 
+// pop removes and returns the last idle connection that has not expired, or nil.
 func (p *Pool) pop(address string, freshness time.Duration) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -99,7 +99,7 @@
 		c := list[len(list)-1]
 		list = list[:len(list)-1]
 		p.idle[address] = list
-		if unused := time.Since(c.idleSince); unused < min(c.idleFor, p.config.IdleFor) && unused < freshness {
+		if idle := time.Since(c.idleSince); idle < min(c.idleFor, p.config.IdleFor) && idle < freshness {
 			return c
 		}
 		_ = c.Close()
@@ -108,10 +108,10 @@
 	return nil
 }
 
-// quiet reports whether an unused connection is still open and has nothing to
-// read. A server may have closed it, and a faulty one may have sent bytes that
-// belong to no request; either would be met by the next request.
-func (c *connection) quiet() bool {
+// reusable reports whether an idle connection is still open and has no data to read.
+// The server may have closed it, and a faulty server may have sent bytes that belong
+// to no request; the next request on the connection would then fail or read them.
+func (c *connection) reusable() bool {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok || c.reader.Buffered() > 0 {
 		return ok && c.reader.Buffered() == 0
@@ -120,14 +120,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = control.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, received := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = received == syscall.EAGAIN
+		reusable = received == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
 func (p *Pool) dial(ctx context.Context, address string) (*connection, error) {
@@ -150,37 +150,39 @@
 	}, nil
 }
 
-// Refuses reports whether the address refuses connections: its VM answers, and no process
-// listens. A connection that comes about is kept for the next request.
+// Refuses reports whether the address refuses connections: its VM answers, but no process
+// listens on the port. If a connection is opened, it is kept for the next request.
 func (p *Pool) Refuses(ctx context.Context, address string) bool {
 	c, err := p.dial(ctx, address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	p.give(c)
+	p.put(c)
 	return false
 }
 
 const (
-	// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux, which package syscall
+	// does not define.
 	tcpUserTimeout = 18
-	// socketBytes is what the kernel keeps for a server that does not read. Left to itself it
-	// keeps megabytes, which count as memory of the VM.
-	socketBytes = 64 << 10
+	// sendBufferBytes is the size of the kernel's send buffer for a server that does not
+	// read. By default the buffer grows to megabytes, which count as memory of the VM.
+	sendBufferBytes = 64 << 10
 )
 
+// control sets the options of a socket before it connects.
 func (p *Pool) control(_, _ string, raw syscall.RawConn) error {
-	var set error
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		set = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(p.config.Silence.Milliseconds()))
-		// A kernel that refuses keeps its own bound.
-		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, socketBytes)
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(p.config.UnackedTimeout.Milliseconds()))
+		// If the kernel refuses the size, its own limit holds.
+		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBufferBytes)
 	})
-	return cmp.Or(err, set)
+	return cmp.Or(err, optionErr)
 }
 
-// give keeps a connection for the next request.
-func (p *Pool) give(c *connection) {
+// put keeps a connection for the next request, or closes it if there are enough.
+func (p *Pool) put(c *connection) {
 	c.idleSince = time.Now()
 	_ = c.SetDeadline(time.Time{})
 	p.mutex.Lock()
@@ -192,8 +194,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Expire closes connections that have lain unused for too long, and all of
-// servers that keep does not name.
+// Expire closes connections that have been idle for too long, and all idle
+// connections to addresses for which keep returns false.
 func (p *Pool) Expire(keep func(address string) bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -214,7 +216,7 @@
 	}
 }
 
-// Dialled is how many connections were opened so far.
+// Dialled returns the number of connections that were opened so far.
 func (p *Pool) Dialled() uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
