--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// writeWithin bounds one write to a caller that does not read.
-const writeWithin = 10 * time.Second
+// writeTimeout bounds one write to a caller that does not read.
+const writeTimeout = 10 * time.Second
 
-// pieceBytes is the most of a whole answer that is written at a time: a caller that takes
-// less within writeWithin is cut off, and one that takes more gets its answer, however long
-// that lasts.
-const pieceBytes = 32 << 10
+// writePieceBytes is the most of an answer that is written at a time. The connection of a
+// caller that reads less within writeTimeout is closed. A caller that reads more gets its
+// complete answer, however long that takes.
+const writePieceBytes = 32 << 10
 
 // Body is the body of an answer, part by part.
 type Body interface {
-	// Length is that of all parts together, negative if it is not known.
+	// Length returns the length of all parts together, negative if it is not known.
 	Length() int64
-	// Next returns the next part, which holds until the next call. The error is io.EOF
-	// behind the last part of a whole body.
+	// Next returns the next part, which is valid until the next call. The error is io.EOF
+	// after the last part of a complete body.
 	Next() ([]byte, error)
 }
 
@@ -45,22 +45,26 @@
 	return part, nil
 }
 
-// Answer is the answer to one request: Whole or From, or Begin, any number of Write,
-// and End. An answer that is begun and not ended is cut.
+// Answer writes the answer to one request: with Whole or From, or with Begin, any number
+// of Write, and End. If an answer is begun and not ended, its connection is reset.
 type Answer struct {
-	conn    net.Conn
-	keep    bool
-	head    bool
+	conn net.Conn
+	// keepAlive is true if the connection can be used for another request.
+	keepAlive bool
+	// headOnly is true for a request with method HEAD.
+	headOnly bool
+	// closing is shared with the server; once it is true, the answer announces the end of
+	// the connection.
 	closing *atomic.Bool
 
 	begun, ended, failed bool
 	streaming            bool
 }
 
-// Begun reports whether a part of the answer may have reached the caller.
+// Begun reports whether a part of the answer may have been sent to the caller.
 func (a *Answer) Begun() bool { return a.begun }
 
-// Whole sends a whole answer.
+// Whole sends a complete answer.
 func (a *Answer) Whole(status int, header http.Header, body []byte) {
 	a.begun = true
 	var out bytes.Buffer
@@ -69,19 +73,19 @@
 		out.WriteString("Content-Length: " + strconv.Itoa(len(body)) + "\r\n")
 	}
 	out.WriteString("\r\n")
-	if a.head {
+	if a.headOnly {
 		body = nil
 	}
-	if len(body) <= pieceBytes {
+	if len(body) <= writePieceBytes {
 		out.Write(body)
 		body = nil
 	}
 	a.ended = a.send(out.Bytes()) && a.sendPieces(body)
 }
 
-// sendPieces writes what may be too long for one write.
+// sendPieces sends data in pieces of at most writePieceBytes.
 func (a *Answer) sendPieces(data []byte) bool {
-	for piece := range slices.Chunk(data, pieceBytes) {
+	for piece := range slices.Chunk(data, writePieceBytes) {
 		if !a.send(piece) {
 			return false
 		}
@@ -89,8 +93,8 @@
 	return !a.failed
 }
 
-// From sends an answer part by part. The error is that of the body; one of the caller's
-// connection is told by Reached.
+// From sends an answer part by part. It returns an error of the body only; Reached
+// reports an error of the caller's connection.
 func (a *Answer) From(status int, header http.Header, body Body) error {
 	first, err := body.Next()
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -113,7 +117,7 @@
 	return a.copyParts(first, body, a.sendPieces, func() { a.ended = !a.failed })
 }
 
-// copyParts writes all parts, and ends the answer behind the last one.
+// copyParts writes all parts and ends the answer after the last one.
 func (a *Answer) copyParts(part []byte, body Body, write func([]byte) bool, end func()) error {
 	for {
 		if !write(part) {
@@ -131,7 +135,7 @@
 	}
 }
 
-// Reached reports whether the caller took all that was written so far.
+// Reached reports whether all writes to the caller's connection succeeded so far.
 func (a *Answer) Reached() bool { return !a.failed }
 
 // Begin sends the head of an answer whose length is not known.
@@ -143,8 +147,8 @@
 	return a.send(out.Bytes())
 }
 
-// Write sends a part of an answer that was begun; false means that the caller
-// can't be reached.
+// Write sends a part of an answer that was begun; it returns false if a write to the
+// caller's connection failed.
 func (a *Answer) Write(part []byte) bool {
 	if len(part) == 0 {
 		return !a.failed
@@ -157,22 +161,22 @@
 	return a.send(out)
 }
 
-// End ends an answer that was begun as a whole one.
+// End marks an answer that was begun as complete.
 func (a *Answer) End() {
 	a.ended = a.send([]byte("0\r\n\r\n"))
 }
 
-// writeHead writes all of the head but the lines on the body's length and the
+// writeHead writes the head without the lines for the body's length and without the
 // empty line.
 func (a *Answer) writeHead(out *bytes.Buffer, status int, header http.Header) {
 	if a.closing.Load() {
-		a.keep = false
+		a.keepAlive = false
 	}
 	out.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
 	header = EndToEnd(header)
 	delete(header, "Content-Length")
-	_ = header.Write(out) // a buffer takes every write
-	if !a.keep {
+	_ = header.Write(out) // writes to a buffer do not fail
+	if !a.keepAlive {
 		out.WriteString("Connection: close\r\n")
 	}
 }
@@ -181,19 +185,19 @@
 	if a.failed {
 		return false
 	}
-	_ = a.conn.SetWriteDeadline(time.Now().Add(writeWithin))
+	_ = a.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := a.conn.Write(data); err != nil {
 		a.failed = true
 	}
 	return !a.failed
 }
 
-// finish reports whether the connection can take another request. One whose
-// answer is not whole is reset: a plain close could pass for the end of an
-// answer without a length.
+// finish reports whether the connection can be used for another request. It
+// makes the close reset the connection if the answer was begun and is incomplete: a normal
+// close could be taken for the end of an answer without a length.
 func (a *Answer) finish() bool {
 	if a.ended && !a.failed {
-		return a.keep
+		return a.keepAlive
 	}
 	if tcp, ok := a.conn.(*net.TCPConn); ok && a.begun {
 		_ = tcp.SetLinger(0)
--- a/internal/http1/connection.go
+++ b/internal/http1/connection.go
@@ -17,21 +17,21 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// readerBytes is the read buffer of a connection. Longer header lines and
-// bodies are read in several steps; idle connections hold only this.
+// readerBytes is the size of the read buffer of a connection. Longer header lines and
+// bodies are read in several steps; an idle connection holds only this buffer.
 const readerBytes = 2 << 10
 
-// CallerLeftError is the cause with which the context of a request ends when
-// its caller closes the connection.
+// CallerLeftError is the cause with which the context of a request is cancelled when
+// the connection of its caller ends.
 type CallerLeftError struct{ Cause error }
 
 // Error implements error.
-func (e *CallerLeftError) Error() string { return "the caller has left: " + e.Cause.Error() }
+func (e *CallerLeftError) Error() string { return "caller disconnected: " + e.Cause.Error() }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *CallerLeftError) Unwrap() error { return e.Cause }
 
-// phase is what a connection is doing.
+// phase is the state of a connection: between requests, in a request, or closed.
 type phase string
 
 const (
@@ -48,7 +48,7 @@
 
 	mutex sync.Mutex
 	phase phase
-	// idleSince is when the phase began, if it is phaseIdle.
+	// idleSince is when phaseIdle began; it is valid only in that phase.
 	idleSince time.Time
 }
 
@@ -59,8 +59,9 @@
 	}
 }
 
-// enter moves the connection on; it returns false if it was closed meanwhile.
-func (c *connection) enter(p phase) bool {
+// setPhase sets the phase of the connection; it returns false if the connection was
+// closed.
+func (c *connection) setPhase(p phase) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.phase == phaseClosed {
@@ -73,7 +74,8 @@
 	return true
 }
 
-// closeIdle closes a connection between two requests; false means that it is at one.
+// closeIdle closes the connection, unless it is in a request; it reports whether the
+// connection is closed.
 func (c *connection) closeIdle() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -85,8 +87,8 @@
 	return true
 }
 
-// idle is for how long the connection has lain between two requests, zero if it does not.
-func (c *connection) idle() time.Duration {
+// idleFor returns how long the connection has been idle, zero if it is not idle.
+func (c *connection) idleFor() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.phase != phaseIdle {
@@ -97,7 +99,7 @@
 
 // serve answers requests until the connection ends.
 func (c *connection) serve() {
-	defer c.server.forget(c)
+	defer c.server.unregister(c)
 	defer c.conn.Close()
 	waiting := c.awaitData()
 	for {
@@ -106,17 +108,17 @@
 		if err := <-waiting; err != nil {
 			return
 		}
-		if !c.enter(phaseBusy) {
+		if !c.setPhase(phaseBusy) {
 			return
 		}
-		request, keep, err := c.read(limits)
+		request, keepAlive, err := c.read(limits)
 		if err != nil {
 			c.refuse(err)
 			return
 		}
-		var again bool
-		again, waiting = c.answer(request, keep)
-		if !again || !c.enter(phaseIdle) {
+		var reusable bool
+		reusable, waiting = c.answer(request, keepAlive)
+		if !reusable || !c.setPhase(phaseIdle) {
 			return
 		}
 		if c.server.stopping.Load() {
@@ -137,8 +139,8 @@
 	return result
 }
 
-// read reads one whole request; keep is false if the caller wants the
-// connection to end with it.
+// read reads one complete request. The boolean is false if the connection must be
+// closed after the answer.
 func (c *connection) read(limits Limits) (*Request, bool, error) {
 	_ = c.conn.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
 	raw, err := readHead(c.reader, limits.MaxHeaderBytes)
@@ -150,7 +152,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	if h.expects && h.length <= limits.MaxBodyBytes {
+	if h.expectsContinue && h.length <= limits.MaxBodyBytes {
 		if _, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return nil, false, err
 		}
@@ -167,14 +169,16 @@
 		Method: h.request.Method, Target: h.target, Host: h.request.Host,
 		Header: h.request.Header, Body: body, Received: received, held: held,
 	}
-	return request, keeps(h.request), nil
+	return request, keepsAlive(h.request), nil
 }
 
-// keeps reports whether the caller keeps the connection.
-func keeps(r *http.Request) bool {
+// keepsAlive reports whether the caller keeps the connection after the answer.
+func keepsAlive(r *http.Request) bool {
 	return r.ProtoAtLeast(1, 1) && !r.Close
 }
 
+// timeoutError returns the error of a part that did not arrive in time, or err if it is
+// not a timeout.
 func timeoutError(err error, part string) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return &SyntaxError{Status: http.StatusRequestTimeout, Detail: "the " + part + " did not arrive in time", Cause: err}
@@ -182,10 +186,11 @@
 	return err
 }
 
-// answer has the handler answer a request. While it does, the connection is
-// read, since only that shows that the caller has left: a backend server would
-// otherwise work on for nobody, and its memory would be held.
-func (c *connection) answer(request *Request, keep bool) (bool, <-chan error) {
+// answer calls the handler for a request. It reports whether the connection can be used
+// for another request. While the handler runs, the connection is read, since only a read
+// detects that the caller has disconnected: a backend server would otherwise continue to
+// work on a cancelled request and hold its memory.
+func (c *connection) answer(request *Request, keepAlive bool) (bool, <-chan error) {
 	c.server.active.Add(1)
 	defer c.server.active.Add(-1)
 	defer request.held.Close()
@@ -200,26 +205,26 @@
 		}
 		waiting <- err
 	}()
-	a := &Answer{conn: c.conn, keep: keep, head: request.Method == http.MethodHead, closing: &c.server.closing}
+	a := &Answer{conn: c.conn, keepAlive: keepAlive, headOnly: request.Method == http.MethodHead, closing: &c.server.closing}
 	c.server.config.Handler(ctx, request, a)
 	return a.finish(), waiting
 }
 
-// lingerFor bounds how long the rest of a refused request is read: a close with
-// unread bytes resets the connection, and the refusal could be lost with it.
-const lingerFor = 200 * time.Millisecond
+// lingerTimeout bounds how long the rest of a refused request is read. Closing a
+// connection with unread bytes resets it, and the refusal could be lost.
+const lingerTimeout = 200 * time.Millisecond
 
-// retryHeld is when a caller may come back whose body there was no room for: bodies are
-// sent and answered within a few seconds.
-const retryHeld = time.Second
+// memoryRetryAfter is the retry delay of a request for whose body there is no memory:
+// bodies are sent and answered within a few seconds.
+const memoryRetryAfter = time.Second
 
-// refusal tells how a request that was not read is answered. After a connection that simply
-// ended there is nobody to answer, and the status is zero.
-func refusal(err error) Refusal {
+// refusalOf returns how a request that was not read is answered. The status is zero if the
+// connection ended, since there is no caller to answer.
+func refusalOf(err error) Refusal {
 	if full, ok := errors.AsType[*heldbytes.FullError](err); ok {
 		return Refusal{
 			Status: http.StatusServiceUnavailable, Reason: oriolebend.ReasonMemoryShort,
-			Detail: full.Error(), RetryAfter: retryHeld,
+			Detail: full.Error(), RetryAfter: memoryRetryAfter,
 		}
 	}
 	syntax, ok := errors.AsType[*SyntaxError](err)
@@ -238,7 +243,7 @@
 
 // refuse answers a request that was not read.
 func (c *connection) refuse(err error) {
-	r := refusal(err)
+	r := refusalOf(err)
 	if r.Status == 0 {
 		return
 	}
@@ -252,19 +257,19 @@
 	if half, ok := c.conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
-	_ = c.conn.SetReadDeadline(time.Now().Add(lingerFor))
+	_ = c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, c.reader)
 }
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop holds the headers that concern one connection only.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true,
 }
 
-// EndToEnd returns the headers that concern more than one connection. Those
-// that the Connection header names are left out with it.
+// EndToEnd returns the end-to-end headers, without the hop-by-hop headers and without
+// the headers that the Connection header names.
 func EndToEnd(from http.Header) http.Header {
 	named := map[string]bool{}
 	for _, line := range from["Connection"] {
--- a/internal/http1/held_test.go
+++ b/internal/http1/held_test.go
@@ -21,9 +21,9 @@
 
 const longBody = 100 << 10
 
-// Guards against uploads that each stay within their bound and together take all memory:
-// those beyond the bound are refused before they are read, and pings never.
-func TestLongBodiesAreRefusedWithoutRoom(t *testing.T) {
+// Guards against uploads that each stay within their limit and together use up the memory:
+// bodies over the common limit are refused before they are read, and short requests never are.
+func TestLongBodiesAreRefusedWithoutMemory(t *testing.T) {
 	is := is.New(t)
 	account := heldbytes.New(heldbytes.Config{Limit: 2 * longBody})
 	var refused atomic.Pointer[Refusal]
@@ -62,13 +62,13 @@
 	answer, err = http.ReadResponse(slow, nil)
 	is.NoErr(err)
 	is.Equal(answer.StatusCode, http.StatusOK)
-	for began := time.Now(); account.Held(heldbytes.Request) != 0; time.Sleep(time.Millisecond) {
-		is.True(time.Since(began) < 5*time.Second) // bytes stay held
+	for start := time.Now(); account.Held(heldbytes.Request) != 0; time.Sleep(time.Millisecond) {
+		is.True(time.Since(start) < 5*time.Second) // bytes stay held
 	}
 }
 
-// Guards against an upload that never ends and keeps its memory.
-func TestUnendedBodyGivesItsMemoryBack(t *testing.T) {
+// Guards against an upload that never ends and whose memory stays held.
+func TestUnendedBodyReleasesItsMemory(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 100000", "Transfer-Encoding: chunked"} {
 		t.Run(framing, func(t *testing.T) {
 			is := is.New(t)
@@ -86,39 +86,39 @@
 	}
 }
 
-// parts is a body in parts; one that ends with an error is not whole.
+// parts is a body in parts; it is incomplete if end is not io.EOF.
 type parts struct {
 	length int64
-	left   []string
+	parts  []string
 	end    error
 }
 
 func (p *parts) Length() int64 { return p.length }
 
 func (p *parts) Next() ([]byte, error) {
-	if len(p.left) == 0 {
+	if len(p.parts) == 0 {
 		return nil, p.end
 	}
-	part := p.left[0]
-	p.left = p.left[1:]
+	part := p.parts[0]
+	p.parts = p.parts[1:]
 	return []byte(part), nil
 }
 
-// Guards against an answer that is passed on as it comes, ends early and looks whole.
+// Guards against an answer that is forwarded part by part, ends early and looks complete.
 func TestAnswerInParts(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		body   parts
 		status int
 		text   string
-		cut    bool
+		broken bool
 	}{
-		{name: "known length", body: parts{length: 8, left: []string{"half", "half"}, end: io.EOF}, status: 200, text: "halfhalf"},
-		{name: "unknown length", body: parts{length: -1, left: []string{"half", "half"}, end: io.EOF}, status: 200, text: "halfhalf"},
-		{name: "one part", body: parts{length: 4, left: []string{"half"}, end: io.EOF}, status: 200, text: "half"},
+		{name: "known length", body: parts{length: 8, parts: []string{"half", "half"}, end: io.EOF}, status: 200, text: "halfhalf"},
+		{name: "unknown length", body: parts{length: -1, parts: []string{"half", "half"}, end: io.EOF}, status: 200, text: "halfhalf"},
+		{name: "one part", body: parts{length: 4, parts: []string{"half"}, end: io.EOF}, status: 200, text: "half"},
 		{name: "nothing", body: parts{length: 0, end: io.EOF}, status: 200},
-		{name: "broken off", body: parts{length: 8, left: []string{"half"}, end: io.ErrUnexpectedEOF}, status: 200, text: "half", cut: true},
-		{name: "broken off, unknown length", body: parts{length: -1, left: []string{"half"}, end: io.ErrUnexpectedEOF}, status: 200, text: "half", cut: true},
+		{name: "broken off", body: parts{length: 8, parts: []string{"half"}, end: io.ErrUnexpectedEOF}, status: 200, text: "half", broken: true},
+		{name: "broken off, unknown length", body: parts{length: -1, parts: []string{"half"}, end: io.ErrUnexpectedEOF}, status: 200, text: "half", broken: true},
 		{name: "broken off at once", body: parts{length: 8, end: io.ErrUnexpectedEOF}, status: 502},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -135,15 +135,15 @@
 			is.NoErr(err)
 			is.Equal(answer.StatusCode, test.status)
 			text, err := io.ReadAll(answer.Body)
-			is.Equal(err != nil, test.cut)
+			is.Equal(err != nil, test.broken)
 			is.True(strings.HasPrefix(test.text, string(text)))
-			is.True(test.cut || string(text) == test.text)
+			is.True(test.broken || string(text) == test.text)
 		})
 	}
 }
 
-// Guards against idle connections that shut all other callers out.
-func TestNewConnectionTakesThePlaceOfAnIdleOne(t *testing.T) {
+// Guards against idle connections that keep out all other callers.
+func TestNewConnectionReplacesAnIdleOne(t *testing.T) {
 	is := is.New(t)
 	s, dial := startServer(t, Config{Handler: echo, MaxConnections: 3})
 	oldest := dial()
@@ -157,6 +157,6 @@
 		is.Equal(answer.StatusCode, http.StatusOK)
 	}
 	_, err := oldest.Read(make([]byte, 1))
-	is.True(errors.Is(err, io.EOF)) // it was closed properly
+	is.True(errors.Is(err, io.EOF)) // the server closed the connection without a reset
 	is.True(s.Connections() <= 3)
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -1,9 +1,9 @@
-// Package http1 serves callers of routes over HTTP/1.1. It keeps in its own
-// hands what net/http's server hides and what routed requests depend on: a
-// request that two parsers could read differently is refused, the end of a
-// caller's connection cancels its request at once, a connection is closed only
-// between requests, and an answer that ends early can't look whole. The syntax
-// itself is read by net/http.
+// Package http1 serves callers of routes over HTTP/1.1. It does not use net/http's
+// server, because routed requests depend on properties which that server hides: a
+// request that two parsers could read differently is refused, the end of a caller's
+// connection cancels its request at once, a connection is closed only between
+// requests, and an answer that ends early can't look complete. It parses messages
+// with net/http.
 package http1
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/oriolebend/oriolebend/internal/heldbytes"
 )
 
-// Request is one whole request of a caller.
+// Request is one complete request of a caller.
 type Request struct {
 	Method string
 	// Target is the path and query as they were sent.
@@ -28,20 +28,21 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Received is when its first line had been read.
+	// Received is when the header had been read.
 	Received time.Time
 
-	// held is the memory that the body takes.
+	// held accounts for the memory of the body.
 	held *heldbytes.Holding
 }
 
-// Path is the target without its query.
+// Path returns the target without its query.
 func (r *Request) Path() string {
 	path, _, _ := strings.Cut(r.Target, "?")
 	return path
 }
 
-// SyntaxError is a request that can't be read, and the status that tells so.
+// SyntaxError is the error of a request that can't be read, and the status with which
+// it is answered.
 type SyntaxError struct {
 	Status int
 	Detail string
@@ -56,7 +57,7 @@
 	return "http1: " + e.Detail
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *SyntaxError) Unwrap() error { return e.Cause }
 
 func malformed(detail string, cause error) error {
@@ -68,17 +69,19 @@
 	request *http.Request
 	target  string
 	length  int64 // -1 for chunks
-	expects bool  // the caller waits to be asked for the body
+	// expectsContinue is true if the caller waits for 100 Continue before it sends the
+	// body.
+	expectsContinue bool
 }
 
-// readHead reads up to the empty line behind the header.
-func readHead(r *bufio.Reader, most int) ([]byte, error) {
+// readHead reads up to the empty line after the header.
+func readHead(r *bufio.Reader, limit int) ([]byte, error) {
 	var raw []byte
 	for {
 		line, err := r.ReadSlice('\n')
 		raw = append(raw, line...)
-		if len(raw) > most {
-			return nil, &SyntaxError{Status: http.StatusRequestHeaderFieldsTooLarge, Detail: fmt.Sprintf("header over %d bytes", most)}
+		if len(raw) > limit {
+			return nil, &SyntaxError{Status: http.StatusRequestHeaderFieldsTooLarge, Detail: fmt.Sprintf("header over %d bytes", limit)}
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
@@ -87,7 +90,7 @@
 			return raw, err
 		}
 		if len(raw) == len(line) && len(bytes.TrimRight(line, "\r\n")) == 0 {
-			raw = raw[:0] // empty lines before a request are passed over
+			raw = raw[:0] // empty lines before a request are skipped
 			continue
 		}
 		if bytes.HasSuffix(raw, []byte("\n\r\n")) || bytes.HasSuffix(raw, []byte("\n\n")) {
@@ -96,12 +99,12 @@
 	}
 }
 
-// parseHead reads a header strictly.
+// parseHead parses a header strictly.
 //
-// A request that gives its length in two ways is read differently by different
-// parsers: bytes that one takes for the body are the next request to another,
-// and a backend server would run a request that no caller sent. Such requests
-// are refused and their connection is closed.
+// A request that gives its length in two ways allows request smuggling: bytes that
+// one parser reads as the body are the next request for another parser, and a backend
+// server would run a request that no caller sent. Such requests are refused and their
+// connection is closed.
 func parseHead(raw []byte) (head, error) {
 	if err := checkLines(raw); err != nil {
 		return head{}, err
@@ -119,11 +122,11 @@
 	if len(request.TransferEncoding) > 0 {
 		h.length = -1
 	}
-	h.expects = strings.EqualFold(request.Header.Get("Expect"), "100-continue")
+	h.expectsContinue = strings.EqualFold(request.Header.Get("Expect"), "100-continue")
 	return h, nil
 }
 
-// checkLines refuses what net/http would repair in silence.
+// checkLines refuses header lines that net/http would repair silently.
 func checkLines(raw []byte) error {
 	lines := bytes.Split(raw, []byte("\n"))
 	lengths, codings, hosts := 0, 0, 0
@@ -163,31 +166,31 @@
 	return nil
 }
 
-// readBody reads the whole body.
-func readBody(r *bufio.Reader, h head, most int64, held *heldbytes.Holding) ([]byte, error) {
-	if h.length > most {
-		return nil, tooLarge(most)
+// readBody reads the complete body.
+func readBody(r *bufio.Reader, h head, limit int64, held *heldbytes.Holding) ([]byte, error) {
+	if h.length > limit {
+		return nil, tooLarge(limit)
 	}
 	if h.length >= 0 {
 		return held.Read(r, h.length)
 	}
-	body, err := held.Read(io.LimitReader(httputil.NewChunkedReader(r), most+1), -1)
+	body, err := held.Read(io.LimitReader(httputil.NewChunkedReader(r), limit+1), -1)
 	if err != nil {
 		if _, full := errors.AsType[*heldbytes.FullError](err); full || errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil, err
 		}
 		return nil, malformed("chunks", err)
 	}
-	if int64(len(body)) > most {
-		return nil, tooLarge(most)
+	if int64(len(body)) > limit {
+		return nil, tooLarge(limit)
 	}
 	return body, readTrailer(r)
 }
 
-// maxTrailerBytes bounds the lines behind the last chunk.
+// maxTrailerBytes bounds the lines after the last chunk.
 const maxTrailerBytes = 4 << 10
 
-// readTrailer passes over the lines behind the last chunk.
+// readTrailer reads and discards the lines after the last chunk.
 func readTrailer(r *bufio.Reader) error {
 	read := 0
 	for {
@@ -205,6 +208,6 @@
 	}
 }
 
-func tooLarge(most int64) error {
-	return &SyntaxError{Status: http.StatusRequestEntityTooLarge, Detail: fmt.Sprintf("body over %d bytes", most)}
+func tooLarge(limit int64) error {
+	return &SyntaxError{Status: http.StatusRequestEntityTooLarge, Detail: fmt.Sprintf("body over %d bytes", limit)}
 }
--- a/internal/http1/script_test.go
+++ b/internal/http1/script_test.go
@@ -15,12 +15,12 @@
 	"github.com/matryer/is"
 )
 
-// echo answers with what it was asked; /stream/N with N parts, and /cut with a
-// stream that is not ended.
+// echo answers with the request as it was read, /stream/N with a stream of N parts, and
+// /incomplete with a stream that is not ended.
 func echo(_ context.Context, r *Request, a *Answer) {
 	parts := 0
 	switch {
-	case r.Path() == "/cut":
+	case r.Path() == "/incomplete":
 		a.Begin(http.StatusOK, http.Header{})
 		a.Write([]byte("half"))
 		return
@@ -53,10 +53,10 @@
 	}
 }
 
-// TestScripts sends the raw input of each block "send" on a connection of its
-// own and prints all that comes back until the server closes it. Lines end with
-// CR LF; a line "." is an empty one, and an input that ends with "+" leaves its
-// last line open.
+// TestScripts sends the input of each command "send" on a connection of its own and
+// prints the bytes that it receives until the server closes the connection. Lines end
+// with CR LF; a line "." stands for an empty line, and a "+" at the end of the input
+// leaves out the end of the last line.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		limits := Limits{MaxHeaderBytes: 400, MaxBodyBytes: 20, HeaderTimeout: 200 * time.Millisecond, IdleTimeout: 200 * time.Millisecond}
@@ -77,7 +77,7 @@
 }
 
 func raw(input string) string {
-	input, open := strings.CutSuffix(input, "+")
+	input, unterminated := strings.CutSuffix(input, "+")
 	lines := strings.Split(input, "\n")
 	for i, line := range lines {
 		if line == "." {
@@ -85,16 +85,16 @@
 		}
 	}
 	text := strings.Join(lines, "\r\n")
-	if open {
+	if unterminated {
 		return text
 	}
 	return text + "\r\n"
 }
 
-// Symptom: engines work on for callers that have left. Sequence: a caller closes
-// its connection while its request is in progress. Cause: a server that does not
-// read from the connection until the answer is sent.
-func TestCallerLeaves(t *testing.T) {
+// Guards against an engine that continues to work after its caller has closed the
+// connection, because the server does not read from the connection until the answer is
+// sent.
+func TestCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	cause := make(chan error, 1)
 	_, dial := startServer(t, Config{Handler: func(ctx context.Context, _ *Request, a *Answer) {
@@ -107,14 +107,14 @@
 	is.NoErr(err)
 	time.Sleep(50 * time.Millisecond)
 	is.NoErr(conn.Close())
-	var left *CallerLeftError
-	is.True(errors.As(<-cause, &left))
+	var disconnected *CallerLeftError
+	is.True(errors.As(<-cause, &disconnected))
 }
 
-// Symptom: requests are lost when the process stops. Sequence: a stop while one
-// connection is in the middle of a request and another lies idle. Cause: a
-// connection that is closed in the middle, or a process that waits for idle ones.
-func TestStopEndsBetweenRequests(t *testing.T) {
+// Guards against requests that are lost when the process stops: one connection is in the
+// middle of a request and another is idle, and the server closes the busy connection or
+// waits for the idle one.
+func TestStopClosesBetweenRequests(t *testing.T) {
 	is := is.New(t)
 	begun, release := make(chan struct{}), make(chan struct{})
 	s, dial := startServer(t, Config{Handler: func(_ context.Context, r *Request, a *Answer) {
@@ -130,9 +130,9 @@
 	head := make([]byte, 5)
 	_, err = io.ReadFull(idle, head)
 	is.NoErr(err)
-	// The caller has the answer a moment before the server counts it as given.
-	for began := time.Now(); s.Active() != 0; time.Sleep(time.Millisecond) {
-		is.True(time.Since(began) < 10*time.Second) // the answered request is still counted
+	// The caller receives the answer a moment before the server counts it as sent.
+	for start := time.Now(); s.Active() != 0; time.Sleep(time.Millisecond) {
+		is.True(time.Since(start) < 10*time.Second) // the answered request is still counted
 	}
 	_, err = io.WriteString(busy, "GET /slow HTTP/1.1\r\nHost: h\r\n\r\n")
 	is.NoErr(err)
@@ -144,7 +144,7 @@
 		close(stopped)
 	}()
 	_, err = io.ReadAll(idle)
-	is.NoErr(err) // the idle connection ends properly
+	is.NoErr(err) // the idle connection is closed without a reset
 	close(release)
 	answer, err := io.ReadAll(busy)
 	is.NoErr(err)
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -19,14 +19,14 @@
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// HeaderTimeout is the time from the first byte of a request to the end of
-	// its header, and again to the end of its body.
+	// HeaderTimeout bounds the time from the first byte of a request to the end of its
+	// header, and the time from there to the end of its body.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may lie between two requests.
+	// IdleTimeout is how long a connection may be idle between two requests.
 	IdleTimeout time.Duration
 }
 
-// DefaultLimits hold where Limits gives zero.
+// DefaultLimits holds the limits that replace zero values in Limits.
 var DefaultLimits = Limits{
 	MaxHeaderBytes: 16 << 10,
 	MaxBodyBytes:   4 << 20,
@@ -34,7 +34,7 @@
 	IdleTimeout:    30 * time.Second,
 }
 
-// Or fills zero bounds from the default.
+// Or returns l with its zero values replaced by those of d.
 func (l Limits) Or(d Limits) Limits {
 	return Limits{
 		MaxHeaderBytes: cmp.Or(l.MaxHeaderBytes, d.MaxHeaderBytes),
@@ -44,48 +44,51 @@
 	}
 }
 
-// Handler answers one request. It must answer through a before it returns; ctx
-// ends when the caller leaves.
+// Handler answers one request. It must write the answer to a before it returns; ctx is
+// cancelled when the caller disconnects.
 type Handler func(ctx context.Context, r *Request, a *Answer)
 
-// Config sets up a Server. Handler is required.
+// Config configures a Server. Handler is required.
 type Config struct {
 	Handler Handler
-	// Limits returns the bounds in force; nil means DefaultLimits.
+	// Limits returns the limits in force; nil means DefaultLimits.
 	Limits func() Limits
 	Logger *slog.Logger
-	// Refused is told of requests that were not read; nil is told nothing.
+	// Refused is called for each request that was refused before it was read; it may be
+	// nil.
 	Refused func(Refusal)
-	// MaxConnections bounds open connections; zero means 3,000, under the
-	// 4,096 descriptors that small VMs allow. Beyond it a new connection takes the place of
-	// the one that has lain idle for longest.
+	// MaxConnections bounds open connections; zero means 3,000, which is under the
+	// 4,096 descriptors that small VMs allow. At the limit, the connection that has been
+	// idle for longest is closed for a new one.
 	MaxConnections int
-	// Held counts the bodies of requests; nil counts nothing.
+	// Held accounts for the bodies of requests; nil accounts for none.
 	Held *heldbytes.Account
 }
 
-// Refusal tells how a request that was not read was answered.
+// Refusal describes the answer to a request that was not read.
 type Refusal struct {
 	Status int
 	Reason oriolebend.Reason
 	Detail string
-	// RetryAfter is when the caller may come back, zero if that will not help it.
+	// RetryAfter is the delay after which the caller may retry, zero if a retry does not
+	// help.
 	RetryAfter time.Duration
 }
 
 const defaultMaxConnections = 3000
 
-// socketBytes is what the kernel keeps of a connection for a peer that does not send or read
-// on. Left to itself it keeps megabytes, which count as memory of the VM.
-const socketBytes = 64 << 10
+// socketBufferBytes is the size of the kernel's receive buffer and of its send buffer for a
+// connection. By default they grow to megabytes for a peer that stops sending or reading, and
+// count as memory of the VM.
+const socketBufferBytes = 64 << 10
 
-// Listen opens a port for callers whose connections take little memory of the kernel.
+// Listen listens on an address for callers. Their connections have small kernel buffers.
 func Listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			// A kernel that refuses keeps its own bounds.
-			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, socketBytes)
-			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, socketBytes)
+			// If the kernel refuses the sizes, its own limits hold.
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, socketBufferBytes)
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, socketBufferBytes)
 		})
 	}}
 	return config.Listen(context.Background(), "tcp", address)
@@ -102,15 +105,16 @@
 	mutex       sync.Mutex
 	connections map[*connection]struct{}
 	active      atomic.Int64
-	// closing is set while the server stops: each answer announces the end of
-	// its connection.
+	// closing is true once the server drains: each answer then announces the end of its
+	// connection.
 	closing atomic.Bool
-	// stopping is set once idle connections are closed.
+	// stopping is true once the server stops: connections are then closed when they
+	// become idle.
 	stopping atomic.Bool
 	done     sync.WaitGroup
 }
 
-// Serve begins to accept connections of a listener.
+// Serve starts a server that accepts the connections of a listener.
 func Serve(listener net.Listener, c Config) *Server {
 	if c.Limits == nil {
 		c.Limits = func() Limits { return DefaultLimits }
@@ -128,9 +132,9 @@
 	return s
 }
 
-// acceptPause is the pause after a failed accept, such as one for lack of
-// descriptors: trying again at once would take the whole processor.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept, such as one for lack of
+// descriptors: retrying at once would use a whole processor.
+const acceptRetryDelay = 20 * time.Millisecond
 
 func (s *Server) accept() {
 	for {
@@ -139,12 +143,12 @@
 			return
 		}
 		if err != nil {
-			s.config.Logger.Warn("a connection was not accepted", "error", err)
-			time.Sleep(acceptPause)
+			s.config.Logger.Warn("accepting a connection failed", "error", err)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		c := newConnection(s, conn)
-		if !s.keep(c) {
+		if !s.register(c) {
 			_ = conn.Close()
 			continue
 		}
@@ -152,8 +156,9 @@
 	}
 }
 
-// keep notes a new connection; false means that there is no room for it.
-func (s *Server) keep(c *connection) bool {
+// register adds a new connection; it returns false if the server is closed, or if
+// MaxConnections are open and none of them can be closed.
+func (s *Server) register(c *connection) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.ctx.Err() != nil || (len(s.connections) >= s.config.MaxConnections && !s.closeLongestIdle()) {
@@ -163,16 +168,16 @@
 	return true
 }
 
-// closeLongestIdle makes room for a connection; false means that all are at work. The mutex
-// is held.
+// closeLongestIdle closes the connection that has been idle for longest; it returns false if
+// no connection could be closed. The caller must hold the mutex.
 //
-// Callers that open connections and leave them idle would otherwise shut all others out.
+// Without it, callers that open connections and leave them idle would keep out all others.
 func (s *Server) closeLongestIdle() bool {
 	var longest *connection
-	var most time.Duration
+	var longestIdle time.Duration
 	for c := range s.connections {
-		if idle := c.idle(); idle > most {
-			longest, most = c, idle
+		if idle := c.idleFor(); idle > longestIdle {
+			longest, longestIdle = c, idle
 		}
 	}
 	if longest == nil || !longest.closeIdle() {
@@ -182,34 +187,34 @@
 	return true
 }
 
-func (s *Server) forget(c *connection) {
+func (s *Server) unregister(c *connection) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.connections, c)
 }
 
-// Active is how many requests have been read and not answered.
+// Active returns the number of requests that were read and are not yet answered.
 func (s *Server) Active() int { return int(s.active.Load()) }
 
-// Connections is how many connections are open.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.connections)
 }
 
-// Address is where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Drain has each further answer announce the end of its connection. Requests
-// are still taken, on old and new connections.
+// Drain makes each further answer announce the end of its connection. Requests are
+// still accepted, on old and new connections.
 func (s *Server) Drain() { s.closing.Store(true) }
 
-// Stop takes no more connections, closes those that lie idle, and returns once
-// the requests in progress are answered or ctx ends; what is left is then cut.
+// Stop accepts no more connections, closes idle ones, and returns once the requests in
+// progress are answered. If ctx ends first, it closes all connections.
 //
-// An idle connection is closed without reading from it: a request that crosses
-// the close has then provably not been read, and its caller may send it again.
+// An idle connection is closed without reading from it. A request that arrives at the
+// same time has then certainly not been read, and its caller may send it again.
 func (s *Server) Stop(ctx context.Context) {
 	s.Drain()
 	s.stopping.Store(true)
@@ -219,20 +224,20 @@
 		c.closeIdle()
 	}
 	s.mutex.Unlock()
-	ended := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
 		s.done.Wait()
-		close(ended)
+		close(finished)
 	}()
 	select {
-	case <-ended:
+	case <-finished:
 	case <-ctx.Done():
 		s.Close()
 	}
 	s.cancel()
 }
 
-// Close cuts all connections.
+// Close closes all connections, also those with requests in progress.
 func (s *Server) Close() {
 	s.cancel()
 	_ = s.listener.Close()
