--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,16 +1,16 @@
-// Package identity finds who holds a key.
+// Package identity looks up the owners of keys.
 package identity
 
 import "github.com/oriolebend/oriolebend/pkg/oriolebend"
 
-// Keys knows the owners of keys by the digests of these. It is never changed once it is
-// filled, so that goroutines share it without locks.
+// Keys maps the digests of keys to the owners of the keys. It is not changed after it has
+// been filled, so that goroutines can share it without locks.
 //
-// A key is looked up by its digest: how long that takes does not tell how much of a
-// guessed key is right, since nobody can choose a guess by a part of its digest.
+// The lookup by digest prevents timing attacks: its duration does not show how much of a
+// guessed key is correct, since an attacker can't choose a guess by a part of its digest.
 type Keys[T any] map[oriolebend.KeyDigest]T
 
-// Owner is who holds a key; false means nobody.
+// Owner returns the owner of a key; it returns false if the key has none or is empty.
 func (k Keys[T]) Owner(key string) (T, bool) {
 	if key == "" {
 		var none T
@@ -20,5 +20,5 @@
 	return owner, found
 }
 
-// Add gives an owner a key.
+// Add adds a key of an owner.
 func (k Keys[T]) Add(key string, owner T) { k[oriolebend.DigestKey(key)] = owner }
--- a/internal/service/header.go
+++ b/internal/service/header.go
@@ -2,9 +2,9 @@
 
 import "net/http"
 
-// hopHeaders belong to one connection or to the router itself and are not
-// passed on, in either direction. It is read and never changed.
-var hopHeaders = map[string]bool{
+// unforwardedHeaders holds the headers that concern one connection or the router
+// itself. They are forwarded in neither direction. The map is never changed.
+var unforwardedHeaders = map[string]bool{
 	"Authorization":       true,
 	"Connection":          true,
 	"Content-Length":      true,
@@ -21,18 +21,18 @@
 	"Upgrade":             true,
 }
 
-// passes reports whether a header goes through the router.
-func passes(name string) bool {
-	return !hopHeaders[http.CanonicalHeaderKey(name)]
+// forwards reports whether a header is forwarded.
+func forwards(name string) bool {
+	return !unforwardedHeaders[http.CanonicalHeaderKey(name)]
 }
 
-// passing returns the first values of the headers that pass.
-func passing(h http.Header) map[string]string {
-	passed := make(map[string]string, len(h))
+// forwardedHeaders returns the first values of the headers that are forwarded.
+func forwardedHeaders(h http.Header) map[string]string {
+	forwarded := make(map[string]string, len(h))
 	for name, values := range h {
-		if passes(name) && len(values) > 0 {
-			passed[name] = values[0]
+		if forwards(name) && len(values) > 0 {
+			forwarded[name] = values[0]
 		}
 	}
-	return passed
+	return forwarded
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service speaks to plain services: HTTP servers that stand beside
-// the model engines and some of whose calls may not be repeated.
+// Package service calls plain services: HTTP servers that run beside the model
+// engines. Some of their calls may not be repeated.
 package service
 
 import (
@@ -11,16 +11,16 @@
 
 // Service is one plain service. Errors are *Error values.
 type Service interface {
-	// Call runs one call. If the error's Ran is "no", the call certainly did
-	// not reach the service; else it may have run. An answer of the service
-	// is no error, whatever its status.
+	// Call runs one call. If Ran of the error is "no", the call certainly did not
+	// reach the service; otherwise it may have run. An answer of the service is not
+	// an error, whatever its status.
 	Call(ctx context.Context, c message.Call) (message.CallAnswer, error)
-	// Status asks for the outcome of an earlier call by its identity. It never
-	// runs the call.
+	// Status queries the outcome of an earlier call by its identity. It never runs
+	// the call.
 	Status(ctx context.Context, q message.StatusQuery) (message.CallAnswer, error)
 }
 
-// Error is a call of a plain service that brought no whole answer.
+// Error is the error of a call that gave no complete answer.
 type Error struct {
 	Reason oriolebend.Reason
 	// Ran is "no" only if nothing of the call reached the service.
@@ -41,5 +41,5 @@
 	return text
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
