--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -111,13 +111,13 @@
 	if !errors.As(err, &e) || ctx.Err() == nil {
 		return err
 	}
-	e.Reason = ReasonOfEnd(ctx)
+	e.Reason = ContextReason(ctx)
 	return e
 }
 
-// ReasonOfEnd returns the reason for which the context of a request ended: its
+// ContextReason returns the reason for which the context of a request ended: its
 // deadline, or a caller that cancelled.
-func ReasonOfEnd(ctx context.Context) oriolebend.Reason {
+func ContextReason(ctx context.Context) oriolebend.Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return oriolebend.ReasonDeadline
 	}
--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -253,7 +253,7 @@
 // giveUpOnContext ends a request whose deadline has passed or whose caller has disconnected.
 func (w *work) giveUpOnContext(ctx context.Context) {
 	w.recordRan(oriolebend.RanUnknown)
-	w.giveUp(ctx, backend.ReasonOfEnd(ctx), 0)
+	w.giveUp(ctx, backend.ContextReason(ctx), 0)
 }
 
 // answerFailed answers a request that no server answered with success.
@@ -267,7 +267,7 @@
 		reason = cmp.Or(w.declined, oriolebend.ReasonQueueFull)
 	}
 	if ctx.Err() != nil {
-		reason = backend.ReasonOfEnd(ctx)
+		reason = backend.ContextReason(ctx)
 	}
 	w.giveUpWithRetry(ctx, reason)
 }
--- a/internal/forwarder/permit.go
+++ b/internal/forwarder/permit.go
@@ -163,7 +163,7 @@
 		need.Excluded = append(need.Excluded, grant.Server.Instance)
 		need.Waited = true // the request was counted at the first try
 		if ctx.Err() != nil {
-			return grant, &refusal{reason: backend.ReasonOfEnd(ctx)}
+			return grant, &refusal{reason: backend.ContextReason(ctx)}
 		}
 	}
 }
--- a/internal/forwarder/placement.go
+++ b/internal/forwarder/placement.go
@@ -121,7 +121,7 @@
 			if g, ok := effect.(dispatch.Granted); asked && ok {
 				w.f.releasePlacement(g.Grant, dispatch.OutcomeCancelled)
 			}
-			return dispatch.Grant{}, &refusal{reason: backend.ReasonOfEnd(ctx)}, true
+			return dispatch.Grant{}, &refusal{reason: backend.ContextReason(ctx)}, true
 		}
 		if !asked {
 			return dispatch.Grant{}, nil, false
--- a/internal/forwarder/reserve.go
+++ b/internal/forwarder/reserve.go
@@ -50,7 +50,7 @@
 			return s, nil
 		}
 		if ctx.Err() != nil {
-			return nil, &refusal{reason: backend.ReasonOfEnd(ctx)}
+			return nil, &refusal{reason: backend.ContextReason(ctx)}
 		}
 	}
 }
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -86,7 +86,7 @@
 	source, err := s.prefill(ctx)
 	s.prefilled = time.Since(s.request.Received)
 	if err != nil && ctx.Err() != nil {
-		return s.abandon(nil, streamResult{reason: backend.ReasonOfEnd(ctx)})
+		return s.abandon(nil, streamResult{reason: backend.ContextReason(ctx)})
 	}
 	if left, held := s.f.config.Quarantine.Held(s.fingerprint); held {
 		return s.abandon(source, streamResult{reason: oriolebend.ReasonCrashesServers, retryAfter: left, unsent: true})
