--- a/internal/backend/body.go
+++ b/internal/backend/body.go
@@ -57,7 +57,7 @@
 		if err != nil {
 			b.Release()
 			r.Close()
-			return nil, r.Lost("read the body", err)
+			return nil, r.BodyError("read the body", err)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 			return nil, io.EOF
 		}
 		if err != nil {
-			return nil, b.rest.Lost("read the body", err)
+			return nil, b.rest.BodyError("read the body", err)
 		}
 	}
 }
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -327,12 +327,12 @@
 	}
 	if err != nil {
 		r.Close()
-		return nil, r.Lost("read the body", err)
+		return nil, r.BodyError("read the body", err)
 	}
 	return body, nil
 }
 
-// Lost returns the error of an answer whose body can't be read to its end.
-func (r *Response) Lost(detail string, cause error) error {
+// BodyError returns the error of an answer whose body can't be read to its end.
+func (r *Response) BodyError(detail string, cause error) error {
 	return withContextReason(r.exchange.ctx, r.exchange.outcomeLost(oriolebend.RanUnknown, detail, cause))
 }
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -247,7 +247,7 @@
 		return streamResult{done: true}
 	}
 	s.recordRan(oriolebend.RanUnknown)
-	failed := response.Lost("read the stream", err)
+	failed := response.BodyError("read the stream", err)
 	reason, outcome := reasonOf(failed), dispatch.OutcomeCancelled
 	if reason == oriolebend.ReasonOutcomeLost {
 		outcome = dispatch.OutcomeCut
