--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return "", err
 	}
-	body, err := response.Whole(1000)
+	body, err := response.ReadBody(1000)
 	return string(body), err
 }
 
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -319,8 +319,8 @@
 // Error implements error.
 func (e *TooLongError) Error() string { return fmt.Sprintf("answer over %d bytes", e.Limit) }
 
-// Whole reads the complete body, which may have up to limit bytes.
-func (r *Response) Whole(limit int64) ([]byte, error) {
+// ReadBody reads the complete body, which may have up to limit bytes.
+func (r *Response) ReadBody(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err == nil && int64(len(body)) > limit {
 		err = &TooLongError{Limit: limit}
--- a/internal/forwarder/notice.go
+++ b/internal/forwarder/notice.go
@@ -116,7 +116,7 @@
 		return 0, nil, err
 	}
 	f.applyNotice(began, server, response, false)
-	body, err := response.Whole(maxSmallBytes)
+	body, err := response.ReadBody(maxSmallBytes)
 	return response.Status, body, err
 }
 
--- a/internal/forwarder/reserve.go
+++ b/internal/forwarder/reserve.go
@@ -178,7 +178,7 @@
 	if err != nil {
 		return PrefillResult{}, err
 	}
-	body, err := response.Whole(maxSmallBytes)
+	body, err := response.ReadBody(maxSmallBytes)
 	if err != nil {
 		return PrefillResult{}, err
 	}
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -148,7 +148,7 @@
 // computes it itself. The prefill result has expired or its engine has exited, and the placement at
 // this server is still available.
 func (s *streamSend) retryDecode(ctx context.Context, response *backend.Response) streamResult {
-	if _, err := response.Whole(maxSmallBytes); err != nil {
+	if _, err := response.ReadBody(maxSmallBytes); err != nil {
 		response.Close()
 	}
 	s.f.config.Observer.Count("retry", oriolebend.ReasonResultExpired, "")
@@ -159,7 +159,7 @@
 
 // handleNonStream handles an answer that is not the expected stream.
 func (s *streamSend) handleNonStream(ctx context.Context, response *backend.Response, verdict Verdict) streamResult {
-	body, err := response.Whole(maxSmallBytes)
+	body, err := response.ReadBody(maxSmallBytes)
 	r := result{
 		grant: s.grant, status: response.Status, header: response.Header, body: (*http1.Bytes)(&body),
 		verdict: verdict, declined: s.f.declineReason(s.grant.Server, verdict), err: err,
