--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -235,7 +235,7 @@
 		w.handleCutAnswer(ctx, r, err)
 		return
 	}
-	if !w.answer.Reached() {
+	if !w.answer.WritesSucceeded() {
 		w.f.config.Observer.Count("givenUp", oriolebend.ReasonCallerCancelled, "")
 	}
 	w.log(r.status, "", oriolebend.RanYes)
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// Reached reports whether all writes to the caller's connection succeeded so far.
-func (a *Answer) Reached() bool { return !a.failed }
+// WritesSucceeded reports whether all writes to the caller's connection succeeded so far.
+func (a *Answer) WritesSucceeded() bool { return !a.failed }
 
 // Begin sends the head of an answer whose length is not known.
 func (a *Answer) Begin(status int, header http.Header) bool {
