--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -231,7 +231,7 @@
 	if r.succeeded() {
 		w.f.config.Quarantine.Answered(w.fingerprint)
 	}
-	if err := w.answer.From(r.status, r.header, r.body); err != nil {
+	if err := w.answer.SendBody(r.status, r.header, r.body); err != nil {
 		w.handleCutAnswer(ctx, r, err)
 		return
 	}
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -93,9 +93,9 @@
 	return !a.failed
 }
 
-// From sends an answer part by part. It returns an error of the body only; Reached
+// SendBody sends an answer part by part. It returns an error of the body only; Reached
 // reports an error of the caller's connection.
-func (a *Answer) From(status int, header http.Header, body Body) error {
+func (a *Answer) SendBody(status int, header http.Header, body Body) error {
 	first, err := body.Next()
 	if err != nil && !errors.Is(err, io.EOF) {
 		return err
--- a/internal/http1/held_test.go
+++ b/internal/http1/held_test.go
@@ -124,7 +124,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			_, dial := startServer(t, Config{Handler: func(_ context.Context, _ *Request, a *Answer) {
-				if err := a.From(http.StatusOK, http.Header{}, &test.body); err != nil && !a.Begun() {
+				if err := a.SendBody(http.StatusOK, http.Header{}, &test.body); err != nil && !a.Begun() {
 					a.Whole(http.StatusBadGateway, http.Header{}, nil)
 				}
 			}})
