--- a/internal/forwarder/work.go
+++ b/internal/forwarder/work.go
@@ -229,7 +229,7 @@
 	if err != nil {
 		body = nil // a struct of two strings always encodes
 	}
-	w.answer.Whole(status, header, body)
+	w.answer.SendBytes(status, header, body)
 	w.log(status, reason, ran)
 }
 
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -64,8 +64,8 @@
 // Begun reports whether a part of the answer may have been sent to the caller.
 func (a *Answer) Begun() bool { return a.begun }
 
-// Whole sends a complete answer.
-func (a *Answer) Whole(status int, header http.Header, body []byte) {
+// SendBytes sends a complete answer.
+func (a *Answer) SendBytes(status int, header http.Header, body []byte) {
 	a.begun = true
 	var out bytes.Buffer
 	a.writeHead(&out, status, header)
@@ -102,7 +102,7 @@
 	}
 	length := body.Length()
 	if errors.Is(err, io.EOF) || length == int64(len(first)) {
-		a.Whole(status, header, first)
+		a.SendBytes(status, header, first)
 		return nil
 	}
 	if length < 0 {
--- a/internal/http1/connection.go
+++ b/internal/http1/connection.go
@@ -253,7 +253,7 @@
 		header.Set("Retry-After", strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	a := &Answer{conn: c.conn, closing: &c.server.closing}
-	a.Whole(r.Status, header, []byte(r.Detail+"\n"))
+	a.SendBytes(r.Status, header, []byte(r.Detail+"\n"))
 	if half, ok := c.conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
--- a/internal/http1/held_test.go
+++ b/internal/http1/held_test.go
@@ -36,7 +36,7 @@
 				close(begun)
 				<-release
 			}
-			a.Whole(http.StatusOK, http.Header{}, []byte(r.Path()))
+			a.SendBytes(http.StatusOK, http.Header{}, []byte(r.Path()))
 		},
 	})
 	send := func(path string, length int) (net.Conn, *bufio.Reader) {
@@ -125,7 +125,7 @@
 			is := is.New(t)
 			_, dial := startServer(t, Config{Handler: func(_ context.Context, _ *Request, a *Answer) {
 				if err := a.SendBody(http.StatusOK, http.Header{}, &test.body); err != nil && !a.Begun() {
-					a.Whole(http.StatusBadGateway, http.Header{}, nil)
+					a.SendBytes(http.StatusBadGateway, http.Header{}, nil)
 				}
 			}})
 			conn := dial()
--- a/internal/http1/script_test.go
+++ b/internal/http1/script_test.go
@@ -34,7 +34,7 @@
 		return
 	}
 	body := fmt.Sprintf("%s %s host=%s body=%q x=%q", r.Method, r.Target, r.Host, r.Body, r.Header.Get("X"))
-	a.Whole(http.StatusOK, http.Header{"Content-Length": {"1"}, "X": {"y"}}, []byte(body))
+	a.SendBytes(http.StatusOK, http.Header{"Content-Length": {"1"}, "X": {"y"}}, []byte(body))
 }
 
 func startServer(t *testing.T, c Config) (*Server, func() net.Conn) {
@@ -100,7 +100,7 @@
 	_, dial := startServer(t, Config{Handler: func(ctx context.Context, _ *Request, a *Answer) {
 		<-ctx.Done()
 		cause <- context.Cause(ctx)
-		a.Whole(http.StatusOK, http.Header{}, nil)
+		a.SendBytes(http.StatusOK, http.Header{}, nil)
 	}})
 	conn := dial()
 	_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -122,7 +122,7 @@
 			close(begun)
 			<-release
 		}
-		a.Whole(http.StatusOK, http.Header{}, []byte("whole"))
+		a.SendBytes(http.StatusOK, http.Header{}, []byte("whole"))
 	}})
 	idle, busy := dial(), dial()
 	_, err := io.WriteString(idle, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
