--- a/internal/http1/connection.go
+++ b/internal/http1/connection.go
@@ -21,15 +21,15 @@
 // bodies are read in several steps; an idle connection holds only this buffer.
 const readerBytes = 2 << 10
 
-// CallerLeftError is the cause with which the context of a request is cancelled when
+// CallerDisconnectedError is the cause with which the context of a request is cancelled when
 // the connection of its caller ends.
-type CallerLeftError struct{ Cause error }
+type CallerDisconnectedError struct{ Cause error }
 
 // Error implements error.
-func (e *CallerLeftError) Error() string { return "caller disconnected: " + e.Cause.Error() }
+func (e *CallerDisconnectedError) Error() string { return "caller disconnected: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e *CallerLeftError) Unwrap() error { return e.Cause }
+func (e *CallerDisconnectedError) Unwrap() error { return e.Cause }
 
 // phase is the state of a connection: between requests, in a request, or closed.
 type phase string
@@ -201,7 +201,7 @@
 	go func() {
 		err := <-arrived
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			cancel(&CallerLeftError{Cause: err})
+			cancel(&CallerDisconnectedError{Cause: err})
 		}
 		waiting <- err
 	}()
--- a/internal/http1/script_test.go
+++ b/internal/http1/script_test.go
@@ -107,7 +107,7 @@
 	is.NoErr(err)
 	time.Sleep(50 * time.Millisecond)
 	is.NoErr(conn.Close())
-	var disconnected *CallerLeftError
+	var disconnected *CallerDisconnectedError
 	is.True(errors.As(<-cause, &disconnected))
 }
 
