--- a/internal/caller/answer.go
+++ b/internal/caller/answer.go
@@ -49,7 +49,7 @@
 	promptTokens int
 	out          *output
 	// attached is true if the caller follows an earlier request by its ID. That request
-	// may be a call of a service, and the caller may not know it.
+	// may be a call of a service, even if the caller expects a model's output.
 	attached bool
 	// text splits the text of a stream at character boundaries.
 	text textAligner
--- a/internal/caller/record.go
+++ b/internal/caller/record.go
@@ -22,7 +22,7 @@
 	Reason oriolebend.Reason `json:"reason,omitempty"`
 	// Attempt is the number of the latest attempt.
 	Attempt uint32 `json:"attempt,omitempty"`
-	// Tokens counts the whole output of an answered model request.
+	// Tokens counts the complete output of an answered model request.
 	Tokens       int                  `json:"tokens,omitempty"`
 	FinishReason message.FinishReason `json:"finishReason,omitempty"`
 }
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -45,7 +45,7 @@
 	return part, nil
 }
 
-// Answer writes the answer to one request: with Whole or From, or with Begin, any number
+// Answer writes the answer to one request: with SendBytes or SendBody, or with Begin, any number
 // of Write, and End. If an answer is begun and not ended, its connection is reset.
 type Answer struct {
 	conn net.Conn
@@ -93,7 +93,7 @@
 	return !a.failed
 }
 
-// SendBody sends an answer part by part. It returns an error of the body only; Reached
+// SendBody sends an answer part by part. It returns an error of the body only; WritesSucceeded
 // reports an error of the caller's connection.
 func (a *Answer) SendBody(status int, header http.Header, body Body) error {
 	first, err := body.Next()
