--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -78,8 +78,8 @@
 	pool *Pool
 	conn *connection
 	ctx  context.Context
-	// unwatch stops the closing of the connection when the context ends. It is nil once
-	// the exchange has ended.
+	// unwatch cancels the function that closes the connection when the context ends. It is
+	// nil once the exchange has ended.
 	unwatch func() bool
 	// written is true if bytes of the request were written.
 	written bool
@@ -283,8 +283,8 @@
 	return n, err
 }
 
-// finish returns the connection to the pool after a complete answer. It closes the
-// connection if that can't be used again: bytes after the answer belong to no request.
+// finish returns the connection to the pool after a complete answer, or closes it if it
+// can't be reused. Bytes after the answer belong to no request and prevent the reuse.
 func (r *Response) finish() {
 	x := r.exchange
 	if x.unwatch == nil {
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -161,7 +161,7 @@
 	return a.send(out)
 }
 
-// End marks an answer that was begun as complete.
+// End ends an answer that was begun and marks it as complete.
 func (a *Answer) End() {
 	a.ended = a.send([]byte("0\r\n\r\n"))
 }
@@ -192,9 +192,9 @@
 	return !a.failed
 }
 
-// finish reports whether the connection can be used for another request. It
-// makes the close reset the connection if the answer was begun and is incomplete: a normal
-// close could be taken for the end of an answer without a length.
+// finish reports whether the connection can be used for another request. If the answer was
+// begun and is incomplete, it makes the close reset the connection: a normal close could be
+// taken for the end of an answer without a length.
 func (a *Answer) finish() bool {
 	if a.ended && !a.failed {
 		return a.keepAlive
--- a/internal/http1/connection.go
+++ b/internal/http1/connection.go
@@ -74,7 +74,7 @@
 	return true
 }
 
-// closeIdle closes the connection, unless it is in a request; it reports whether the
+// closeIdle closes the connection unless it serves a request; it reports whether the
 // connection is closed.
 func (c *connection) closeIdle() bool {
 	c.mutex.Lock()
@@ -214,8 +214,8 @@
 // connection with unread bytes resets it, and the refusal could be lost.
 const lingerTimeout = 200 * time.Millisecond
 
-// memoryRetryAfter is the retry delay of a request for whose body there is no memory:
-// bodies are sent and answered within a few seconds.
+// memoryRetryAfter is the retry delay of a request for whose body there is no memory. It is
+// short because bodies are sent and answered within a few seconds.
 const memoryRetryAfter = time.Second
 
 // refusalOf returns how a request that was not read is answered. The status is zero if the
