--- a/internal/http1/connection.go
+++ b/internal/http1/connection.go
@@ -214,8 +214,8 @@
 // connection with unread bytes resets it, and the refusal could be lost.
 const lingerTimeout = 200 * time.Millisecond
 
-// memoryRetryAfter is the retry delay of a request for whose body there is no memory. It is
-// short because bodies are sent and answered within a few seconds.
+// memoryRetryAfter is the retry delay of a request for whose body there is no memory. Bodies
+// are sent and answered within a few seconds.
 const memoryRetryAfter = time.Second
 
 // refusalOf returns how a request that was not read is answered. The status is zero if the
