--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -231,11 +231,11 @@
 	if r.succeeded() {
 		w.f.config.Quarantine.Answered(w.fingerprint)
 	}
-	if err := w.answer.From(r.status, r.header, r.body); err != nil {
+	if err := w.answer.SendBody(r.status, r.header, r.body); err != nil {
 		w.handleCutAnswer(ctx, r, err)
 		return
 	}
-	if !w.answer.Reached() {
+	if !w.answer.WritesSucceeded() {
 		w.f.config.Observer.Count("givenUp", oriolebend.ReasonCallerCancelled, "")
 	}
 	w.log(r.status, "", oriolebend.RanYes)
@@ -253,7 +253,7 @@
 // giveUpOnContext ends a request whose deadline has passed or whose caller has disconnected.
 func (w *work) giveUpOnContext(ctx context.Context) {
 	w.recordRan(oriolebend.RanUnknown)
-	w.giveUp(ctx, backend.ReasonOfEnd(ctx), 0)
+	w.giveUp(ctx, backend.ContextReason(ctx), 0)
 }
 
 // answerFailed answers a request that no server answered with success.
@@ -267,7 +267,7 @@
 		reason = cmp.Or(w.declined, oriolebend.ReasonQueueFull)
 	}
 	if ctx.Err() != nil {
-		reason = backend.ReasonOfEnd(ctx)
+		reason = backend.ContextReason(ctx)
 	}
 	w.giveUpWithRetry(ctx, reason)
 }
--- a/internal/forwarder/reserve.go
+++ b/internal/forwarder/reserve.go
@@ -50,7 +50,7 @@
 			return s, nil
 		}
 		if ctx.Err() != nil {
-			return nil, &refusal{reason: backend.ReasonOfEnd(ctx)}
+			return nil, &refusal{reason: backend.ContextReason(ctx)}
 		}
 	}
 }
@@ -178,7 +178,7 @@
 	if err != nil {
 		return PrefillResult{}, err
 	}
-	body, err := response.Whole(maxSmallBytes)
+	body, err := response.ReadBody(maxSmallBytes)
 	if err != nil {
 		return PrefillResult{}, err
 	}
