--- a/internal/routewatch/feed.go
+++ b/internal/routewatch/feed.go
@@ -13,58 +13,58 @@
 )
 
 const (
-	// gatherEach is for how long news that can wait is gathered, for each process that
-	// watches. Telling one of them costs the control VM a fifth of a millisecond of
-	// its processor, with the answer; after a restart of everything servers announce
-	// themselves one by one, and told one by one to some hundred forwarders they would
-	// take all of it for seconds. So it is a fifth of a core at most, and a hundred
-	// forwarders hear of a new server a tenth of a second later.
-	gatherEach = time.Millisecond
-	// standInAfter is how long a control VM waits for the one before it in a watcher's
-	// order to tell a new routing. A routing of some hundred routes takes 50 ms on a
-	// link of 10 Mbit/s, and its receipt is told at once.
-	standInAfter = 100 * time.Millisecond
+	// batchDelayPerWatcher is how long changes that are not urgent are batched, times the
+	// number of watchers. One update and its acknowledgement cost the control VM 0.2 ms of
+	// processor time. After a restart of the whole system servers announce themselves one
+	// by one; sent one by one to about a hundred forwarders, these changes would take the
+	// whole processor for seconds. Batched, updates take at most a fifth of a core, and a
+	// hundred forwarders receive a new server a tenth of a second later.
+	batchDelayPerWatcher = time.Millisecond
+	// routingFallbackDelay is how long a control VM waits for the one before it in a
+	// watcher's order to send a new routing. A routing of about a hundred routes takes
+	// 50 ms on a link of 10 Mbit/s, and the watcher acknowledges it immediately.
+	routingFallbackDelay = 100 * time.Millisecond
 )
 
-// feed tells one watcher what changes.
+// feed sends the changes to one watcher.
 type feed struct {
 	server *Server
 	watch  *watcher
 	stream peer.Stream
-	// told is the highest version that was sent.
-	told uint64
-	// behindSince is since when the watcher has had behindAt and a higher version is
-	// known here; zero while none is.
+	// sentVersion is the highest routing version that was sent to the watcher.
+	sentVersion uint64
+	// behindSince is since when the watcher has had version behindAt while this control VM
+	// knownVersion a higher one; zero while it has none.
 	behindSince time.Time
 	behindAt    uint64
-	// sent is the last update, without its servers and routing, sentAt its time.
+	// sent is the last update without its servers and routing, sentAt the time it was sent.
 	sent   message.RouteUpdate
 	sentAt time.Time
 }
 
-// run tells until the session ends.
+// run sends updates until the session ends.
 func (f *feed) run(ctx context.Context) {
 	for whole := true; ; whole = false {
 		current, changed := f.server.Store.Current()
 		confirmed := f.server.nextConfirmed()
 		update, left := f.next(current)
 		if update.Confirmed {
-			confirmed = nil // nobody waits for the next one
+			confirmed = nil // this update carries a confirmation, so the next one is not awaited
 		}
-		if whole || f.news(update) || time.Since(f.sentAt) >= tellEvery {
+		if whole || f.hasChanges(update) || time.Since(f.sentAt) >= updateInterval {
 			update.Whole = whole
 			if !f.send(update) {
 				return
 			}
 		}
-		timer := time.NewTimer(min(left, tellEvery-time.Since(f.sentAt)))
+		timer := time.NewTimer(min(left, updateInterval-time.Since(f.sentAt)))
 		select {
 		case <-ctx.Done():
 		case <-f.stream.Done():
 		case <-changed:
 		case <-f.watch.urgent:
 		case <-f.watch.wake:
-			f.gather(ctx, changed)
+			f.batch(ctx, changed)
 		case <-confirmed:
 		case <-timer.C:
 		}
@@ -75,67 +75,69 @@
 	}
 }
 
-// next is what there is to tell besides servers, and how long the routing is still left
-// to another control VM.
+// next returns the next update without its servers and crash reports, and how long the
+// routing is still left to another control VM.
 func (f *feed) next(current routing.InForce) (message.RouteUpdate, time.Duration) {
-	update := message.RouteUpdate{Leader: f.server.Leader(), Controls: f.server.places()}
+	update := message.RouteUpdate{Leader: f.server.Leader(), Controls: f.server.controlAddresses()}
 	left := f.routingDue(current.Version)
-	if left == 0 && current.Version > f.has() {
+	if left == 0 && current.Version > f.knownVersion() {
 		update.Version, update.Routing = current.Version, current.Encoded
 	}
 	age, ever := f.server.Confirmed()
-	// What is confirmed is the routing that the watcher has then.
-	update.Confirmed = ever && age < newestWithin && left == 0
+	// Confirmed applies to the routing that the watcher has after this update.
+	update.Confirmed = ever && age < confirmationMaxAge && left == 0
 	if left == 0 {
-		left = tellEvery
+		left = updateInterval
 	}
 	return update, left
 }
 
-// has is the version that the watcher is known to have, or to be sent.
-func (f *feed) has() uint64 {
+// knownVersion returns the routing version that the watcher reported or that was sent to it,
+// whichever is higher.
+func (f *feed) knownVersion() uint64 {
 	f.server.mutex.Lock()
 	defer f.server.mutex.Unlock()
-	return max(f.told, f.watch.version)
+	return max(f.sentVersion, f.watch.version)
 }
 
-// routingDue is how long a version that the watcher does not have is left to other
-// control VMs to tell; zero if it is to be told here now, or need not be told.
+// routingDue returns how long other control VMs have left to send a version that the
+// watcher lacks; zero if this control VM sends it now, or if it need not be sent.
 //
-// Every control VM has each routing, and a watcher needs it once. Told by all of them at
-// the same moment, a routing of 9 KB to a hundred watchers takes a tenth of a second of
-// each control VM's processor and link; two changes in a row then held the leader's
-// heartbeats up for longer than its lease, and the group was without a leader. So each
-// watcher has an order of control VMs of its own; the first one tells it at once, and the
-// leader, whose heartbeats must not wait, comes last.
+// Every control VM has each routing, and a watcher needs it once. A routing of 9 KB that
+// every control VM sends to a hundred watchers at the same moment takes a tenth of a
+// second of each control VM's processor and link. Two changes in a row then delayed the
+// leader's heartbeats for longer than its lease, and the group lost its leader. So each
+// watcher has its own order of control VMs: the first one sends the routing immediately,
+// and the leader, whose heartbeats must not wait, comes last.
 func (f *feed) routingDue(version uint64) time.Duration {
-	has := f.has()
-	if version <= has {
+	known := f.knownVersion()
+	if version <= known {
 		f.behindSince = time.Time{}
 		return 0
 	}
-	if f.behindSince.IsZero() || has != f.behindAt {
-		f.behindSince, f.behindAt = time.Now(), has
+	if f.behindSince.IsZero() || known != f.behindAt {
+		f.behindSince, f.behindAt = time.Now(), known
 	}
-	place := f.place()
-	if has == 0 {
-		place = f.placeAtStart(place)
+	position := f.position()
+	if known == 0 {
+		position = f.positionAtStart(position)
 	}
-	return max(0, time.Duration(place)*standInAfter-time.Since(f.behindSince))
+	return max(0, time.Duration(position)*routingFallbackDelay-time.Since(f.behindSince))
 }
 
-// placeAtStart is this control VM's place for a watcher without any routing: the first that it
-// watches tells it. The others in its order it may not have reached yet, and after a restart of
-// everything it would wait for each of them in vain.
-func (f *feed) placeAtStart(place int) int {
+// positionAtStart returns this control VM's position for a watcher without any routing: the
+// first control VM that it watches sends the routing. The watcher may not have reached the
+// others in its order yet; after a restart of the whole system it would wait for each of
+// them without success.
+func (f *feed) positionAtStart(position int) int {
 	if f.watch.alone {
 		return 0
 	}
-	return max(1, place)
+	return max(1, position)
 }
 
-// place is this control VM's place in the watcher's order, counted from zero.
-func (f *feed) place() int {
+// position returns this control VM's position in the watcher's order, counted from zero.
+func (f *feed) position() int {
 	r := f.server
 	leader := r.Leader()
 	order := slices.Clone(r.Controls())
@@ -151,20 +153,22 @@
 	return max(0, slices.Index(order, r.Self))
 }
 
-// news reports whether an update tells anything that the watcher was not told.
-func (f *feed) news(u message.RouteUpdate) bool {
+// progress reports whether an update, or the servers and reports pending for it, hold a change
+// that was not sent to the watcher.
+func (f *feed) hasChanges(u message.RouteUpdate) bool {
 	f.server.mutex.Lock()
 	defer f.server.mutex.Unlock()
 	return len(f.watch.pending) > 0 || len(f.watch.reports) > 0 || len(u.Routing) > 0 || u.Leader != f.sent.Leader ||
 		u.Confirmed && !f.sent.Confirmed || !slices.Equal(u.Controls, f.sent.Controls)
 }
 
-// send sends an update with all news of servers; false means that the session has ended.
+// send sends an update with all pending servers and crash reports. It returns false if the
+// session has ended.
 func (f *feed) send(u message.RouteUpdate) bool {
 	before := f.sent
 	f.sent, f.sentAt = u, time.Now()
 	f.sent.Routing = nil
-	f.told = max(f.told, u.Version)
+	f.sentVersion = max(f.sentVersion, u.Version)
 	if slices.Equal(u.Controls, before.Controls) {
 		u.Controls = nil
 	}
@@ -172,10 +176,10 @@
 	return f.stream.Send(u) == nil
 }
 
-// gather lets news that can wait for others come together, until there is some that
-// cannot.
-func (f *feed) gather(ctx context.Context, changed <-chan struct{}) {
-	timer := time.NewTimer(f.server.gatherFor())
+// batch waits for further changes to batch, until the batch delay is over or a change is
+// urgent.
+func (f *feed) batch(ctx context.Context, changed <-chan struct{}) {
+	timer := time.NewTimer(f.server.batchDelay())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -185,7 +189,7 @@
 	case <-timer.C:
 	}
 	select {
-	case <-f.watch.wake: // what it stands for goes with the next update
+	case <-f.watch.wake: // the next update carries the changes that it signals
 	default:
 	}
 }
--- a/internal/routewatch/feed_test.go
+++ b/internal/routewatch/feed_test.go
@@ -19,8 +19,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// routingSink counts how often a forwarder is sent a routing, and when it has a version
-// first.
+// routingSink counts the routings that a forwarder receives, and records when it first has
+// each version.
 type routingSink struct {
 	mutex    sync.Mutex
 	version  uint64
@@ -47,7 +47,7 @@
 func (s *routingSink) Loads() []message.ServiceLoad        { return nil }
 func (s *routingSink) Expire()                             {}
 
-// feedSite is control VMs that all have the routing, and forwarders that watch all.
+// feedSite holds control VMs that all have the routing, and forwarders that watch all of them.
 type feedSite struct {
 	network *peertest.Network
 	stores  []*routing.Store
@@ -58,7 +58,7 @@
 	return newPartFeedSite(ctx, controls, controls, forwarders)
 }
 
-// newPartFeedSite is newFeedSite with only the first few of the control VMs up.
+// newPartFeedSite is newFeedSite with only the first up control VMs running.
 func newPartFeedSite(ctx context.Context, controls, up, forwarders int) *feedSite {
 	s := &feedSite{network: peertest.NewNetwork(1)}
 	s.network.Degrade(0, time.Millisecond)
@@ -99,11 +99,10 @@
 	return time.Now()
 }
 
-// Symptom: two changes of the configuration in a row leave the control VMs without a
-// leader for half a second, on a site of a hundred forwarders; nothing had failed.
-// Sequence: each of five control VMs sends each routing of 9 KB to each forwarder at the
-// same moment, the leader as well; its heartbeats wait behind them. Cause: five copies
-// sent where one is needed.
+// Guards against the loss of the leader for half a second after two changes of the
+// configuration in a row, on a site of a hundred forwarders without any failure. Each of five
+// control VMs, the leader too, sent each routing of 9 KB to each forwarder at the same moment,
+// where one copy is enough; the leader's heartbeats waited behind these messages.
 func TestRoutingIsSentOnceToEachForwarder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -123,13 +122,13 @@
 			is.Equal(sink.received, 10)
 		}
 		cancel()
-		time.Sleep(time.Second) // what is under way arrives, and all end
+		time.Sleep(time.Second) // messages in flight arrive, and all goroutines end
 	})
 }
 
-// Symptom: a forwarder serves by an old routing. Sequence: the control VM that is first
-// to tell it is cut off from it. Cause: one that waits for another one for ever. The next
-// ones in its order stand in for it, one after the other.
+// Guards against a forwarder that keeps an old routing: the control VM that is first in its order
+// is partitioned from it, and the others wait for that one forever. The next ones in the order
+// must send the routing instead, one after the other.
 func TestRoutingComesFromTheNextControlVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -145,17 +144,17 @@
 		time.Sleep(time.Second)
 		for _, sink := range s.sinks {
 			is.Equal(sink.Version(), uint64(1))
-			is.True(sink.since[1].Sub(declared) <= 4*standInAfter)
+			is.True(sink.since[1].Sub(declared) <= 4*routingFallbackDelay)
 		}
 		cancel()
-		time.Sleep(time.Second) // what is under way arrives, and all end
+		time.Sleep(time.Second) // messages in flight arrive, and all goroutines end
 	})
 }
 
-// Symptom: after a restart of everything forwarders have the routing half a second after the
-// leader is there. Sequence: each has reached one control VM by then, and opens the other
-// sessions in turn; that one leaves the routing to those before it in the forwarder's order.
-// Cause: an order that counts control VMs which the forwarder does not watch yet.
+// Guards against forwarders that, after a restart of the whole system, receive the routing only
+// half a second after the leader is elected. Each has reached one control VM by then and opens
+// the other sessions one after the other; that control VM left the routing to those before it
+// in the forwarder's order, although the forwarder did not watch them yet.
 func TestRoutingComesFromTheFirstControlVMAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -169,6 +168,6 @@
 			is.True(sink.since[1].Sub(declared) <= 10*time.Millisecond)
 		}
 		cancel()
-		time.Sleep(time.Second) // what is under way arrives, and all end
+		time.Sleep(time.Second) // messages in flight arrive, and all goroutines end
 	})
 }
--- a/internal/routewatch/follower.go
+++ b/internal/routewatch/follower.go
@@ -18,35 +18,36 @@
 )
 
 const (
-	// watchAgainFirst and watchAgainMost bound the pause between two tries to
-	// watch a control VM. The first is spread by jitter: after a restart of the
+	// watchBackoffBase and watchBackoffMax bound the backoff between two attempts to
+	// watch a control VM. Jitter spreads the first retry: after a restart of the
 	// whole system all forwarders dial at the same moment.
-	watchAgainFirst = 100 * time.Millisecond
-	watchAgainMost  = time.Second
-	// openWatchWithin bounds the opening of a session.
-	openWatchWithin = 2 * time.Second
-	// reviewEvery is how often what is known is looked through for what has
-	// become too old.
-	reviewEvery = time.Second
+	watchBackoffBase = 100 * time.Millisecond
+	watchBackoffMax  = time.Second
+	// openTimeout is the timeout for opening a session.
+	openTimeout = 2 * time.Second
+	// reviewInterval is how often the known servers are checked for entries that have
+	// become too old, and loads are collected.
+	reviewInterval = time.Second
 )
 
-// Sink takes what a Follower learns; *forwarder.Forwarder is one.
+// Sink receives the routing and the backend servers from a Follower;
+// *forwarder.Forwarder is one.
 type Sink interface {
-	// SetRouting brings a routing into force, unless it has a newer one.
+	// SetRouting brings a routing into force, unless the sink has a newer one.
 	SetRouting(r oriolebend.Routing)
-	// ChangeServers takes what has changed of the backend servers, and the number of
+	// ChangeServers applies changes of the backend servers; forwarders is the number of
 	// forwarders.
 	ChangeServers(changes registry.Changes, forwarders int)
-	// Version is the version of the routing in force.
+	// Version returns the version of the routing in force.
 	Version() uint64
-	// Loads returns what was done with model engines since the last call.
+	// Loads returns the load on model engines since the last call.
 	Loads() []message.ServiceLoad
-	// Expire drops what is not in use any more.
+	// Expire drops state that is no longer in use.
 	Expire()
 }
 
-// Follower keeps a forwarder up to date with the routing and the backend
-// servers, as every control VM that it can find tells them.
+// Follower watches every known control VM and passes the routing and the backend
+// servers that they send to a Sink.
 type Follower struct {
 	Dialer peer.Dialer
 	// Seeds are the control VMs that are known from the start.
@@ -54,23 +55,23 @@
 	Watch  message.RouteWatch
 	Sink   Sink
 	Logger *slog.Logger
-	// Reports takes what control VMs tell of requests under which servers ended, Found
-	// the address of each control VM that is watched from now on. Both may be nil.
+	// Reports receives the crash reports that control VMs send. Found is called with the
+	// address of each control VM once its first update was applied. Both may be nil.
 	Reports func([]message.CrashReport)
 	Found   func(address string)
 
 	mutex   sync.Mutex
 	view    *registry.View
 	links   map[string]*link
-	current []string // the control VMs as one of them told last
-	leader  string   // the leader as one of them told last
-	peers   []string // some other forwarders, as one of them told last
+	current []string // the control VMs, by the last update that listed them
+	leader  string   // the leader, by the last update that named one
+	peers   []string // some other forwarders, by the last update that listed them
 	ready   atomic.Bool
-	// confirmed is when a control VM told of a confirmation last.
+	// confirmed is when the last update with a confirmation was received.
 	confirmed time.Time
 	ctx       context.Context
 	group     sync.WaitGroup
-	turns     turns
+	openings  openQueue
 	// first is the first link over which a session was opened.
 	first *link
 }
@@ -79,12 +80,12 @@
 func (f *Follower) Run(ctx context.Context) {
 	f.mutex.Lock()
 	f.ctx, f.view, f.links = ctx, registry.NewView(), map[string]*link{}
-	f.learn(f.Seeds)
+	f.watchNew(f.Seeds)
 	f.mutex.Unlock()
-	for pause.For(ctx, reviewEvery) {
+	for pause.For(ctx, reviewInterval) {
 		f.mutex.Lock()
-		f.tellServers()
-		f.noteLoads(f.Sink.Loads())
+		f.updateServers()
+		f.storeLoads(f.Sink.Loads())
 		f.mutex.Unlock()
 		f.Sink.Expire()
 	}
@@ -97,31 +98,32 @@
 	defer f.mutex.Unlock()
 	f.Seeds = seeds
 	if f.links != nil {
-		f.learn(seeds)
+		f.watchNew(seeds)
 	}
 }
 
-// Ready reports whether a routing is known that a quorum had confirmed when it
-// was told, together with the servers.
+// Ready reports whether a routing was received that a quorum had confirmed when it
+// was sent, together with the servers.
 func (f *Follower) Ready() bool { return f.ready.Load() }
 
-// Leader is the peer address of the control VM that led when one told of it
-// last, empty if none did.
+// Leader returns the peer address of the leading control VM by the last update that
+// named one, empty if none did.
 func (f *Follower) Leader() string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.leader
 }
 
-// InTouch reports whether a control VM told of late that a quorum confirmed its state.
+// InTouch reports whether a control VM recently reported that a quorum confirmed its
+// state.
 func (f *Follower) InTouch() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.inTouch()
 }
 
-// inTouch is InTouch. The mutex is held.
-func (f *Follower) inTouch() bool { return time.Since(f.confirmed) < newestWithin }
+// withSession is InTouch. The mutex is held.
+func (f *Follower) inTouch() bool { return time.Since(f.confirmed) < confirmationMaxAge }
 
 // Links counts the control VMs that are watched now.
 func (f *Follower) Links() int { return len(f.Open()) }
@@ -146,16 +148,16 @@
 	return slices.Clone(f.peers)
 }
 
-// take takes an update in.
-func (f *Follower) take(l *link, s peer.Stream, u message.RouteUpdate) bool {
+// acquire applies an update. It returns false if its routing can't be decoded.
+func (f *Follower) applyUpdate(l *link, s peer.Stream, u message.RouteUpdate) bool {
 	if len(u.Routing) > 0 {
 		var r oriolebend.Routing
 		if err := cbor.Unmarshal(u.Routing, &r); err != nil {
-			f.Logger.Error("a routing can't be read", "control", l.address, "version", u.Version, "error", err)
+			f.Logger.Error("routing can't be decoded", "control", l.address, "version", u.Version, "error", err)
 			return false
 		}
 		f.Sink.SetRouting(r)
-		f.tellVersion(l, r.Version)
+		f.sendVersion(l, r.Version)
 	}
 	if len(u.Reports) > 0 && f.Reports != nil {
 		f.Reports(u.Reports)
@@ -165,13 +167,13 @@
 	if !l.open() {
 		f.Logger.Info("control VM watched", "control", l.address, "version", u.Version, "servers", len(u.Servers))
 	}
-	l.forwarders, l.stream, l.heard = u.Forwarders, s, u.Number
+	l.forwarders, l.stream, l.received = u.Forwarders, s, u.Number
 	if u.Confirmed {
 		f.confirmed = time.Now()
 	}
 	if u.Whole || len(u.Servers) > 0 {
 		f.view.Told(time.Now(), l.address, u.Whole, u.Servers)
-		f.tellServers()
+		f.updateServers()
 	}
 	if u.Leader != "" {
 		f.leader = u.Leader
@@ -181,7 +183,7 @@
 	}
 	if len(u.Controls) > 0 {
 		f.current = u.Controls
-		f.learn(u.Controls)
+		f.watchNew(u.Controls)
 	}
 	if u.Confirmed && f.Sink.Version() > 0 && !f.ready.Swap(true) {
 		f.Logger.Info("ready", "version", f.Sink.Version())
@@ -189,8 +191,8 @@
 	return true
 }
 
-// tellServers hands what has changed to the sink. The mutex is held.
-func (f *Follower) tellServers() {
+// updateServers passes changed servers to the sink. The mutex is held.
+func (f *Follower) updateServers() {
 	forwarders := 0
 	for _, l := range f.links {
 		if l.open() {
--- a/internal/routewatch/link.go
+++ b/internal/routewatch/link.go
@@ -13,23 +13,23 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/retry"
 )
 
-// link is the way to one control VM.
+// link holds the state of watching one control VM.
 type link struct {
 	address    string
 	forwarders int
-	// stream is the session once an update came over it, nil without one; heard is the
-	// number of the last update on it.
-	stream peer.Stream
-	heard  uint64
-	// loads are to be told with the next word to the control VM.
+	// stream is the session, nil until its first update was received; heard is the
+	// number of the last update received on it.
+	stream   peer.Stream
+	received uint64
+	// loads are sent with the next acknowledgement to the control VM.
 	loads []message.ServiceLoad
 }
 
-// open reports whether the control VM is watched.
+// open reports whether the control VM is being watched.
 func (l *link) open() bool { return l.stream != nil }
 
-// learn starts to watch control VMs that were not known. The mutex is held.
-func (f *Follower) learn(addresses []string) {
+// watchNew starts watching the control VMs that were not known yet. The mutex is held.
+func (f *Follower) watchNew(addresses []string) {
 	for _, address := range addresses {
 		if f.links[address] != nil || f.ctx.Err() != nil {
 			continue
@@ -40,26 +40,26 @@
 	}
 }
 
-// follow watches one control VM for as long as it is known as one.
+// follow watches one control VM and reconnects until it is no longer known as one.
 func (f *Follower) follow(l *link) {
 	tries := 0
 	random := rand.New(rand.NewPCG(f.Watch.Incarnation, uint64(len(l.address))))
-	for f.ctx.Err() == nil && f.wanted(l) {
+	for f.ctx.Err() == nil && f.isKnown(l) {
 		began := time.Now()
 		f.session(l)
-		f.lost(l)
-		if time.Since(began) > watchAgainMost {
+		f.sessionEnded(l)
+		if time.Since(began) > watchBackoffMax {
 			tries = 0
 		}
-		pause.For(f.ctx, retry.FullJitter(random, watchAgainFirst, watchAgainMost, tries))
+		pause.For(f.ctx, retry.FullJitter(random, watchBackoffBase, watchBackoffMax, tries))
 		tries++
 	}
 }
 
-// wanted reports whether a control VM is still known as one. One that was
-// replaced is forgotten; a seed never is, as it may be the only one that is
-// left to ask.
-func (f *Follower) wanted(l *link) bool {
+// isKnown reports whether an address is still known as that of a control VM. A control
+// VM that was replaced is removed; a seed never is, as it may be the only one left
+// to connect to.
+func (f *Follower) isKnown(l *link) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if slices.Contains(f.Seeds, l.address) || slices.Contains(f.current, l.address) {
@@ -69,14 +69,15 @@
 	return false
 }
 
-// open opens a session with a control VM. Forwarders begin with different ones: each with the
-// one that is to tell it routings. Control VMs are few, and don't wait for a turn.
+// open opens a session with a control VM. A forwarder opens its sessions one after the
+// other, and first the one with the control VM that sends it routings, which differs between
+// forwarders. Control VMs are few and open their sessions without queueing.
 func (f *Follower) open(l *link) (peer.Stream, error) {
 	if f.Watch.Observes {
 		return f.openNow(l)
 	}
 	var s peer.Stream
-	err := f.turns.run(f.ctx, ^policy.Rendezvous(f.Watch.Node, l.address), f.turnMost, func() error {
+	err := f.openings.run(f.ctx, ^policy.Rendezvous(f.Watch.Node, l.address), f.openLimit, func() error {
 		var err error
 		s, err = f.openNow(l)
 		return err
@@ -85,17 +86,17 @@
 }
 
 func (f *Follower) openNow(l *link) (peer.Stream, error) {
-	opening, cancel := context.WithTimeout(f.ctx, openWatchWithin)
+	opening, cancel := context.WithTimeout(f.ctx, openTimeout)
 	defer cancel()
 	return f.Dialer.Open(opening, l.address)
 }
 
-// turnMost is for how long an opening keeps the others waiting.
-func (f *Follower) turnMost() time.Duration {
+// openLimit returns how long an opening may delay the next one.
+func (f *Follower) openLimit() time.Duration {
 	if f.Links() == 0 {
-		return firstMost
+		return firstOpenLimit
 	}
-	return turnMost
+	return openLimit
 }
 
 // session watches one control VM until the session ends.
@@ -108,7 +109,7 @@
 	defer s.Close()
 	defer context.AfterFunc(f.ctx, func() { _ = s.Close() })()
 	watch := f.Watch
-	watch.Version, watch.Alone = f.Sink.Version(), f.alone(l)
+	watch.Version, watch.Alone = f.Sink.Version(), f.isFirst(l)
 	if err := s.Send(watch); err != nil {
 		return
 	}
@@ -123,24 +124,24 @@
 			return
 		}
 		first := !l.open()
-		if !f.take(l, s, update) {
+		if !f.applyUpdate(l, s, update) {
 			return
 		}
 		if first && f.Found != nil {
 			f.Found(l.address)
 		}
-		heard := message.RouteHeard{
+		ack := message.RouteHeard{
 			Number: update.Number, Version: f.Sink.Version(), InTouch: f.InTouch(), Loads: f.takeLoads(l),
 		}
-		if err := s.Send(heard); err != nil {
+		if err := s.Send(ack); err != nil {
 			return
 		}
 	}
 }
 
-// alone reports whether the session with a control VM is the first one. It is so for one at a
-// time, until that ends.
-func (f *Follower) alone(l *link) bool {
+// isFirst reports whether the session with a control VM is the first one. It holds for one
+// control VM at a time, until its session ends.
+func (f *Follower) isFirst(l *link) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.first == nil {
@@ -149,25 +150,25 @@
 	return f.first == l
 }
 
-// tellVersion tells the other control VMs that a routing is known.
-func (f *Follower) tellVersion(from *link, version uint64) {
+// sendVersion sends the version of a new routing to the other control VMs, so that they
+// don't send it too.
+func (f *Follower) sendVersion(from *link, version uint64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, l := range f.links {
 		if l == from || !l.open() {
 			continue
 		}
-		heard, stream := message.RouteHeard{Number: l.heard, Version: version, InTouch: f.inTouch()}, l.stream
-		// A link that is cut must not hold up the others; its session ends by itself.
-		f.group.Go(func() { _ = stream.Send(heard) })
+		ack, stream := message.RouteHeard{Number: l.received, Version: version, InTouch: f.inTouch()}, l.stream
+		// A send that blocks must not delay the others; its session ends by itself.
+		f.group.Go(func() { _ = stream.Send(ack) })
 	}
 }
 
-// noteLoads keeps what was done for the control VMs that are watched. The mutex
-// is held.
-func (f *Follower) noteLoads(loads []message.ServiceLoad) {
+// storeLoads stores loads for the control VMs that are watched. The mutex is held.
+func (f *Follower) storeLoads(loads []message.ServiceLoad) {
 	for _, l := range f.links {
-		l.loads = nil // what was not told within a second is too old
+		l.loads = nil // loads that were not sent within a second are too old
 		if l.open() {
 			l.loads = loads
 		}
@@ -182,7 +183,7 @@
 	return loads
 }
 
-func (f *Follower) lost(l *link) {
+func (f *Follower) sessionEnded(l *link) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	l.stream = nil
--- a/internal/routewatch/server.go
+++ b/internal/routewatch/server.go
@@ -1,5 +1,6 @@
-// Package routewatch has control VMs tell forwarders, and each other, the routing and the
-// backend servers: a Server tells, a Follower takes in what all servers that it can find tell.
+// Package routewatch distributes the routing and the backend servers from control VMs to
+// forwarders, and between control VMs: a Server sends changes to its watchers, a Follower
+// watches the Server of every control VM that it can find.
 package routewatch
 
 import (
@@ -20,118 +21,118 @@
 )
 
 const (
-	// tellEvery is how often a forwarder is told that a control VM is there,
-	// and whether its routing is known to be the newest.
-	tellEvery = time.Second
-	// newestWithin is how old the confirmation of a routing may be that is
-	// passed on as confirmed; control VMs confirm every second.
-	newestWithin = 2500 * time.Millisecond
-	// heardWithin bounds the wait for forwarders to hear that a backend server
+	// updateInterval is how often a watcher receives an update without a change. It shows
+	// that the control VM is alive, and whether its routing is known to be the newest.
+	updateInterval = time.Second
+	// confirmationMaxAge is the highest age of a confirmation at which a routing is sent as
+	// confirmed; control VMs confirm every second.
+	confirmationMaxAge = 2500 * time.Millisecond
+	// acknowledgeTimeout is the timeout for forwarders to acknowledge that a backend server
 	// leaves. Servers wait a second for the answer to an announcement.
-	heardWithin = 600 * time.Millisecond
-	// registryEvery is how often silent servers are looked for.
-	registryEvery = 500 * time.Millisecond
+	acknowledgeTimeout = 600 * time.Millisecond
+	// registryInterval is how often servers are checked for missing announcements.
+	registryInterval = 500 * time.Millisecond
 )
 
-// Server tells forwarders the routing and the backend servers that
-// announced themselves to this control VM.
+// Server sends its watchers the routing and the backend servers that announced
+// themselves to this control VM.
 type Server struct {
 	Store *routing.Store
-	// Confirmed tells how long ago a quorum confirmed the state of this control
+	// Confirmed returns how long ago a quorum confirmed the state of this control
 	// VM; false means never.
 	Confirmed func() (time.Duration, bool)
-	// NextConfirmed is closed at the next confirmation; nil has forwarders told of it
-	// with the next word.
+	// NextConfirmed returns a channel that is closed at the next confirmation. If it is
+	// nil, a confirmation is sent with the next regular update.
 	NextConfirmed func() <-chan struct{}
 	// Self is the peer address of this control VM, Controls lists those of all that
 	// have the routing.
 	Self     string
 	Controls func() []string
-	// Leader is the peer address of the control VM that leads, empty if none is
+	// Leader returns the peer address of the leading control VM, empty if none is
 	// known.
 	Leader func() string
-	// InTouch reports whether this control VM is in touch with the leader; nil means
-	// that it always is.
+	// InTouch reports whether this control VM is connected to the leader; nil means
+	// always.
 	InTouch func() bool
-	// Loads takes what forwarders did; nil takes nothing.
+	// Loads receives the loads that forwarders report; nil discards them.
 	Loads func([]message.ServiceLoad)
-	// Reports lists what is known of requests under which servers ended, for those that
-	// begin to watch; nil knows of none.
+	// Reports lists the known crash reports, which are sent to each new watcher; nil
+	// means that there are none.
 	Reports func() []message.CrashReport
 	Logger  *slog.Logger
 
 	mutex   sync.Mutex
 	state   *registry.State
 	watches map[*watcher]struct{}
-	// forwarders counts the watches of forwarders, observers lists where control VMs
-	// that watch can be watched themselves.
+	// forwarders counts the watchers that are forwarders, observers lists the addresses at
+	// which the watchers that are control VMs can be watched themselves.
 	forwarders int
 	observers  []string
-	// listens are where forwarders reach each other, sorted.
+	// listens are the addresses at which forwarders reach each other, sorted.
 	listens []string
 }
 
-// Prepare makes the server ready; it must be called before all else.
+// Prepare initializes the server; it must be called before any other method.
 func (r *Server) Prepare() {
 	r.state = registry.New(registry.Config{})
 	r.watches = map[*watcher]struct{}{}
 }
 
-// Run looks for silent servers until ctx ends.
+// Run checks servers for missing announcements until ctx ends.
 func (r *Server) Run(ctx context.Context) {
-	for pause.For(ctx, registryEvery) {
+	for pause.For(ctx, registryInterval) {
 		r.reduce(registry.Ticked{At: time.Now()})
 	}
 }
 
-// Servers lists the backend servers that are known here.
+// Servers lists the backend servers that are known to this control VM.
 func (r *Server) Servers() []message.BackendServer {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.state.Servers()
 }
 
-// Forwarders counts those that watch.
+// Forwarders returns the number of forwarders that watch this control VM.
 func (r *Server) Forwarders() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.forwarders
 }
 
-// places lists where forwarders can watch: the members, and the control VMs that
-// watch this one. The settings may name relays alone as seeds; members know
-// themselves from their log, and nobody else would ever find them.
-func (r *Server) places() []string {
-	places := r.Controls()
+// controlAddresses lists the addresses of the control VMs that forwarders can watch: the members,
+// and the control VMs that watch this one. The seeds in the settings may be relays only;
+// members know each other from their log, and no other process would find them.
+func (r *Server) controlAddresses() []string {
+	addresses := r.Controls()
 	r.mutex.Lock()
-	places = append(places, r.observers...)
+	addresses = append(addresses, r.observers...)
 	r.mutex.Unlock()
-	slices.Sort(places)
-	return slices.Compact(places)
+	slices.Sort(addresses)
+	return slices.Compact(addresses)
 }
 
-// Announce takes an announcement of a backend server. The error is a
-// *oriolebend.Problem if the announcement should go to another control VM.
+// Announce applies an announcement of a backend server. The error is a
+// *oriolebend.Problem if the server should announce itself to another control VM.
 func (r *Server) Announce(ctx context.Context, server message.BackendServer) error {
 	if r.Forwarders() == 0 {
-		return unheard("no forwarder watches this control VM")
+		return notAcknowledged("no forwarder watches this control VM")
 	}
 	announced := registry.Announced{At: time.Now(), Server: server}
 	if server.Phase == message.PhaseReady {
 		r.reduce(announced)
 		return nil
 	}
-	return r.awaitHeard(ctx, r.tell(announced))
+	return r.awaitAcknowledged(ctx, r.reduceNumbered(announced))
 }
 
-// AnnounceTo is the peer address of the control VM that an instance had better announce
-// itself to from now on; empty means this one.
+// AnnounceTo returns the peer address of the control VM to which an instance should
+// announce itself from now on; empty means this one.
 //
-// A control VM that is cut off from the leader still hears its servers, and tells
-// forwarders of them, but the leader, which gives places at engines, does not hear it: in
-// a cut of eight seconds in which a third of 180 engines announced themselves to the cut
-// off side, those that had crashed and come back stood idle until it healed. Control VMs
-// that watch this one and are in touch themselves are reached by it and by the leader.
+// A control VM that is partitioned from the leader still receives announcements and sends
+// them to forwarders, but not to the leader, which allocates placements. In a partition of
+// eight seconds, a third of 180 engines announced themselves to the side without the leader;
+// those that had crashed and restarted were idle until the partition ended. Control VMs
+// that watch this one and are connected themselves reach both it and the leader.
 func (r *Server) AnnounceTo(instance string) string {
 	if r.InTouch == nil || r.InTouch() {
 		return ""
@@ -148,54 +149,55 @@
 	return best
 }
 
-// RoleChanges has forwarders send nothing more to a server that is about to be
-// ordered to change its role, and returns once they know. A server that changes
-// its role refuses what it has not begun; a prefill whose decode server was
-// ordered meanwhile would be computed in vain.
+// RoleChanges stops forwarders from sending to a server that is about to be ordered to
+// change its role, and returns once they have acknowledged it. A server that changes its
+// role refuses requests that it has not begun. A prefill would be computed in vain if its
+// decode server received such an order meanwhile.
 func (r *Server) RoleChanges(ctx context.Context, engine message.BackendServer, away time.Duration) error {
-	return r.awaitHeard(ctx, r.tell(registry.RoleChanges{
+	return r.awaitAcknowledged(ctx, r.reduceNumbered(registry.RoleChanges{
 		Instance: engine.Instance, Incarnation: engine.Incarnation, Until: time.Now().Add(away),
 	}))
 }
 
-// Withdraw takes the last word of a backend server; incarnation is the start that
-// leaves, zero if it did not say.
+// Withdraw removes a backend server that leaves for good; incarnation is zero if the
+// server did not report it.
 func (r *Server) Withdraw(ctx context.Context, instance string, incarnation uint64) error {
-	return r.awaitHeard(ctx, r.tell(registry.Withdrawn{At: time.Now(), Instance: instance, Incarnation: incarnation}))
+	return r.awaitAcknowledged(ctx, r.reduceNumbered(registry.Withdrawn{At: time.Now(), Instance: instance, Incarnation: incarnation}))
 }
 
-func unheard(detail string) error {
+func notAcknowledged(detail string) error {
 	return &oriolebend.Problem{
-		Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanNo, Detail: detail, RetryAfter: retryUnheard,
+		Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanNo, Detail: detail, RetryAfter: announceRetryAfter,
 	}
 }
 
-// retryUnheard is how long forwarders take to find a control VM that has just
-// started.
-const retryUnheard = time.Second
+// announceRetryAfter is the delay after which a server may retry: forwarders take this long to
+// find a control VM that has just started.
+const announceRetryAfter = time.Second
 
-// reduce feeds the registry and has its changes told.
+// reduce applies an event to the registry and queues the changed servers for all watchers.
 func (r *Server) reduce(e registry.Event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.apply(e)
 }
 
-// tell is reduce, and returns the updates that carry the changes to forwarders.
-func (r *Server) tell(e registry.Event) map[*watcher]uint64 {
+// reduceNumbered is reduce, and returns for each forwarder the number of the update that carries
+// the changes.
+func (r *Server) reduceNumbered(e registry.Event) map[*watcher]uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.apply(e)
-	told := make(map[*watcher]uint64, r.forwarders)
+	numbers := make(map[*watcher]uint64, r.forwarders)
 	for w := range r.watches {
 		if w.observes {
 			continue
 		}
-		if told[w] = w.number; len(w.pending) > 0 {
-			told[w]++
+		if numbers[w] = w.number; len(w.pending) > 0 {
+			numbers[w]++
 		}
 	}
-	return told
+	return numbers
 }
 
 // apply is reduce. The mutex is held.
@@ -211,7 +213,7 @@
 		for w := range r.watches {
 			w.pending[s.Instance] = s
 			if s.Phase != message.PhaseReady || s.Changing {
-				signal(w.urgent) // requests are sent there until it is known
+				signal(w.urgent) // forwarders send requests to the server until they receive this
 			} else {
 				signal(w.wake)
 			}
@@ -228,21 +230,22 @@
 	}
 	w := r.add(watch)
 	defer r.remove(w)
-	go r.hear(s, w)
+	go r.readAcknowledgements(s, w)
 	f := &feed{server: r, watch: w, stream: s}
 	f.run(ctx)
 }
 
-// gatherFor is for how long news that can wait is gathered.
-func (r *Server) gatherFor() time.Duration {
+// batchDelay returns how long changes that are not urgent are batched.
+func (r *Server) batchDelay() time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return time.Duration(len(r.watches)) * gatherEach
+	return time.Duration(len(r.watches)) * batchDelayPerWatcher
 }
 
-// nextConfirmed is closed at the next confirmation. Forwarders are ready only once they
-// have a confirmed routing: told with the next regular word, they would be so up to a
-// second later than need be after all VMs lost power.
+// nextConfirmed returns a channel that is closed at the next confirmation. Forwarders are
+// ready only once they have a confirmed routing. If the confirmation waited for the next
+// regular update, they would be ready up to a second later than necessary after a power
+// loss of all VMs.
 func (r *Server) nextConfirmed() <-chan struct{} {
 	if r.NextConfirmed == nil {
 		return nil
--- a/internal/routewatch/server_test.go
+++ b/internal/routewatch/server_test.go
@@ -19,8 +19,8 @@
 	"github.com/oriolebend/oriolebend/internal/routing"
 )
 
-// newServer returns a control VM that knows no leader and no other control VM, and is
-// always confirmed; change alters it before it is made ready.
+// newServer returns a control VM that knows no leader and no other control VM, and whose
+// state is always confirmed; change alters it before it is prepared.
 func newServer(change func(r *Server)) *Server {
 	r := &Server{
 		Store:     routing.NewStore(),
@@ -34,7 +34,7 @@
 	return r
 }
 
-// updates is a stream that keeps what is sent, with the time.
+// updates is a stream that records the updates sent on it and their times.
 type updates struct {
 	mutex sync.Mutex
 	sent  []message.RouteUpdate
@@ -62,11 +62,10 @@
 func (u *updates) Done() <-chan struct{} { return u.done }
 func (u *updates) Peer() string          { return "f" }
 
-// Symptom: after a power loss of all VMs forwarders have the routing in force and count
-// as unready for another second. Sequence: the leader is elected and confirms 300 ms
-// after a forwarder has begun to watch. Cause: the confirmation told with the next
-// regular word.
-func TestConfirmationIsToldAtOnce(t *testing.T) {
+// Guards against forwarders that have the routing in force after a power loss of all VMs, but
+// count as unready for another second. The leader is elected and confirms 300 ms after a
+// forwarder began to watch; the confirmation was sent only with the next regular update.
+func TestConfirmationIsSentImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var confirmed atomic.Bool
@@ -87,17 +86,17 @@
 		last := len(u.sent) - 1
 		is.True(u.sent[last].Confirmed)
 		is.Equal(u.at[last].Sub(began), 300*time.Millisecond)
-		is.Equal(len(u.sent), 2) // one more word, and no others for the closed channel
+		is.Equal(len(u.sent), 2) // one more update; the closed channel causes no others
 		close(u.done)
 	})
 }
 
-// Symptom: engines that crashed in a cut and came back stand idle for eight seconds.
-// Sequence: the group of control VMs is cut in two; a third of the engines announce
-// themselves to the side without a quorum. Cause: that side kept them, and the leader,
-// which gives places, did not hear of them. They are sent on to a control VM that both
+// Guards against engines that crash and restart during a partition and then stay idle for
+// eight seconds. The group of control VMs is split in two, and a third of the engines announce
+// themselves to the side without a quorum; that side kept them, and the leader, which allocates
+// placements, did not receive them. Such an engine is redirected to a control VM that both
 // sides reach, always the same one for an instance.
-func TestServersAreSentOnByAControlVMThatIsCutOff(t *testing.T) {
+func TestPartitionedControlVMRedirectsServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var inTouch atomic.Bool
@@ -125,12 +124,12 @@
 	})
 }
 
-// Symptom: for half a minute after a restart of everything, control VMs and forwarders
-// of a large site do nothing but tell and hear of servers, and no request is answered.
-// Sequence: a control VM of a hundred forwarders starts; 300 servers announce themselves
-// to it within 1.2 s. Cause: each of them told to each forwarder by itself, 30,000
-// updates in place of some 1,200. One that leaves must not wait for others.
-func TestNewServersAreToldTogether(t *testing.T) {
+// Guards against control VMs and forwarders of a large site that only exchange updates of
+// servers for half a minute after a restart of the whole system, and answer no request. A
+// control VM with a hundred forwarders starts, and 300 servers announce themselves to it within
+// 1.2 s; each server was sent to each forwarder by itself, in 30,000 updates instead of some
+// 1,200. A server that leaves must not wait for others.
+func TestNewServersAreSentInBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newServer(func(*Server) {})
@@ -147,18 +146,18 @@
 			is.NoErr(r.Announce(t.Context(), server))
 			time.Sleep(4 * time.Millisecond)
 		}
-		time.Sleep(forwarders * gatherEach)
+		time.Sleep(forwarders * batchDelayPerWatcher)
 		server.Phase, server.Sequence = message.PhaseDraining, 2
-		go func() { _ = r.Announce(t.Context(), server) }() // nobody here answers
+		go func() { _ = r.Announce(t.Context(), server) }() // no forwarder acknowledges it
 		synctest.Wait()
 		for _, u := range watches {
 			u.mutex.Lock()
-			told := 0
+			sent := 0
 			for _, update := range u.sent {
-				told += len(update.Servers)
+				sent += len(update.Servers)
 			}
-			is.Equal(told, servers+1)
-			is.True(len(u.sent) <= 2*12+4) // one in 100 ms, and the regular words
+			is.Equal(sent, servers+1)
+			is.True(len(u.sent) <= 2*12+4) // one in 100 ms, and the regular updates
 			is.Equal(time.Since(u.at[len(u.at)-1]), time.Duration(0))
 			close(u.done)
 			u.mutex.Unlock()
@@ -166,9 +165,10 @@
 	})
 }
 
-// Symptom: what one forwarder tells others reaches a part of them. Sequence: forwarders come
-// and go; each is told of some others. Cause: some that nobody knows. From each of them all
-// others are reached within as many steps as each knows others.
+// Guards against forwarders that no other forwarder knows: messages that forwarders pass on to
+// each other would not reach them. Forwarders start and stop, and each receives the addresses
+// of some others. From each forwarder all others are reached within as many steps as it has
+// peers.
 func TestForwardersKnowEachOther(t *testing.T) {
 	is := is.New(t)
 	for _, count := range []int{1, 2, 3, 9, 105, 320} {
@@ -194,14 +194,13 @@
 	}
 }
 
-// Symptom: requests reach a server long after its leaving was acknowledged.
-// Sequence: the control VM that acknowledges it is cut off from the forwarders.
-// Cause: an acknowledgement that waits for nobody.
-func TestLeavingIsAcknowledgedOnceHeard(t *testing.T) {
+// Guards against requests that reach a server long after its leaving was acknowledged: the
+// control VM acknowledged it without waiting for forwarders, from which it was partitioned.
+func TestLeavingIsAcknowledgedAfterForwarders(t *testing.T) {
 	is := is.New(t)
 	routes := newServer(func(*Server) {})
 	server := message.BackendServer{Instance: "i-1", Address: "a:1", Phase: message.PhaseReady, Sequence: 1}
-	is.True(routes.Announce(t.Context(), server) != nil) // nobody watches
+	is.True(routes.Announce(t.Context(), server) != nil) // no forwarder watches
 	near, far := peertest.Pair("forwarder-1", "control-1")
 	go routes.Serve(t.Context(), far)
 	is.NoErr(near.Send(message.RouteWatch{Node: "forwarder-1"}))
@@ -210,7 +209,7 @@
 	is.True(first.(message.RouteUpdate).Whole)
 	is.NoErr(routes.Announce(t.Context(), server))
 	server.Phase, server.Sequence = message.PhaseDraining, 2
-	is.True(routes.Announce(t.Context(), server) != nil) // the forwarder does not answer
+	is.True(routes.Announce(t.Context(), server) != nil) // the forwarder does not acknowledge it
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
@@ -230,11 +229,10 @@
 	<-answered
 }
 
-// Symptom: a control VM stands still, for forwarders and servers alike. Sequence: a forwarder
-// begins to watch, and is told what is known of requests that crash servers; at that moment
-// another one tells of the end of a server. Cause: two locks, each taken while the other is
-// held.
-func TestReportsCrossANewWatcher(t *testing.T) {
+// Guards against a deadlock that blocks a control VM for forwarders and servers: a forwarder
+// begins to watch and is sent the known crash reports while another forwarder reports a crash.
+// Each of the two goroutines took one lock and waited for the other's.
+func TestCrashReportDuringNewWatch(t *testing.T) {
 	var r *Server
 	store := quarantine.New(quarantine.Config{Tell: func(reports []message.CrashReport) { r.TellReports(reports) }})
 	r = newServer(func(r *Server) { r.Reports = store.Reports })
@@ -258,6 +256,6 @@
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("the two wait for each other")
+		t.Fatal("deadlock between a crash report and a new watcher")
 	}
 }
--- a/internal/routewatch/sinks.go
+++ b/internal/routewatch/sinks.go
@@ -6,7 +6,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Sinks hands on what one Follower learns to several parts.
+// Sinks is a Sink that passes the routing and the servers of one Follower to several
+// sinks.
 type Sinks []Sink
 
 // SetRouting implements Sink.
--- a/internal/routewatch/watch.go
+++ b/internal/routewatch/watch.go
@@ -8,35 +8,35 @@
 	"github.com/oriolebend/oriolebend/internal/peer"
 )
 
-// watcher is one process that watches.
+// watcher is one process that watches this control VM.
 type watcher struct {
 	node string
-	// address is where a control VM that watches can be watched itself.
+	// address is set for control VMs: where they can be watched themselves.
 	address string
-	// listen is where other forwarders reach the forwarder.
+	// listen is the address at which other forwarders reach the forwarder.
 	listen string
 	// observes is set for control VMs, which send no requests to servers.
 	observes bool
-	// alone is set if it watched no other control VM when it began.
+	// isFirst is set if the process watched no other control VM when it began.
 	alone bool
-	// pending are the servers to tell with the next update, number its number.
+	// pending are the servers to send with the next update, number is that of the last one.
 	pending map[string]message.BackendServer
 	number  uint64
-	// reports are to be told with the next update.
+	// reports are the crash reports to send with the next update.
 	reports []message.CrashReport
-	// peers are the other forwarders that it was told of last.
+	// peers are the other forwarders that were last sent to it.
 	peers []string
-	// heard is the number of the last update that the forwarder has taken in.
-	heard uint64
-	// version is the routing that it says it has, inTouch whether a quorum confirmed
-	// its state of late.
+	// received is the number of the last update that the watcher acknowledged.
+	acknowledged uint64
+	// version is the routing version that the watcher reported, withSession whether it recently
+	// received an update that a quorum had confirmed.
 	version uint64
 	inTouch bool
-	// wake is signalled for news that can wait for others, urgent for what cannot.
+	// wake is signalled for changes that may be batched, urgent for those that must not wait.
 	wake, urgent chan struct{}
-	// news is closed and replaced whenever heard changes or the watch ends.
-	news chan struct{}
-	gone bool
+	// progress is closed and replaced whenever heard is updated or the watch ends.
+	progress chan struct{}
+	closed   bool
 }
 
 func signal(c chan struct{}) {
@@ -46,38 +46,38 @@
 	}
 }
 
-// awaitHeard returns once the forwarders have taken in updates. A server that
-// leaves serves on for a short time only after it is told that its leaving is
-// known: were it told so by a control VM that no forwarder hears, requests would
-// still be sent to it after its end. A forwarder that is cut off itself must not
-// hold the others up, so half of them suffice after the wait.
-func (r *Server) awaitHeard(ctx context.Context, told map[*watcher]uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, heardWithin)
+// awaitAcknowledged waits until forwarders have acknowledged updates. A server that leaves
+// serves on for only a short time once its leaving is acknowledged. If a control VM that
+// no forwarder receives updates from acknowledged it, requests would still be sent to the
+// server after it has stopped. A forwarder that is partitioned itself must not block
+// this, so half of them suffice after the timeout.
+func (r *Server) awaitAcknowledged(ctx context.Context, numbers map[*watcher]uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
 	defer cancel()
-	heard := 0
-	for w, number := range told {
-		if r.await(ctx, w, number) {
-			heard++
+	acknowledged := 0
+	for w, number := range numbers {
+		if r.awaitUpdate(ctx, w, number) {
+			acknowledged++
 		}
 	}
-	if heard == 0 || 2*heard < len(told) {
-		return unheard("the forwarders did not hear of it")
+	if acknowledged == 0 || 2*acknowledged < len(numbers) {
+		return notAcknowledged("the forwarders did not hear of it")
 	}
 	return nil
 }
 
-// await waits until a forwarder has taken in an update; false means that it has
-// not, or is gone.
-func (r *Server) await(ctx context.Context, w *watcher, number uint64) bool {
+// awaitUpdate waits until a forwarder has acknowledged an update. It returns false if ctx or the
+// watch ended first.
+func (r *Server) awaitUpdate(ctx context.Context, w *watcher, number uint64) bool {
 	for {
 		r.mutex.Lock()
-		heard, gone, news := w.heard >= number, w.gone, w.news
+		acknowledged, closed, progress := w.acknowledged >= number, w.closed, w.progress
 		r.mutex.Unlock()
-		if heard || gone {
-			return heard
+		if acknowledged || closed {
+			return acknowledged
 		}
 		select {
-		case <-news:
+		case <-progress:
 		case <-ctx.Done():
 			return false
 		}
@@ -89,7 +89,7 @@
 	defer r.mutex.Unlock()
 	w := &watcher{
 		node: watch.Node, version: watch.Version, listen: watch.Listen, observes: watch.Observes, alone: watch.Alone, address: watch.Address, pending: map[string]message.BackendServer{},
-		wake: make(chan struct{}, 1), urgent: make(chan struct{}, 1), news: make(chan struct{}),
+		wake: make(chan struct{}, 1), urgent: make(chan struct{}, 1), progress: make(chan struct{}),
 	}
 	for _, server := range r.state.Servers() {
 		w.pending[server.Instance] = server
@@ -98,7 +98,7 @@
 		w.reports = r.Reports()
 	}
 	r.watches[w] = struct{}{}
-	r.recount()
+	r.countWatchers()
 	r.Logger.Info("forwarder watches", "forwarder", watch.Node, "observes", watch.Observes, "has", watch.Version, "forwarders", r.forwarders)
 	return w
 }
@@ -107,15 +107,15 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.watches, w)
-	r.recount()
-	w.gone = true
-	close(w.news)
-	w.news = make(chan struct{})
+	r.countWatchers()
+	w.closed = true
+	close(w.progress)
+	w.progress = make(chan struct{})
 	r.Logger.Info("forwarder lost", "forwarder", w.node, "forwarders", r.forwarders)
 }
 
-// recount counts who watches. The mutex is held.
-func (r *Server) recount() {
+// countWatchers updates forwarders, observers and listens from the watchers. The mutex is held.
+func (r *Server) countWatchers() {
 	r.forwarders, r.observers, r.listens = 0, nil, r.listens[:0]
 	for w := range r.watches {
 		if !w.observes {
@@ -131,28 +131,29 @@
 	slices.Sort(r.listens)
 }
 
-// hear takes the forwarder's word of what it has taken in.
-func (r *Server) hear(s peer.Stream, w *watcher) {
+// readAcknowledgements reads the acknowledgements of a watcher until the session ends.
+func (r *Server) readAcknowledgements(s peer.Stream, w *watcher) {
 	for {
 		m, err := s.Receive()
 		if err != nil {
 			_ = s.Close()
 			return
 		}
-		if h, ok := m.(message.RouteHeard); ok {
+		if ack, ok := m.(message.RouteHeard); ok {
 			r.mutex.Lock()
-			w.heard, w.version, w.inTouch = max(w.heard, h.Number), max(w.version, h.Version), h.InTouch
-			close(w.news)
-			w.news = make(chan struct{})
+			w.acknowledged, w.version, w.inTouch = max(w.acknowledged, ack.Number), max(w.version, ack.Version), ack.InTouch
+			close(w.progress)
+			w.progress = make(chan struct{})
 			r.mutex.Unlock()
-			if r.Loads != nil && len(h.Loads) > 0 {
-				r.Loads(h.Loads)
+			if r.Loads != nil && len(ack.Loads) > 0 {
+				r.Loads(ack.Loads)
 			}
 		}
 	}
 }
 
-// collect takes what is pending for a watcher into an update.
+// collect moves the servers, reports and peers that are pending for a watcher into an
+// update.
 func (r *Server) collect(w *watcher, u *message.RouteUpdate) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -168,10 +169,10 @@
 	}
 }
 
-// peersOf chooses the forwarders that another one knows: in the ring of their sorted
-// addresses those that are 1, 2, 4, 8 … places on. What each tells these reaches all of some
-// hundred within as many steps as there are distances, also if many of them are lost. The
-// mutex is held.
+// peersOf chooses the forwarders whose addresses a forwarder receives: those that are
+// 1, 2, 4, 8 … positions ahead in the ring of all sorted addresses. A message that each
+// forwarder passes on to its peers reaches all of several hundred within as many steps as
+// there are distances, even if many forwarders are lost. The mutex is held.
 func (r *Server) peersOf(w *watcher) []string {
 	at, found := slices.BinarySearch(r.listens, w.listen)
 	if !found {
@@ -184,7 +185,7 @@
 	return peers
 }
 
-// TellReports tells all that watch of requests under which servers ended.
+// TellReports sends crash reports to all watchers.
 func (r *Server) TellReports(reports []message.CrashReport) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
