--- a/internal/peer/authority.go
+++ b/internal/peer/authority.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// authorityLife and certificateLife bound how long what an Authority
-	// issues is valid.
+	// authorityLife and certificateLife are how long the certificates of an
+	// Authority itself and those that it issues are valid.
 	authorityLife   = 10 * 365 * 24 * time.Hour
 	certificateLife = 365 * 24 * time.Hour
-	// clockSkew is how far a peer's clock may be behind.
+	// clockSkew is how far the clock of a peer may be behind.
 	clockSkew = 5 * time.Minute
 	// serialBits is the size of a certificate's serial number.
 	serialBits = 120
@@ -29,11 +29,11 @@
 	key         *ecdsa.PrivateKey
 }
 
-// DevAuthority makes an authority in memory, for dev and tests.
+// DevAuthority creates an authority in memory, for dev and tests.
 func DevAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errorf(CodeMalformedFile, "", err, "make the authority's key")
+		return nil, errorf(CodeMalformedFile, "", err, "generate the authority's key")
 	}
 	template, err := newTemplate("oriolebend authority", authorityLife)
 	if err != nil {
@@ -49,16 +49,16 @@
 	return &Authority{certificate: certificate, key: key}, nil
 }
 
-// Issue makes a key and a certificate for a process.
+// Issue generates a key and a certificate for a process.
 func (a *Authority) Issue(identity Identity) (Material, error) {
 	return a.IssueFor(identity, certificateLife)
 }
 
-// IssueFor is Issue for a certificate that is valid for a time from now.
+// IssueFor is Issue with a certificate that is valid for life from now.
 func (a *Authority) IssueFor(identity Identity, life time.Duration) (Material, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Material{}, errorf(CodeMalformedFile, identity.Name, err, "make the key")
+		return Material{}, errorf(CodeMalformedFile, identity.Name, err, "generate the key")
 	}
 	template, err := newTemplate(identity.Name, life)
 	if err != nil {
@@ -81,10 +81,10 @@
 	}, nil
 }
 
-// Certificate is the authority's own certificate, in DER.
+// Certificate returns the authority's own certificate in DER.
 func (a *Authority) Certificate() []byte { return a.certificate.Raw }
 
-// Pool returns the authority as the root of certificate checks.
+// Pool returns a pool with the authority as the only root.
 func (a *Authority) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.certificate)
@@ -94,7 +94,7 @@
 func newTemplate(name string, life time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errorf(CodeMalformedFile, name, err, "make a serial number")
+		return nil, errorf(CodeMalformedFile, name, err, "generate a serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
@@ -112,7 +112,7 @@
 	}
 	certificate, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, errorf(CodeMalformedFile, template.Subject.CommonName, err, "read the certificate back")
+		return nil, errorf(CodeMalformedFile, template.Subject.CommonName, err, "parse the signed certificate")
 	}
 	return certificate, nil
 }
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -17,7 +17,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// The exchange that an entry has with each gate that it probes.
+// The messages that an entry exchanges with each gate that it probes.
 var (
 	benchReserve = message.Reserve{
 		Attempt: message.Attempt{RequestID: "01981f5e-7f0a-7c31-b6a4-3f0d5a1c9e77", Number: 1},
@@ -33,7 +33,7 @@
 	}
 )
 
-// offering answers each message with an offer.
+// offering is a handler that answers each message with an offer.
 func offering(_ context.Context, s Stream) {
 	for {
 		if _, err := s.Receive(); err != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// counting counts the datagrams of a socket in both directions.
+// counting is a socket that counts its datagrams in both directions.
 type counting struct {
 	net.PacketConn
 	bytes, packets atomic.Int64
@@ -126,7 +126,8 @@
 	_ = s.Close()
 }
 
-// One exchange on a session that stays open: the multiplexed way.
+// BenchmarkRoundTrip measures one exchange on a session that stays open for many
+// requests.
 func BenchmarkRoundTrip(b *testing.B) {
 	x := newBench(b)
 	gate, entry := x.listen(nil), x.listen(nil)
@@ -138,7 +139,8 @@
 	}
 }
 
-// One session, one exchange: the way that is used.
+// BenchmarkSession measures a session with one exchange, which is how entries use
+// sessions.
 func BenchmarkSession(b *testing.B) {
 	x := newBench(b)
 	gate, entry := x.listen(nil), x.listen(nil)
@@ -162,7 +164,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "sessions/s")
 }
 
-// A connection for each session: handshake included.
+// BenchmarkConnection measures a connection for each session, handshake included.
 func BenchmarkConnection(b *testing.B) {
 	x := newBench(b)
 	gate := x.listen(nil)
@@ -189,9 +191,9 @@
 	}
 }
 
-// Bytes of UDP payload in both directions.
+// BenchmarkWireBytes reports the bytes of UDP payload in both directions.
 func BenchmarkWireBytes(b *testing.B) {
-	ways := map[string]func(*testing.B, *Endpoint, string) func(){
+	cases := map[string]func(*testing.B, *Endpoint, string) func(){
 		"handshake": nil,
 		"session": func(b *testing.B, e *Endpoint, address string) func() {
 			return func() { oneSession(b, e, address) }
@@ -203,15 +205,15 @@
 			return func() { exchange(b, s) }
 		},
 	}
-	for name, way := range ways {
+	for name, prepare := range cases {
 		b.Run(name, func(b *testing.B) {
 			x := newBench(b)
 			gate := x.listen(nil)
 			entry, socket := x.counted()
 			oneSession(b, entry, gate.Address())
 			n := 1
-			if way != nil {
-				step := way(b, entry, gate.Address())
+			if prepare != nil {
+				step := prepare(b, entry, gate.Address())
 				time.Sleep(50 * time.Millisecond)
 				socket.bytes.Store(0)
 				socket.packets.Store(0)
@@ -242,7 +244,7 @@
 	}
 }
 
-// The same frames over one TLS connection on TCP.
+// BenchmarkTCPRoundTrip measures the same frames over one TLS connection on TCP.
 func BenchmarkTCPRoundTrip(b *testing.B) {
 	x := newBench(b)
 	config := handshakeTLS(x.material, []string{Protocol})
@@ -288,7 +290,7 @@
 	}
 }
 
-// usedMemory is the heap and the stacks after a collection.
+// usedMemory returns the size of heap and stacks after a garbage collection.
 func usedMemory() (bytes uint64, goroutines int) {
 	runtime.GC()
 	runtime.GC()
@@ -297,8 +299,8 @@
 	return m.HeapAlloc + m.StackInuse, runtime.NumGoroutine()
 }
 
-// Memory of one idle connection, both of its sides together, beside the
-// endpoints themselves. Run with -benchtime=1x.
+// BenchmarkIdleConnection reports the memory of one idle connection, for both sides
+// together and without the endpoints themselves. Run with -benchtime=1x.
 func BenchmarkIdleConnection(b *testing.B) {
 	for _, n := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -329,9 +331,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// What connections cost that carry nothing, with and without an open session.
-// Processor time is that of both sides. The search for the packet size is over
-// once it has settled. Run with -benchtime=1x.
+// BenchmarkKeepalive reports the cost of connections without messages, with and
+// without an open session. Processor time is that of both sides. After the settle time
+// the search for the packet size has ended. Run with -benchtime=1x.
 func BenchmarkKeepalive(b *testing.B) {
 	const connections, span, settle = 200, 6 * time.Second, 8 * time.Second
 	for _, sessions := range []int{0, 1} {
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -14,33 +14,33 @@
 // A frame is the length of the rest as an unsigned varint, the length of the
 // kind as one byte, the kind, and the body in CBOR.
 const (
-	// DefaultMaxFrameBytes bounds a frame; it holds the largest body of a
-	// caller (8 MiB) with room for what travels beside it.
+	// DefaultMaxFrameBytes is the largest frame; it holds the largest body of a
+	// caller (8 MiB) and leaves room for the message's other fields.
 	DefaultMaxFrameBytes = 16 << 20
-	// maxKindBytes bounds the name of a kind.
+	// maxKindBytes is the longest name of a kind.
 	maxKindBytes = 64
 	// maxLengthBytes bounds the varint of a frame's length, whose bytes carry
 	// lengthShift bits each.
 	maxLengthBytes = 5
 	lengthShift    = 7
 	lengthBits     = 1<<lengthShift - 1
-	// readStep is how much of a frame is allocated before its bytes arrive.
+	// readStep is how many bytes of a frame are allocated before they arrive.
 	readStep = 64 << 10
 )
 
-// Codec turns messages into frames and back.
+// Codec encodes messages as frames and decodes them.
 type Codec struct {
-	// MaxFrameBytes bounds a frame in both directions; zero means
+	// MaxFrameBytes is the largest frame in both directions; zero means
 	// DefaultMaxFrameBytes.
 	MaxFrameBytes int
 }
 
 var encodeMode, decodeMode = modes()
 
-// modes panics only if its constants contradict each other. Text that is not
-// valid UTF-8 is let through: an engine may cut a character in two between
-// two parts, and a decoder that refuses it would end the session in the
-// middle of an answer.
+// modes returns the modes of the encoder and the decoder. It panics only if the
+// options contradict each other. Text that is not valid UTF-8 is accepted: an engine
+// may split a character between two parts, and a decoder that refused it would end
+// the session in the middle of an answer.
 func modes() (cbor.EncMode, cbor.DecMode) {
 	encode, err := cbor.EncOptions{}.EncMode()
 	if err != nil {
@@ -53,7 +53,7 @@
 	return encode, decode
 }
 
-func (c Codec) bound() int {
+func (c Codec) maxFrameBytes() int {
 	if c.MaxFrameBytes <= 0 {
 		return DefaultMaxFrameBytes
 	}
@@ -68,8 +68,8 @@
 		return b, errorf(CodeGarbled, "", err, "encode %s", kind)
 	}
 	length := 1 + len(kind) + len(body)
-	if length > c.bound() {
-		return b, errorf(CodeTooLarge, "", nil, "%s of %d bytes, allowed are %d", kind, length, c.bound())
+	if length > c.maxFrameBytes() {
+		return b, errorf(CodeTooLarge, "", nil, "%s of %d bytes exceeds the limit of %d", kind, length, c.maxFrameBytes())
 	}
 	b = binary.AppendUvarint(b, uint64(length))
 	b = append(b, byte(len(kind)))
@@ -77,22 +77,22 @@
 	return append(b, body...), nil
 }
 
-// Reader is what Read reads frames from, such as a *bufio.Reader.
+// Reader is the source from which Read reads frames, such as a *bufio.Reader.
 type Reader interface {
 	io.Reader
 	io.ByteReader
 }
 
-// Read reads one frame. It returns io.EOF only at the end before a frame, and
-// otherwise an *Error with CodeTooLarge, CodeUnknownKind or CodeGarbled, or
-// the error of r.
+// Read reads one frame. It returns io.EOF only if r ends before a frame begins, and
+// otherwise an *Error with CodeTooLarge, CodeUnknownKind or CodeGarbled, or the
+// error of r.
 func (c Codec) Read(r Reader) (message.Message, error) {
 	length, err := readLength(r)
 	if err != nil {
 		return nil, err
 	}
-	if length > uint64(c.bound()) {
-		return nil, errorf(CodeTooLarge, "", nil, "frame of %d bytes, allowed are %d", length, c.bound())
+	if length > uint64(c.maxFrameBytes()) {
+		return nil, errorf(CodeTooLarge, "", nil, "frame of %d bytes exceeds the limit of %d", length, c.maxFrameBytes())
 	}
 	frame, err := readFrame(r, int(length))
 	if err != nil {
@@ -101,14 +101,14 @@
 	return decodeFrame(frame)
 }
 
-// readLength reads an unsigned varint. It keeps io.EOF before the first byte,
-// which is a clean end, apart from a length that breaks off or is too long.
+// readLength reads an unsigned varint. It returns io.EOF before the first byte,
+// which is a clean end, and CodeGarbled for a length that is incomplete or too long.
 func readLength(r io.ByteReader) (uint64, error) {
 	var length uint64
 	for i := range maxLengthBytes {
 		b, err := r.ReadByte()
 		if errors.Is(err, io.EOF) && i > 0 {
-			return 0, errorf(CodeGarbled, "", io.ErrUnexpectedEOF, "frame length breaks off")
+			return 0, errorf(CodeGarbled, "", io.ErrUnexpectedEOF, "frame length is incomplete")
 		}
 		if err != nil {
 			return 0, err
@@ -118,12 +118,12 @@
 			return length, nil
 		}
 	}
-	return 0, errorf(CodeGarbled, "", nil, "frame length of over %d bytes", maxLengthBytes)
+	return 0, errorf(CodeGarbled, "", nil, "frame length is longer than %d bytes", maxLengthBytes)
 }
 
-// readFrame grows its buffer as the bytes arrive. A garbled length would
-// otherwise make a receiver allocate megabytes for a peer that sent four
-// bytes, and a thousand such sessions would end the process.
+// readFrame reads a frame into a buffer that grows as the bytes arrive. Otherwise a
+// corrupt length would make a receiver allocate megabytes for a peer that sent four
+// bytes, and a thousand such sessions would crash the process.
 func readFrame(r io.Reader, length int) ([]byte, error) {
 	frame := make([]byte, 0, min(length, readStep))
 	for len(frame) < length {
@@ -132,7 +132,7 @@
 		frame = slices.Grow(frame, step)[:have+step]
 		n, err := io.ReadFull(r, frame[have:])
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return nil, errorf(CodeGarbled, "", io.ErrUnexpectedEOF, "frame breaks off at %d of %d bytes", have+n, length)
+			return nil, errorf(CodeGarbled, "", io.ErrUnexpectedEOF, "frame ends after %d of %d bytes", have+n, length)
 		}
 		if err != nil {
 			return nil, err
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -12,19 +12,19 @@
 )
 
 func TestCodecRefuses(t *testing.T) {
-	whole, err := Codec{}.Append(nil, message.Part{Text: "abc"})
+	complete, err := Codec{}.Append(nil, message.Part{Text: "abc"})
 	is.New(t).NoErr(err)
 	cases := []struct {
 		name  string
 		bytes []byte
 		want  Code
 	}{
-		{"lengthBreaksOff", []byte{0x80}, CodeGarbled},
+		{"lengthIncomplete", []byte{0x80}, CodeGarbled},
 		{"lengthTooLong", []byte{0x80, 0x80, 0x80, 0x80, 0x80, 0x01}, CodeGarbled},
 		{"tooLarge", []byte{0xff, 0xff, 0xff, 0xff, 0x0f}, CodeTooLarge},
 		{"empty", []byte{0}, CodeGarbled},
-		{"frameBreaksOff", whole[:len(whole)-1], CodeGarbled},
-		{"kindBreaksOff", []byte{2, 4, 'p'}, CodeGarbled},
+		{"frameIncomplete", complete[:len(complete)-1], CodeGarbled},
+		{"kindIncomplete", []byte{2, 4, 'p'}, CodeGarbled},
 		{"kindTooLong", append([]byte{100, 99}, make([]byte, 99)...), CodeGarbled},
 		{"bodyMissing", []byte{5, 4, 'p', 'a', 'r', 't'}, CodeGarbled},
 		{"unknownKind", []byte{3, 1, 'x', 0xa0}, CodeUnknownKind},
@@ -42,8 +42,8 @@
 	is.New(t).True(errors.Is(err, io.EOF))
 }
 
-// Symptom: a four-byte frame makes the process allocate megabytes. Cause: the
-// announced length was believed before its bytes came.
+// Guards against a frame of four bytes that makes the process allocate megabytes,
+// because the announced length was trusted before the bytes arrived.
 func TestAnnouncedLengthIsNotAllocated(t *testing.T) {
 	i := is.New(t)
 	announced := []byte{0xff, 0xff, 0xff, 0x07} // 16 MiB - 1
@@ -56,8 +56,9 @@
 	i.True(bytesPerRun < 4*readStep)
 }
 
-// Every kind travels: its zero value comes back as the type it was.
-func TestEveryKindTravels(t *testing.T) {
+// TestEveryKindRoundTrips checks that the zero value of every kind is decoded as the
+// type that was encoded.
+func TestEveryKindRoundTrips(t *testing.T) {
 	for _, kind := range message.Kinds() {
 		i := is.New(t)
 		zero, err := message.DecodeBody(kind, []byte{0xa0}, decodeMode.Unmarshal)
@@ -97,7 +98,7 @@
 			t.Fatal(err)
 		}
 		if _, err := (Codec{}).Read(bytes.NewReader(again)); err != nil {
-			t.Fatalf("what was read can't be read again: %v", err)
+			t.Fatalf("a decoded message can't be decoded after encoding it again: %v", err)
 		}
 	})
 }
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -15,18 +15,18 @@
 	DefaultIdleAfter   = 5 * time.Minute
 	DefaultDialTimeout = 2 * time.Second
 	DefaultMaxSessions = 4096
-	// DefaultStreamWindow is how many bytes of one session may wait unread;
-	// it grows up to MaxStreamWindow while the receiver keeps up.
+	// DefaultStreamWindow is how many bytes of one session may be unread; the
+	// window grows up to MaxStreamWindow while the receiver keeps up.
 	DefaultStreamWindow        = 16 << 10
 	DefaultMaxStreamWindow     = 256 << 10
 	DefaultConnectionWindow    = 64 << 10
 	DefaultMaxConnectionWindow = 1 << 20
 )
 
-// ticksOfSilence divides the silence bound into the steps of the watcher.
-const ticksOfSilence = 6
+// ticksPerSilence is how many times within Silence each connection is checked.
+const ticksPerSilence = 6
 
-// Config sets an Endpoint. The zero value of each field but Credentials and
+// Config configures an Endpoint. The zero value of each field but Credentials and
 // Address is usable.
 type Config struct {
 	// Address is the IP:port of the UDP socket; port 0 picks a free one.
@@ -38,11 +38,11 @@
 	Credentials Credentials
 	// Handler serves the sessions that peers open; nil refuses them.
 	Handler Handler
-	// Logger takes what happens to connections; nil discards it.
+	// Logger logs events of connections; nil discards them.
 	Logger *slog.Logger
 	// Metrics counts sessions, connections and errors; nil counts nothing.
 	Metrics *Metrics
-	// Protocols are the versions spoken; empty means Protocol alone.
+	// Protocols are the supported protocol versions; empty means Protocol alone.
 	Protocols []string
 	// Codec bounds frames.
 	Codec Codec
@@ -53,14 +53,14 @@
 	// IdleAfter is how long a connection without sessions is kept; zero means
 	// DefaultIdleAfter.
 	IdleAfter time.Duration
-	// DialTimeout bounds the making of a connection; zero means
+	// DialTimeout is the timeout for establishing a connection; zero means
 	// DefaultDialTimeout.
 	DialTimeout time.Duration
 	// MaxSessions bounds the sessions that one peer has open here at a time;
 	// zero means DefaultMaxSessions. Its further Opens wait.
 	MaxSessions int64
 	// StreamWindow and ConnectionWindow are the bytes that a peer may send
-	// before they are read, at first and at most; zero means the defaults.
+	// before they are read, initially and at most; zero means the defaults.
 	StreamWindow        uint64
 	MaxStreamWindow     uint64
 	ConnectionWindow    uint64
@@ -84,10 +84,10 @@
 	return c
 }
 
-// quicConfig gives QUIC twice our idle bound: the dialling side must be the
-// one that ends an idle connection. Were the accepting side first, a session
-// opened in that moment would be lost with a connection that its opener still
-// held for good.
+// quicConfig sets the idle timeout of QUIC to twice IdleAfter, so that the dialling
+// side ends an idle connection first. If the accepting side ended it, a session that
+// is opened at that moment would be lost with a connection that its opener still
+// holds as usable.
 func (c Config) quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:           c.DialTimeout,
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -10,14 +10,14 @@
 
 // Datagrams between endpoints are one byte long.
 const (
-	// datagramPing asks for an acknowledgement.
+	// datagramPing makes the peer send an acknowledgement.
 	datagramPing byte = 1
-	// datagramBye tells that the sender stops: the receiver opens no more
-	// sessions on the connection and closes it after the last.
+	// datagramBye announces that the sender stops: the receiver opens no more
+	// sessions on the connection and closes it after the last one.
 	datagramBye byte = 2
 )
 
-// connection is one QUIC connection and the count of its sessions.
+// connection is one QUIC connection with the state of its sessions.
 type connection struct {
 	endpoint *Endpoint
 	quic     *quic.Conn
@@ -50,8 +50,8 @@
 	}, nil
 }
 
-// open opens a session. Nothing is sent before its first message. After a
-// failure that is not the caller's the connection is used no more.
+// open opens a session. Nothing is sent before its first message. After a failure
+// other than the end of ctx no more sessions are opened on the connection.
 func (c *connection) open(ctx context.Context) (*session, error) {
 	stream, err := c.quic.OpenStreamSync(ctx)
 	if err != nil && ctx.Err() == nil {
@@ -69,16 +69,16 @@
 	return translate(err, c.peer.Name)
 }
 
-func (c *connection) began() {
+func (c *connection) sessionStarted() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.health.began()
+	c.health.sessionStarted()
 }
 
-func (c *connection) ended() {
+func (c *connection) sessionEnded() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.health.ended(time.Now())
+	c.health.sessionEnded(time.Now())
 }
 
 // usable reports whether new sessions may be opened.
@@ -88,22 +88,22 @@
 	return !c.broken && !c.health.bye && c.quic.Context().Err() == nil
 }
 
-func (c *connection) judge(now time.Time, stopping bool) verdict {
+func (c *connection) check(now time.Time, stopping bool) verdict {
 	packets := c.quic.ConnectionStats().PacketsReceived
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	return c.health.judge(packets, now, stopping)
+	return c.health.check(packets, now, stopping)
 }
 
-// tick carries a verdict out.
+// tick checks the connection and carries the verdict out.
 func (c *connection) tick(now time.Time, stopping bool) {
-	switch c.judge(now, stopping) {
+	switch c.check(now, stopping) {
 	case verdictPing:
 		c.sendDatagram(datagramPing)
 	case verdictIdle:
 		c.close(connectionIdle, "idle")
 	case verdictSilent:
-		c.endpoint.config.Logger.Warn("peer is silent", "peer", c.peer.Name, "address", c.address)
+		c.endpoint.config.Logger.Warn("connection to peer timed out", "peer", c.peer.Name, "address", c.address)
 		c.endpoint.config.Metrics.Errors.WithLabelValues(string(CodeSilent)).Inc()
 		c.close(connectionSilent, "silent")
 	case verdictKeep:
@@ -114,7 +114,7 @@
 }
 
 func (c *connection) sendDatagram(kind byte) {
-	// A datagram that can't be sent belongs to a connection that has ended.
+	// Sending fails only if the connection has ended.
 	_ = c.quic.SendDatagram([]byte{kind})
 }
 
--- a/internal/peer/credentials.go
+++ b/internal/peer/credentials.go
@@ -12,14 +12,15 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Protocol is the application protocol and its version, agreed on in the TLS
-// handshake. Processes that share no version refuse each other.
+// Protocol is the application protocol and its version, negotiated in the TLS
+// handshake. Processes without a common version refuse each other.
 const Protocol = "oriolebend/1"
 
-// uriScheme marks the name in a certificate: oriolebend://role/name.
+// uriScheme is the scheme of the URI that names a process in its certificate:
+// oriolebend://role/name.
 const uriScheme = "oriolebend"
 
-// Identity is what a certificate says of a process.
+// Identity is the name and role of a process in its certificate.
 type Identity struct {
 	// Name is the node's name.
 	Name string
@@ -27,20 +28,20 @@
 	Role string
 }
 
-// Material is one process's certificate and the authority of its peers.
+// Material holds the certificate of a process and the authority of its peers.
 type Material struct {
 	Certificate tls.Certificate
-	// Authority signed the certificates of peers that are let in; nil lets in
-	// every peer under the name that its certificate gives.
+	// Authority signed the certificates of the peers that are accepted; nil
+	// accepts every peer under the name in its certificate.
 	Authority *x509.CertPool
 }
 
-// Credentials give the material to use for the next handshake.
+// Credentials provides the material for the next handshake.
 type Credentials interface {
 	Material() Material
 }
 
-// Fixed are credentials that never change.
+// Fixed is a Credentials whose material never changes.
 type Fixed Material
 
 // Material implements Credentials.
@@ -66,8 +67,8 @@
 	return &url.URL{Scheme: uriScheme, Host: i.Role, Path: "/" + i.Name}
 }
 
-// serverTLS reads the credentials anew for each handshake, so that a reload
-// reaches the next connection.
+// serverTLS reads the credentials for each handshake, so that the next connection
+// uses reloaded ones.
 func serverTLS(c Credentials, protocols []string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -78,9 +79,9 @@
 	}
 }
 
-// handshakeTLS is the same on both sides. Peers are dialled by address and
-// their names are not known before, so the library's check of the host name is
-// replaced by verify, which checks authority and time and demands a name.
+// handshakeTLS returns the configuration that both sides use. Peers are dialled by
+// address and their names are not known before, so verify replaces the library's
+// check of the host name: it checks authority and validity period and requires a name.
 func handshakeTLS(m Material, protocols []string) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -96,9 +97,9 @@
 	}
 }
 
-// curves are the key exchanges to use, nil for the library's own choice. Where every peer is
-// let in, one that withstands quantum computers protects nothing and only makes handshakes
-// longer, of which hundreds of processes that start together have many.
+// curves returns the key exchanges to use, nil for the library's default. Where every peer is
+// accepted, a post-quantum key exchange protects nothing and only makes handshakes more
+// expensive; hundreds of processes that start at the same moment carry out many of them.
 func curves(m Material) []tls.CurveID {
 	if m.Authority != nil {
 		return nil
@@ -145,10 +146,10 @@
 	return errorf(CodeWrongAuthority, name, err, "issued by %q", leaf.Issuer)
 }
 
-// resetKey derives the key of stateless resets from the private key. A process
-// that restarts with another key could not tell its peers that it has
-// forgotten their connections; their next sessions would then hang until the
-// silence bound instead of failing at once.
+// resetKey derives the key of stateless resets from the private key. A process that
+// restarts with another key could not reset its peers' old connections; their next
+// sessions would then hang until the connection times out instead of failing
+// immediately.
 func resetKey(m Material) *quic.StatelessResetKey {
 	encoded, err := x509.MarshalPKCS8PrivateKey(m.Certificate.PrivateKey)
 	if err != nil {
--- a/internal/peer/endpoint.go
+++ b/internal/peer/endpoint.go
@@ -13,13 +13,13 @@
 	"github.com/quic-go/quic-go"
 )
 
-// maxOpenTries is how many connections an Open tries. A connection may end
-// between its choice and the session's start; nothing was sent then, so that
-// another one can be dialled safely.
+// maxOpenTries is how many connections an Open tries. A connection may end between
+// its selection and the start of the session; nothing was sent in that case, so
+// another connection can be dialled safely.
 const maxOpenTries = 2
 
-// Endpoint is one process's UDP socket towards its peers: it accepts their
-// sessions and dials theirs. It implements Dialer.
+// Endpoint is the UDP socket of one process for its peers: it accepts the sessions
+// that they open and opens sessions with them. It implements Dialer.
 type Endpoint struct {
 	config    Config
 	transport *quic.Transport
@@ -37,8 +37,8 @@
 	closed      bool
 }
 
-// Listen opens the socket and begins to accept sessions. It returns an *Error
-// with CodeAddress if the address is malformed or taken.
+// Listen opens the socket and starts accepting sessions. It returns an *Error with
+// CodeAddress if the address is malformed or in use.
 func Listen(c Config) (*Endpoint, error) {
 	c = c.withDefaults()
 	socket, err := listenUDP(c)
@@ -59,7 +59,7 @@
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	e.pool = newPool(e.dial)
 	e.tasks.Go(e.accept)
-	e.tasks.Go(e.watch)
+	e.tasks.Go(e.checkConnections)
 	return e, nil
 }
 
@@ -78,20 +78,20 @@
 	return socket, nil
 }
 
-// Address is the IP:port that the endpoint listens on.
+// Address returns the IP:port that the endpoint listens on.
 func (e *Endpoint) Address() string {
 	return e.transport.Conn.LocalAddr().String()
 }
 
-// Open implements Dialer. The first message of a session may meet a
-// connection whose peer has restarted since; the session then ends with
-// CodeLost, and the next Open dials anew.
+// Open implements Dialer. A session may be opened on a connection whose peer has
+// restarted meanwhile; the session then ends with CodeLost after its first message,
+// and the next Open dials again.
 func (e *Endpoint) Open(ctx context.Context, address string) (Stream, error) {
 	if e.stopping.Load() {
 		return nil, errorf(CodeStopping, address, nil, "this process is stopping")
 	}
 	for try := 1; ; try++ {
-		c, err := e.pool.take(ctx, address)
+		c, err := e.pool.get(ctx, address)
 		if err != nil {
 			return nil, err
 		}
@@ -109,7 +109,7 @@
 	}
 }
 
-// dial makes a connection; the pool calls it once for all that wait.
+// dial establishes a connection; the pool calls it once for all callers that wait.
 func (e *Endpoint) dial(address string) (*connection, error) {
 	target, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -118,7 +118,7 @@
 	ctx, cancel := context.WithTimeout(e.ctx, e.config.DialTimeout)
 	defer cancel()
 	config := handshakeTLS(e.config.Credentials.Material(), e.config.Protocols)
-	// The library demands a host name; verify does not look at it.
+	// The library requires a host name; verify ignores it.
 	config.ServerName = target.Addr().String()
 	q, err := e.transport.Dial(ctx, net.UDPAddrFromAddrPort(target), config, e.config.quicConfig())
 	if err != nil {
@@ -129,7 +129,7 @@
 		_ = q.CloseWithError(connectionRefused, "certificate")
 		return nil, err
 	}
-	if !e.keep(c) {
+	if !e.track(c) {
 		return nil, errorf(CodeStopping, address, nil, "this process is stopping")
 	}
 	return c, nil
@@ -144,10 +144,10 @@
 	return typed
 }
 
-// keep watches a connection until it ends. It returns false, and ends the
-// connection, if the endpoint was closed meanwhile: a dial that completes
-// beside Close would otherwise leave a connection that nobody ever ends.
-func (e *Endpoint) keep(c *connection) bool {
+// track registers a connection until it ends. If the endpoint was closed meanwhile,
+// it closes the connection and returns false: otherwise a dial that completes during
+// Close would leave a connection that is never closed.
+func (e *Endpoint) track(c *connection) bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	if e.closed {
@@ -161,11 +161,11 @@
 	}
 	e.config.Metrics.Connections.WithLabelValues(c.side).Inc()
 	e.config.Logger.Debug("connected", "peer", c.peer.Name, "address", c.address, "side", c.side)
-	context.AfterFunc(c.quic.Context(), func() { e.forget(c) })
+	context.AfterFunc(c.quic.Context(), func() { e.untrack(c) })
 	return true
 }
 
-func (e *Endpoint) forget(c *connection) {
+func (e *Endpoint) untrack(c *connection) {
 	e.lock.Lock()
 	delete(e.connections, c)
 	e.lock.Unlock()
@@ -174,7 +174,7 @@
 		"side", c.side, "cause", context.Cause(c.quic.Context()))
 }
 
-func (e *Endpoint) kept() []*connection {
+func (e *Endpoint) tracked() []*connection {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	list := make([]*connection, 0, len(e.connections))
@@ -196,7 +196,7 @@
 			_ = q.CloseWithError(connectionRefused, err.Error())
 			continue
 		}
-		e.keep(c)
+		e.track(c)
 	}
 }
 
@@ -217,8 +217,8 @@
 	}
 }
 
-// handle contains a panic of the handler: one broken session must not take
-// the process's other sessions with it. The peer sees a reset.
+// handle runs the handler and recovers its panics, so that one session can't crash
+// the process with its other sessions. The peer sees a reset.
 func (e *Endpoint) handle(s *session) {
 	defer func() { _ = s.Close() }()
 	defer func() {
@@ -230,9 +230,9 @@
 	e.config.Handler(s.Context(), s)
 }
 
-// watch looks at each connection every tick.
-func (e *Endpoint) watch() {
-	ticker := time.NewTicker(e.config.Silence / ticksOfSilence)
+// checkConnections checks each connection at every tick.
+func (e *Endpoint) checkConnections() {
+	ticker := time.NewTicker(e.config.Silence / ticksPerSilence)
 	defer ticker.Stop()
 	for {
 		select {
@@ -240,19 +240,19 @@
 			return
 		case now := <-ticker.C:
 			stopping := e.stopping.Load()
-			for _, c := range e.kept() {
+			for _, c := range e.tracked() {
 				c.tick(now, stopping)
 			}
 		}
 	}
 }
 
-// Stop ends the endpoint gracefully: it takes no new sessions, waits until
-// the open ones have ended on both sides, and then closes the socket. When ctx
-// ends first it cuts what is left and returns an *Error with CodeCancelled.
+// Stop shuts the endpoint down gracefully: it accepts no new sessions, waits until
+// the open ones have ended on both sides, and then closes the socket. If ctx ends
+// first, it aborts the remaining sessions and returns an *Error with CodeCancelled.
 func (e *Endpoint) Stop(ctx context.Context) error {
 	e.stopping.Store(true)
-	connections := e.kept()
+	connections := e.tracked()
 	for _, c := range connections {
 		c.sendDatagram(datagramBye)
 	}
@@ -260,19 +260,19 @@
 		select {
 		case <-c.quic.Context().Done():
 		case <-ctx.Done():
-			return errors.Join(errorf(CodeCancelled, "", ctx.Err(), "sessions were cut by the stop"), e.Close())
+			return errors.Join(errorf(CodeCancelled, "", ctx.Err(), "stop aborted open sessions"), e.Close())
 		}
 	}
 	return e.Close()
 }
 
-// Close ends the endpoint at once and cuts its sessions.
+// Close closes the endpoint immediately and aborts its sessions.
 func (e *Endpoint) Close() error {
 	e.stopping.Store(true)
 	e.lock.Lock()
 	e.closed = true
 	e.lock.Unlock()
-	for _, c := range e.kept() {
+	for _, c := range e.tracked() {
 		c.close(connectionStopping, "stopping")
 	}
 	e.cancel()
@@ -286,7 +286,7 @@
 	return nil
 }
 
-// Connections counts the connections that are open, in both directions.
+// Connections returns the number of open connections, in both directions.
 func (e *Endpoint) Connections() int {
-	return len(e.kept())
+	return len(e.tracked())
 }
--- a/internal/peer/endpoint_test.go
+++ b/internal/peer/endpoint_test.go
@@ -9,7 +9,7 @@
 	"github.com/oriolebend/oriolebend/internal/peer/peercontract"
 )
 
-// site makes processes that one authority signed for.
+// site creates processes whose certificates one authority signed.
 type site struct {
 	authority *peer.Authority
 }
@@ -49,7 +49,7 @@
 	})
 }
 
-// A control VM that lists itself among the members dials its own socket.
+// A control VM that is listed among its own members dials its own socket.
 func TestProcessReachesItself(t *testing.T) {
 	e := newSite(t).listen(t, "control-1", nil)
 	echoOnce(t, e, e.Address())
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -9,25 +9,25 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Code says why a session, connection or certificate failed. It is the same
-// word in log lines and counter labels.
+// Code is the reason why a session, connection or certificate failed. Log lines and
+// metric labels use the same text.
 type Code string
 
 // Codes of sessions.
 const (
 	CodeClosed      Code = "closed"      // this side closed the session
-	CodePeerClosed  Code = "peerClosed"  // the peer closed the session and reads no more
-	CodeReset       Code = "reset"       // the peer gave the session up before its end
-	CodeStopping    Code = "stopping"    // the peer, or this process, takes no new sessions
+	CodePeerClosed  Code = "peerClosed"  // the peer closed the session and reads no further messages
+	CodeReset       Code = "reset"       // the peer aborted the session before its end
+	CodeStopping    Code = "stopping"    // the peer, or this process, accepts no new sessions
 	CodeLost        Code = "lost"        // the connection broke or the peer restarted
-	CodeSilent      Code = "silent"      // the peer sent nothing for the silence bound
-	CodeTooLarge    Code = "tooLarge"    // a frame is over the bound
+	CodeSilent      Code = "silent"      // the peer sent nothing for Config.Silence
+	CodeTooLarge    Code = "tooLarge"    // a frame exceeds the size limit
 	CodeUnknownKind Code = "unknownKind" // a frame's kind is not registered
-	CodeGarbled     Code = "garbled"     // a frame can't be read
+	CodeGarbled     Code = "garbled"     // a frame can't be decoded
 	CodeDenied      Code = "denied"      // the peer's role may not open such a session
-	CodeUnreachable Code = "unreachable" // no connection could be made
-	CodeVersion     Code = "version"     // the peer speaks no protocol version of ours
-	CodeAddress     Code = "address"     // the address is no IP:port, or can't be listened on
+	CodeUnreachable Code = "unreachable" // no connection could be established
+	CodeVersion     Code = "version"     // the peer supports no protocol version of this process
+	CodeAddress     Code = "address"     // the address is not IP:port, or can't be listened on
 	CodeCancelled   Code = "cancelled"   // the context ended first
 )
 
@@ -36,20 +36,20 @@
 	CodeMissingFile    Code = "missingFile"    // a file of the certificate can't be read
 	CodeMalformedFile  Code = "malformedFile"  // a file holds no PEM of the kind expected
 	CodeKeyMismatch    Code = "keyMismatch"    // the private key is not the certificate's
-	CodeExpired        Code = "expired"        // the certificate's time is over or not begun
-	CodeWrongAuthority Code = "wrongAuthority" // the certificate is not signed by our authority
+	CodeExpired        Code = "expired"        // the certificate has expired or is not valid yet
+	CodeWrongAuthority Code = "wrongAuthority" // the certificate is not signed by the configured authority
 	CodeNoName         Code = "noName"         // the certificate names no node
-	CodeRefused        Code = "refused"        // the peer refused our certificate
+	CodeRefused        Code = "refused"        // the peer refused this process's certificate
 )
 
-// Error is the typed error of this package.
+// Error is the error type of this package.
 type Error struct {
 	Code Code
 	// Peer is the name or address of the other side, if known.
 	Peer string
-	// Detail is one sentence for a person.
+	// Detail describes the failure or the operation that failed.
 	Detail string
-	// Cause is the error beneath, if any.
+	// Cause is the wrapped error, if any.
 	Cause error
 }
 
@@ -68,7 +68,7 @@
 	return text
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the wrapped error.
 func (e *Error) Unwrap() error {
 	return e.Cause
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// CodeOf returns the code of an error of this package, or "" for others.
+// CodeOf returns the code of an *Error, or "" for other errors.
 func CodeOf(err error) Code {
 	if typed, ok := errors.AsType[*Error](err); ok {
 		return typed.Code
@@ -107,7 +107,7 @@
 	connectionRefused  quic.ApplicationErrorCode = 4
 )
 
-// TLS alerts travel in QUIC as transport errors from alertBase on.
+// QUIC reports TLS alerts as transport errors whose codes start at alertBase.
 const (
 	alertBase               = 0x100
 	alertBadCertificate     = 42
@@ -116,7 +116,7 @@
 	alertNoProtocol         = 120
 )
 
-// translate turns an error of the QUIC library into an *Error.
+// translate converts an error of the QUIC library into an *Error.
 func translate(err error, peer string) error {
 	if err == nil {
 		return nil
--- a/internal/peer/faults_test.go
+++ b/internal/peer/faults_test.go
@@ -16,7 +16,7 @@
 	"github.com/oriolebend/oriolebend/internal/peer"
 )
 
-// bogus is a message whose body does not fit its kind.
+// bogus is a message whose body does not match its kind.
 type bogus struct {
 	AsKind  message.Kind `cbor:"-"`
 	Attempt string       `cbor:"attempt"`
@@ -27,11 +27,11 @@
 
 const quickSilence = 300 * time.Millisecond
 
-// quick makes a silent peer known soon.
+// quick shortens the time until a connection without packets times out.
 func quick(c *peer.Config) { c.Silence = quickSilence }
 
-// Symptom: one bad frame ends the process, or is taken for something else.
-// Cause: bytes from a peer were trusted.
+// Guards against a bad frame that crashes the process or is read as another message,
+// because the bytes of a peer were trusted.
 func TestBadFrames(t *testing.T) {
 	large := message.Prefill{Prompt: strings.Repeat("x", 2<<10)}
 	cases := []struct {
@@ -68,7 +68,7 @@
 			err = session.Send(c.m)
 			if c.gateCode == "" || peer.CodeOf(err) != peer.CodeReset {
 				// A gate that refuses a frame by its first bytes may have reset the
-				// session before the rest of it was sent.
+				// session before the rest of the frame was sent.
 				i.Equal(peer.CodeOf(err), c.sendCode)
 			}
 			if c.gateCode == "" {
@@ -96,8 +96,8 @@
 	i.NoErr(s.Close())
 }
 
-// Symptom: a process of another site, or an old one, is taken for one of
-// ours, or the refusal does not say why.
+// Guards against accepting a process of another site or with another protocol version,
+// and against a refusal without its reason.
 func TestRefusedPeers(t *testing.T) {
 	ours, other := newSite(t), newSite(t)
 	issue := func(s site, life time.Duration) peer.Credentials {
@@ -132,7 +132,7 @@
 			})
 			entry := ours.listen(t, "entry", c.edit)
 			s, err := entry.Open(t.Context(), gate.Address())
-			if err == nil { // the gate may refuse only after the opener is done
+			if err == nil { // the gate may refuse only after the opener has finished its handshake
 				_ = s.Send(message.Release{})
 				_, err = s.Receive()
 			}
@@ -142,7 +142,7 @@
 	}
 }
 
-// Symptom: an outdated or foreign server is believed. The opener checks too.
+// Guards against an opener that accepts an expired certificate: both sides must check.
 func TestOpenerRefusesExpiredPeer(t *testing.T) {
 	i := is.New(t)
 	s := newSite(t)
@@ -162,7 +162,7 @@
 	echoOnce(t, s.listen(t, "entry", nil), gate.Address())
 }
 
-// mutable is a socket whose sent packets can be dropped, like a cut link.
+// mutable is a socket whose sent packets can be dropped, as in a network partition.
 type mutable struct {
 	net.PacketConn
 	mute atomic.Bool
@@ -182,10 +182,9 @@
 	return &mutable{PacketConn: c}
 }
 
-// Symptom: an entry waits for ever for a gate that is gone. Sequence: the
-// gate's VM is cut off between two parts; no packet tells of it. Cause: an
-// open session was not watched.
-func TestSilentPeerIsNoticedOnBothSides(t *testing.T) {
+// Guards against an entry that waits forever for an unreachable gate: the gate's VM is
+// partitioned between two parts, no packet reports it, and open sessions were not checked.
+func TestSilentPeerTimesOutOnBothSides(t *testing.T) {
 	i := is.New(t)
 	s := newSite(t)
 	socket := newMutable(t)
@@ -217,8 +216,8 @@
 	echoOnce(t, entry, gate.Address())
 }
 
-// Symptom: sessions that think for long are cut. Cause: an open session
-// without messages was taken for a silent peer.
+// Guards against aborting sessions whose answers take long: an open session without
+// messages was treated as a peer that timed out.
 func TestQuietSessionIsKept(t *testing.T) {
 	s := newSite(t)
 	gate := s.listen(t, "gate", func(c *peer.Config) {
@@ -233,11 +232,10 @@
 	echoOnce(t, entry, gate.Address())
 }
 
-// Symptom: after a gate's restart every first session to it hangs until the
-// silence bound. Sequence: the gate restarts on its address; the entry still
-// holds the connection. Cause: the new process could not tell that it has
-// forgotten the old one's connections.
-func TestRestartedPeerIsDialledAnew(t *testing.T) {
+// Guards against first sessions that hang until the connection times out after a gate
+// restarted on the same address: the entry still holds the old connection, and the new
+// process could not reset the connections of the old one.
+func TestRestartedPeerIsDialledAgain(t *testing.T) {
 	i := is.New(t)
 	s := newSite(t)
 	material, err := s.authority.Issue(peer.Identity{Name: "gate", Role: "sidecar"})
@@ -251,7 +249,7 @@
 	gate := s.listen(t, "gate", func(c *peer.Config) { edit(c); c.Socket = socket })
 	entry := s.listen(t, "entry", func(c *peer.Config) { c.Silence = time.Hour })
 	echoOnce(t, entry, address)
-	socket.mute.Store(true) // it dies without a word
+	socket.mute.Store(true) // the process ends without a packet
 	i.NoErr(gate.Close())
 	s.listen(t, "gate", edit)
 	session, err := entry.Open(t.Context(), address)
@@ -263,8 +261,8 @@
 	echoOnce(t, entry, address)
 }
 
-// Symptom: a process that is gone keeps its peers from others, or a lost dial
-// is remembered. Cause: a failed dial stayed in the pool.
+// Guards against an unreachable process that blocks connections to other processes, and
+// against a failed dial that stays in the pool.
 func TestUnreachablePeer(t *testing.T) {
 	i := is.New(t)
 	s := newSite(t)
@@ -277,8 +275,8 @@
 	echoOnce(t, s.listen(t, "entry", nil), address)
 }
 
-// Symptom: connections that nobody uses pile up. Cause: they were kept for
-// good. They are ended by the side that dialled them.
+// Guards against unused connections that are kept forever. The side that dialled a
+// connection closes it.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	s := newSite(t)
 	gate := s.listen(t, "gate", nil)
@@ -293,9 +291,8 @@
 	echoOnce(t, entry, gate.Address())
 }
 
-// Symptom: a planned stop cuts an answer. Sequence: the gate is told to stop
-// while it streams. Cause: the socket was closed before the last part was
-// delivered.
+// Guards against a graceful stop that truncates an answer: the gate is stopped while it
+// streams, and its socket was closed before the last part was delivered.
 func TestStopLetsSessionsEnd(t *testing.T) {
 	i := is.New(t)
 	const messages = 100
@@ -363,7 +360,7 @@
 	i.Equal(peer.CodeOf(err), peer.CodeStopping)
 }
 
-// Symptom: one broken session ends the process with all others.
+// Guards against a panic in one session that ends the process with all its sessions.
 func TestHandlerPanicResetsItsSession(t *testing.T) {
 	i := is.New(t)
 	s := newSite(t)
@@ -397,7 +394,7 @@
 	}
 }
 
-func TestIdentityTravels(t *testing.T) {
+func TestIdentityOfPeer(t *testing.T) {
 	i := is.New(t)
 	s := newSite(t)
 	gate := s.listen(t, "gate", nil)
--- a/internal/peer/files.go
+++ b/internal/peer/files.go
@@ -13,21 +13,21 @@
 	"time"
 )
 
-// DefaultReloadEvery is how often Watch looks at the files.
+// DefaultReloadEvery is how often Watch checks the files by default.
 const DefaultReloadEvery = 5 * time.Second
 
 // Files names the PEM files of a process's certificate.
 type Files struct {
-	// Certificate holds the process's certificate and, behind it, those
-	// between it and the authority, if any.
+	// Certificate holds the process's certificate, followed by the intermediate
+	// certificates, if any.
 	Certificate string
 	Key         string
 	// Authority holds the certificates of the authorities whose peers are
-	// let in; two of them while one replaces the other.
+	// accepted; two of them while one replaces the other.
 	Authority string
 }
 
-// FileCredentials are credentials that follow files.
+// FileCredentials is a Credentials that reads its material from files and reloads it.
 type FileCredentials struct {
 	files Files
 
@@ -36,7 +36,8 @@
 	stamps   stamps
 }
 
-// stamps tells a file's versions apart; a time alone would miss a file that
+// stamps identifies the versions of the three files by modification time and size.
+// Versions are compared for equality: a check for a later time would miss a file that
 // was replaced by an older one.
 type stamps [3]stamp
 
@@ -45,8 +46,7 @@
 	size     int64
 }
 
-// LoadFiles reads the files and checks that they fit each other. Its *Error
-// has CodeMissingFile, CodeMalformedFile, CodeKeyMismatch, CodeExpired,
+// LoadFiles reads the files and checks that they match. Its *Error has CodeMissingFile, CodeMalformedFile, CodeKeyMismatch, CodeExpired,
 // CodeWrongAuthority or CodeNoName.
 func LoadFiles(f Files) (*FileCredentials, error) {
 	c := &FileCredentials{files: f}
@@ -63,11 +63,11 @@
 	return c.material
 }
 
-// Name is the file of the process's certificate.
+// Name returns the file name of the process's certificate.
 func (c *FileCredentials) Name() string { return c.files.Certificate }
 
-// Reload reads the files again. After an error the earlier material stays in
-// use. Connections that are open keep the certificate that they began with.
+// Reload reads the files again. After an error the previous material stays in use.
+// Open connections keep the certificate that they were established with.
 func (c *FileCredentials) Reload() error {
 	seen := c.files.stamps()
 	material, err := c.files.read()
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// Watch reloads the files after they changed, until ctx ends; every zero
-// means DefaultReloadEvery. A pair that is replaced file by file does not fit
-// for a moment; it is taken up once it does.
+// Watch reloads the files after they changed, until ctx ends; every is the interval
+// between checks, zero means DefaultReloadEvery. A pair that is replaced file by file
+// does not match for a moment; it is applied once it does.
 func (c *FileCredentials) Watch(ctx context.Context, every time.Duration, logger *slog.Logger) {
 	ticker := time.NewTicker(cmp.Or(every, DefaultReloadEvery))
 	defer ticker.Stop()
@@ -104,10 +104,10 @@
 		return
 	}
 	if err := c.Reload(); err != nil {
-		logger.Warn("certificate not taken up", "error", err)
+		logger.Warn("certificate not reloaded", "error", err)
 		return
 	}
-	logger.Info("certificate taken up", "file", c.files.Certificate)
+	logger.Info("certificate reloaded", "file", c.files.Certificate)
 }
 
 func (f Files) stamps() stamps {
@@ -137,12 +137,12 @@
 	for _, root := range roots {
 		pool.AddCert(root)
 	}
-	return f.fit(chain, key, pool)
+	return f.verifyPair(chain, key, pool)
 }
 
-// fit checks the pair as a peer with the same authority would, so that a
-// wrong file is reported here and not by each peer's refusal.
-func (f Files) fit(chain []*x509.Certificate, key crypto.Signer, pool *x509.CertPool) (Material, error) {
+// verifyPair checks the pair as a peer with the same authority would, so that a wrong file is
+// reported here and not by the refusals of peers.
+func (f Files) verifyPair(chain []*x509.Certificate, key crypto.Signer, pool *x509.CertPool) (Material, error) {
 	leaf := chain[0]
 	identity, err := IdentityOfCertificate(leaf)
 	if err != nil {
@@ -150,7 +150,7 @@
 	}
 	public, ok := leaf.PublicKey.(interface{ Equal(crypto.PublicKey) bool })
 	if !ok || !public.Equal(key.Public()) {
-		return Material{}, errorf(CodeKeyMismatch, identity.Name, nil, "%s does not hold the key of %s", f.Key, f.Certificate)
+		return Material{}, errorf(CodeKeyMismatch, identity.Name, nil, "%s does not hold the private key of %s", f.Key, f.Certificate)
 	}
 	if err := verifyChain(leaf, chain[1:], pool, identity.Name); err != nil {
 		return Material{}, err
@@ -164,7 +164,7 @@
 
 func readFile(name string) ([]byte, error) {
 	if name == "" {
-		return nil, errorf(CodeMissingFile, "", nil, "no file is named")
+		return nil, errorf(CodeMissingFile, "", nil, "file name is empty")
 	}
 	data, err := os.ReadFile(name)
 	if err != nil {
--- a/internal/peer/files_test.go
+++ b/internal/peer/files_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// issued makes a folder with an authority and pairs for a and b.
+// issued creates a folder with an authority and pairs for a and b.
 func issued(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -83,9 +83,9 @@
 	is.New(t).Equal(peer.CodeOf(err), peer.CodeMissingFile)
 }
 
-// Symptom: a renewed certificate takes a restart, or a pair that is half
-// replaced ends the process. Sequence: the certificate is replaced, then its
-// key. The earlier pair stays in use between the two.
+// Guards against a renewed certificate that is used only after a restart, and against a
+// partially replaced pair that ends the process: the certificate is replaced before its
+// key, and the previous pair must stay in use until both match.
 func TestReload(t *testing.T) {
 	i := is.New(t)
 	dir := issued(t)
@@ -109,8 +109,8 @@
 	}
 }
 
-// Symptom: after a certificate's renewal new connections still carry the old
-// one, until it expires. Cause: the endpoint kept what it began with.
+// Guards against new connections that use the old certificate until it expires after a
+// renewal, because the endpoint kept the credentials that it started with.
 func TestReloadReachesNextConnection(t *testing.T) {
 	i := is.New(t)
 	dir := issued(t)
@@ -127,8 +127,8 @@
 	i.Equal(peer.IdentityOf(session).Role, "control")
 }
 
-// Symptom: every process refuses every other after keys were made for one
-// more. Cause: a lost authority was silently replaced by a new one.
+// Guards against processes that refuse each other after keys were issued for one more
+// process, because a lost authority was silently replaced by a new one.
 func TestAuthorityIsKept(t *testing.T) {
 	i := is.New(t)
 	dir := issued(t)
--- a/internal/peer/health.go
+++ b/internal/peer/health.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// verdict is what the watcher does with a connection.
+// verdict is the action to take on a connection after a check.
 type verdict string
 
 const (
@@ -12,80 +12,81 @@
 	verdictIdle   verdict = "idle"
 )
 
-// quietTicks is how many ticks a connection may be quiet before it is pinged.
-// It leaves three pings before the silence bound, so that two of them may be
+// pingAfterTicks is how many ticks without a packet pass before a connection is pinged.
+// Three pings are sent before the connection times out, so that two of them may be
 // lost.
-const quietTicks = ticksOfSilence - 4
+const pingAfterTicks = ticksPerSilence - 4
 
-// byeLinger is longer than a round trip between regions.
-const byeLinger = 200 * time.Millisecond
+// byeCloseDelay is how long a connection stays open after its last session once the peer
+// stops. It is longer than a round trip between regions.
+const byeCloseDelay = 200 * time.Millisecond
 
-// health is what the watcher knows of a connection.
+// health is the state that decides whether a connection is kept, pinged or closed.
 type health struct {
 	dialled   bool
 	idleAfter time.Duration
-	// sessions counts those that this side has not closed yet.
+	// sessions counts the sessions that this side has not closed yet.
 	sessions  int
 	idleSince time.Time
-	// bye is true once the peer stops.
+	// bye is true once the peer has announced that it stops.
 	bye bool
-	// packets is the number received until the last tick, and silent how many
-	// ticks it has stood still.
-	packets uint64
-	silent  int
+	// packets is the number of packets received until the last tick, quietTicks the
+	// number of ticks since the last packet.
+	packets    uint64
+	quietTicks int
 }
 
-// began counts a session. What was silent before the first one is forgotten:
-// nobody asked the peer to speak.
-func (h *health) began() {
+// sessionStarted counts a session. Ticks without a packet before the first session don't
+// count, since the peer had no reason to send then.
+func (h *health) sessionStarted() {
 	h.sessions++
 	if h.sessions == 1 {
-		h.silent = 0
+		h.quietTicks = 0
 	}
 }
 
-func (h *health) ended(now time.Time) {
+func (h *health) sessionEnded(now time.Time) {
 	h.sessions--
 	h.idleSince = now
 }
 
-// judge is called at each tick with the number of packets received so far.
-// Ticks are counted rather than time, so that a process that was itself
-// paused hears its peers before it calls them silent.
-func (h *health) judge(packets uint64, now time.Time, stopping bool) verdict {
-	heard := packets != h.packets
+// check is called at each tick with the number of packets received so far, and
+// returns the action to take. It counts ticks, not time, so that a process that was
+// itself paused receives packets of its peers before it closes their connections.
+func (h *health) check(packets uint64, now time.Time, stopping bool) verdict {
+	received := packets != h.packets
 	h.packets = packets
-	if heard {
-		h.silent = 0
+	if received {
+		h.quietTicks = 0
 	} else {
-		h.silent++
+		h.quietTicks++
 	}
 	switch {
 	case h.sessions == 0 && h.bye:
-		return h.judgeBye(now)
+		return h.checkBye(now)
 	case h.sessions == 0 && !stopping:
-		return h.judgeIdle(now)
-	case h.silent >= ticksOfSilence-1:
+		return h.checkIdle(now)
+	case h.quietTicks >= ticksPerSilence-1:
 		return verdictSilent
-	case h.silent >= quietTicks:
+	case h.quietTicks >= pingAfterTicks:
 		return verdictPing
 	default:
 		return verdictKeep
 	}
 }
 
-// judgeBye ends a connection whose peer stops. It waits for a moment after the
-// last session, since closing drops what is still on its way.
-func (h *health) judgeBye(now time.Time) verdict {
-	if now.Sub(h.idleSince) >= byeLinger {
+// checkBye closes a connection whose peer stops. It waits for byeCloseDelay after the last
+// session, since closing drops data in flight.
+func (h *health) checkBye(now time.Time) verdict {
+	if now.Sub(h.idleSince) >= byeCloseDelay {
 		return verdictIdle
 	}
 	return verdictKeep
 }
 
-// judgeIdle ends only the connections that this side dialled; see quicConfig.
-func (h *health) judgeIdle(now time.Time) verdict {
-	h.silent = 0
+// checkIdle closes an idle connection only if this side dialled it; see quicConfig.
+func (h *health) checkIdle(now time.Time) verdict {
+	h.quietTicks = 0
 	if h.dialled && now.Sub(h.idleSince) >= h.idleAfter {
 		return verdictIdle
 	}
--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -48,12 +48,12 @@
 }
 
 // IssueFiles writes a key and a certificate for each identity into a folder,
-// as name.key and name.pem. The authority there signs them; it is made if the
-// folder has none. Pairs that exist are replaced by new ones. The folder's
-// authority.key signs for any name: keep it off the VMs.
+// as name.key and name.pem. The authority in the folder signs them; it is created if
+// the folder has none. Existing pairs are replaced. The folder's authority.key can
+// sign for any name: keep it off the VMs.
 func IssueFiles(dir string, identities ...Identity) error {
 	if err := os.MkdirAll(dir, folderMode); err != nil {
-		return errorf(CodeMissingFile, "", err, "make the folder")
+		return errorf(CodeMissingFile, "", err, "create the folder")
 	}
 	authority, err := openAuthority(dir)
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	for _, identity := range identities {
 		if identity.Name == authorityName {
-			return errorf(CodeNoName, identity.Name, nil, "the name is the authority's own")
+			return errorf(CodeNoName, identity.Name, nil, "the name is reserved for the authority")
 		}
 		material, err := authority.Issue(identity)
 		if err != nil {
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// openAuthority reads the folder's authority or makes one. It makes none when
-// one of the two files is there: certificates that the lost key signed would
-// no longer be believed.
+// openAuthority reads the folder's authority or creates one. It creates none if one of
+// the two files exists: certificates signed with the lost key would no longer be
+// trusted.
 func openAuthority(dir string) (*Authority, error) {
 	path := filepath.Join(dir, authorityName)
 	_, errKey := os.Stat(path + keyFile)
@@ -120,8 +120,8 @@
 	return writePEM(path+certificateFile, pemCertificate, certificate.Raw, publicMode)
 }
 
-// writePEM renames a whole file into place, so that a process which reloads
-// meanwhile never reads half of one.
+// writePEM writes a temporary file and renames it, so that a process that reloads
+// meanwhile never reads an incomplete file.
 func writePEM(path, kind string, der []byte, mode fs.FileMode) error {
 	temporary := path + ".new"
 	data := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -6,22 +6,22 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics counts what an Endpoint does.
+// Metrics holds the metrics of an Endpoint.
 type Metrics struct {
 	// Sessions counts sessions by "side": "opened" or "accepted".
 	Sessions *prometheus.CounterVec
 	// Frames and Bytes count frames by "direction": "sent" or "received".
 	Frames *prometheus.CounterVec
 	Bytes  *prometheus.CounterVec
-	// Connections counts the connections open now, by "side".
+	// Connections is the number of open connections by "side".
 	Connections *prometheus.GaugeVec
-	// Errors counts the ends of connections and sessions that were no clean
+	// Errors counts connections and sessions that ended other than by a clean
 	// close, by "code".
 	Errors *prometheus.CounterVec
 }
 
 // traffic holds the counters of frames, looked up once: a session counts each
-// frame, and the look-up by label costs more than the count.
+// frame, and the lookup by label costs more than the increment.
 type traffic struct {
 	framesSent, framesReceived prometheus.Counter
 	bytesSent, bytesReceived   prometheus.Counter
@@ -36,7 +36,7 @@
 	}
 }
 
-// countedReader counts the bytes that are read through it.
+// countedReader counts the bytes read from a reader.
 type countedReader struct {
 	reader io.Reader
 	count  prometheus.Counter
@@ -57,7 +57,7 @@
 	directionReceived = "received"
 )
 
-// NewMetrics makes metrics that are not registered yet.
+// NewMetrics returns metrics that are not registered yet.
 func NewMetrics() *Metrics {
 	counter := func(name, help, label string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -73,8 +73,8 @@
 			Namespace: "oriolebend", Subsystem: "peer", Name: "connections", Help: "Connections with peers that are open.",
 		}, []string{"side"}),
 	}
-	// Each series exists from the start, so that a rate over its first rise is
-	// right.
+	// Each series exists from the start, so that a rate over its first increase is
+	// correct.
 	for _, code := range Codes() {
 		m.Errors.WithLabelValues(string(code))
 	}
--- a/internal/peer/metrics_test.go
+++ b/internal/peer/metrics_test.go
@@ -11,7 +11,7 @@
 	"github.com/oriolebend/oriolebend/internal/peer"
 )
 
-// gathered sums the values of each metric, by name and label value.
+// gathered returns the sum of the values of each metric, by name and label value.
 func gathered(t *testing.T, r *prometheus.Registry) map[string]float64 {
 	t.Helper()
 	families, err := r.Gather()
--- a/internal/peer/network.go
+++ b/internal/peer/network.go
@@ -8,13 +8,13 @@
 	"crypto/x509"
 )
 
-// NetworkCredentials are for a network that only the system's own processes
-// can reach: the certificate is signed by itself, and every peer is let in.
+// NetworkCredentials returns credentials for a network that only the system's own
+// processes can reach: the certificate is self-signed, and every peer is accepted.
 //
-// The key follows from the name. A process that restarts has the same key and
-// can tell its peers at once that it has forgotten their connections; with a
-// new key they would find out only by its silence, seconds later. The key
-// protects nothing, as everybody can compute it.
+// The key is derived from the identity. A process that restarts has the same key
+// and can reset its peers' old connections immediately; with a new key the peers
+// would find out only by a timeout, seconds later. The key protects nothing, since
+// every process can compute it.
 func NetworkCredentials(identity Identity) (Credentials, error) {
 	seed := sha256.Sum256([]byte("oriolebend network " + identity.Role + "/" + identity.Name))
 	key := ed25519.NewKeyFromSeed(seed[:])
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -5,15 +5,15 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// Outbox sends messages over one stream in the order in which they were put,
-// without holding up who puts them.
+// Outbox sends messages over one stream in the order in which they were put. Put
+// never blocks.
 type Outbox struct {
 	Stream Stream
-	// Queue may outlast the stream; what is left in it goes over the next one.
+	// Queue may outlast the stream; messages left in it are sent over the next one.
 	Queue *mailbox.Mailbox[message.Message]
 }
 
-// NewOutbox returns the outbox of a stream; Write sends what is put.
+// NewOutbox returns an outbox for a stream; Write sends the queued messages.
 func NewOutbox(s Stream) *Outbox {
 	return &Outbox{Stream: s, Queue: mailbox.New[message.Message]()}
 }
@@ -28,7 +28,7 @@
 	o.Queue.Put(nil)
 }
 
-// Write sends what is queued until the stream ends.
+// Write sends queued messages until the stream ends.
 func (o *Outbox) Write() {
 	for {
 		select {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries messages between the system's own processes, over
-// QUIC with mutual certificates. One stream is one session.
+// Package peer exchanges messages between the system's own processes over QUIC with
+// mutual TLS. One stream is one session.
 package peer
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// Stream is one session with a peer. Send and Receive may be called from
-// different goroutines, but not each from several at once.
+// Stream is one session with a peer. Send and Receive may be called concurrently, but
+// neither of them from several goroutines at the same time.
 type Stream interface {
 	// Send writes one message; it blocks while the peer's window is full.
 	Send(m message.Message) error
@@ -17,17 +17,16 @@
 	Receive() (message.Message, error)
 	// Close ends the session in both directions; it is safe to call twice.
 	Close() error
-	// Done is closed once the session or its connection has ended, for
-	// whatever cause.
+	// Done is closed once the session or its connection has ended for any reason.
 	Done() <-chan struct{}
-	// Peer is the name in the peer's certificate.
+	// Peer returns the name in the peer's certificate.
 	Peer() string
 }
 
 // Dialer opens sessions.
 type Dialer interface {
 	// Open opens a session with the process at address (IP:port), over a
-	// connection that is shared and kept while it is in use.
+	// connection that is shared and stays open while it is in use.
 	Open(ctx context.Context, address string) (Stream, error)
 }
 
--- a/internal/peer/peercontract/contract.go
+++ b/internal/peer/peercontract/contract.go
@@ -1,6 +1,6 @@
-// Package peercontract holds the tests that every implementation of
-// peer.Stream and peer.Dialer passes: the QUIC endpoint and the in-memory
-// pair that other packages' tests use.
+// Package peercontract holds the tests that every implementation of peer.Stream and
+// peer.Dialer must pass: the QUIC endpoint and the in-memory network that the tests of
+// other packages use.
 package peercontract
 
 import (
@@ -20,26 +20,25 @@
 	"github.com/oriolebend/oriolebend/internal/peer"
 )
 
-// Names that a Factory gives the two processes.
+// Names of the two processes in a Factory's network.
 const (
 	EntryName = "entry-1"
 	GateName  = "gate-1"
 )
 
-// Network is two processes that reach each other.
+// Network consists of two processes that can reach each other.
 type Network struct {
-	// Entry dials.
+	// Entry is the dialer of the first process.
 	Entry peer.Dialer
-	// GateAddress is where the other process's handler is reached.
+	// GateAddress is the address of the second process, which runs the handler.
 	GateAddress string
-	// KillGate ends the other process and its sessions at once. Nil if the
-	// implementation has no such thing; the tests that need it are then left
-	// out.
+	// KillGate ends the second process and its sessions immediately. It is nil if the
+	// implementation does not support it; the tests that need it are then skipped.
 	KillGate func()
 }
 
-// Factory makes a network whose gate serves sessions with the handler. It
-// cleans up by t.Cleanup.
+// Factory creates a network whose gate serves sessions with the handler. It cleans up
+// with t.Cleanup.
 type Factory func(t *testing.T, handler peer.Handler) Network
 
 // Run runs the contract against the networks of a factory.
@@ -71,7 +70,7 @@
 	}
 }
 
-// Echo is a handler that sends back what it receives until the end.
+// Echo is a handler that sends back each message until the session ends.
 func Echo(_ context.Context, s peer.Stream) {
 	for {
 		m, err := s.Receive()
@@ -84,7 +83,7 @@
 	}
 }
 
-// part makes a message that can be told from others.
+// part returns a message that differs for each session and number.
 func part(session string, n int) message.Part {
 	return message.Part{Attempt: message.Attempt{RequestID: session, Number: 1}, Offset: n, Tokens: 1, Text: "x"}
 }
@@ -144,8 +143,8 @@
 	i.Equal(<-seen, EntryName)
 }
 
-// Symptom: the last parts of an answer are missing. Sequence: the gate sends
-// them and closes at once. Cause: the close overtook what was sent.
+// Guards against missing last parts of an answer: the gate sends them and closes
+// immediately, and the close overtook the messages.
 func closeDelivers(t *testing.T, f Factory) {
 	i := is.New(t)
 	const messages = 200
@@ -194,8 +193,8 @@
 	i.True(err != nil)
 }
 
-// Symptom: an entry goes on to send to a gate that has ended the session.
-// Cause: only Receive told of the end, and nobody was receiving.
+// Guards against an entry that keeps sending to a gate that has ended the session: only
+// Receive reported the end, and no goroutine was receiving.
 func doneAfterPeerCloses(t *testing.T, f Factory) {
 	i := is.New(t)
 	s := open(t, f(t, func(_ context.Context, s peer.Stream) { _, _ = s.Receive() }))
@@ -242,9 +241,8 @@
 	<-ended
 }
 
-// Symptom: an answer that broke off is taken for a whole one. Sequence: the
-// gate's process dies between two parts. Cause: the end of the connection
-// read like a close.
+// Guards against treating a truncated answer as complete: the gate's process crashes
+// between two parts, and the end of the connection looked like a close.
 func gateKilled(t *testing.T, f Factory) {
 	i := is.New(t)
 	n := f(t, Echo)
@@ -263,29 +261,29 @@
 	i.True(s.Send(part("r", 1)) != nil)
 }
 
-// settled waits until a counter stands still for a while and returns it. A
-// starved machine can only make it return too early, which passes.
+// settled waits until a counter does not change for 100 ms and returns its value. On an
+// overloaded machine it can only return too early, and the test passes then.
 func settled(n *atomic.Int64) int64 {
-	const looks, pause = 20, 5 * time.Millisecond
-	last, still := n.Load(), 0
-	for still < looks {
+	const checks, pause = 20, 5 * time.Millisecond
+	last, unchanged := n.Load(), 0
+	for unchanged < checks {
 		time.Sleep(pause)
 		if now := n.Load(); now != last {
-			last, still = now, 0
+			last, unchanged = now, 0
 			continue
 		}
-		still++
+		unchanged++
 	}
 	return last
 }
 
-// Symptom: a process's memory grows by all that its peer generates. Cause:
-// Send does not wait for a receiver that falls behind.
+// Guards against memory that grows with everything a peer generates, because Send does
+// not wait for a slow receiver.
 func slowReader(t *testing.T, f Factory) {
 	i := is.New(t)
 	const messages, size, bound = 1024, 16 << 10, 512
 	read := make(chan struct{})
-	whole := make(chan int, 1)
+	inOrder := make(chan int, 1)
 	s := open(t, f(t, func(_ context.Context, s peer.Stream) {
 		<-read
 		n := 0
@@ -295,7 +293,7 @@
 				break
 			}
 		}
-		whole <- n
+		inOrder <- n
 	}))
 	var sent atomic.Int64
 	go func() {
@@ -312,12 +310,11 @@
 	}()
 	i.True(settled(&sent) < bound)
 	close(read)
-	i.Equal(<-whole, messages)
+	i.Equal(<-inOrder, messages)
 }
 
-// Symptom: a request that was cancelled holds its goroutine and memory.
-// Sequence: the peer stops reading, Send waits, the session is closed. Cause:
-// Close waited for Send, or did not end it.
+// Guards against a cancelled request that keeps its goroutine and memory: the peer stops
+// reading, Send blocks, the session is closed, and Close waited for Send or did not end it.
 func closeFreesSend(t *testing.T, f Factory) {
 	i := is.New(t)
 	release := make(chan struct{})
@@ -370,8 +367,8 @@
 	i.True(s == nil)
 }
 
-// Symptom: a caller gets a part of another's answer. Cause: sessions that
-// share a connection were mixed up.
+// Guards against a caller that receives a part of another caller's answer, because
+// sessions on one connection were mixed up.
 func thousandSessions(t *testing.T, f Factory) {
 	i := is.New(t)
 	const sessions, messages = 1000, 3
@@ -392,14 +389,14 @@
 	}
 }
 
-// MixedUpError tells of a message that belongs to another session.
+// MixedUpError is returned for a message that belongs to another session.
 type MixedUpError struct {
 	Want, Got message.Message
 }
 
 // Error implements error.
 func (e *MixedUpError) Error() string {
-	return fmt.Sprintf("got %+v in place of %+v", e.Got, e.Want)
+	return fmt.Sprintf("got message %+v, want %+v", e.Got, e.Want)
 }
 
 func converse(ctx context.Context, n Network, name string, messages int) error {
--- a/internal/peer/peertest/network.go
+++ b/internal/peer/peertest/network.go
@@ -1,5 +1,5 @@
-// Package peertest is an in-memory stand-in for package peer, with links that
-// tests cut, slow down and make lossy.
+// Package peertest is an in-memory implementation of package peer for tests, with links
+// that can be partitioned, delayed and made lossy.
 package peertest
 
 import (
@@ -14,14 +14,14 @@
 	"github.com/oriolebend/oriolebend/internal/peer"
 )
 
-// streamMessages is how many messages fit into a stream before Send blocks.
+// streamMessages is how many unread messages a stream holds before Send blocks.
 const streamMessages = 256
 
-// UnreachableError tells that no process listens at an address.
+// UnreachableError is returned if no process listens at an address.
 type UnreachableError struct{ Address string }
 
 // Error implements error.
-func (e *UnreachableError) Error() string { return fmt.Sprintf("no process at %s", e.Address) }
+func (e *UnreachableError) Error() string { return fmt.Sprintf("no process listens at %s", e.Address) }
 
 // Network connects processes by address.
 type Network struct {
@@ -39,7 +39,7 @@
 	ctx   context.Context
 }
 
-// NewNetwork returns a network whose losses follow the seed.
+// NewNetwork returns a network whose message losses are determined by the seed.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
 		handlers: map[string]handler{},
@@ -48,15 +48,15 @@
 	}
 }
 
-// Listen serves the streams that are opened to an address, until the context
-// ends. The name is the one that peers see.
+// Listen serves the streams that are opened to an address, until the context ends. Peers
+// see the process under the name.
 func (n *Network) Listen(ctx context.Context, address, name string, serve peer.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handlers[address] = handler{name: name, serve: serve, ctx: ctx}
 }
 
-// Cut silently drops what one process sends to another, until Heal.
+// Cut silently drops the messages that one process sends to another, until Heal.
 func (n *Network) Cut(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -77,6 +77,7 @@
 	n.loss, n.delay = loss, delay
 }
 
+// fate returns whether the next message from one process to another is lost, and its delay.
 func (n *Network) fate(from, to string) (lost bool, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -132,7 +133,7 @@
 	at time.Time
 }
 
-// line is what the two ends of a stream share.
+// line is the state that the two ends of a stream share.
 type line struct {
 	done chan struct{}
 	once sync.Once
@@ -168,7 +169,7 @@
 	return ctx
 }
 
-// ended says why the stream ended, once it has.
+// ended returns the error for a stream that has ended.
 func (s *stream) ended() error {
 	switch s.line.closer {
 	case nil:
@@ -199,7 +200,7 @@
 	}
 }
 
-// Receive implements peer.Stream. What the peer sent before it closed is
+// Receive implements peer.Stream. Messages that the peer sent before it closed are
 // still received.
 func (s *stream) Receive() (message.Message, error) {
 	select {
@@ -218,7 +219,7 @@
 	}
 }
 
-// take waits until the message has arrived.
+// take waits until the delay of the message is over and returns it.
 func (d delivery) take() message.Message {
 	time.Sleep(time.Until(d.at))
 	return d.m
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// pool shares connections by address. Callers that ask for the same address
-// at once wait for one dial.
+// pool shares connections by address. Concurrent callers with the same address wait
+// for one dial.
 type pool struct {
 	dial  func(address string) (*connection, error)
 	lock  sync.Mutex
 	slots map[string]*slot
 }
 
-// slot is a connection or the dial that makes it.
+// slot holds a connection or the dial that establishes it.
 type slot struct {
 	ready      chan struct{}
 	connection *connection
@@ -24,7 +24,7 @@
 	return &pool{dial: dial, slots: map[string]*slot{}}
 }
 
-func (p *pool) take(ctx context.Context, address string) (*connection, error) {
+func (p *pool) get(ctx context.Context, address string) (*connection, error) {
 	s := p.slotFor(address)
 	select {
 	case <-s.ready:
@@ -34,8 +34,8 @@
 	}
 }
 
-// slotFor returns the slot of an address, and begins a dial if it has none
-// that is usable.
+// slotFor returns the usable slot of an address. If there is none, it starts a dial
+// in a new slot.
 func (p *pool) slotFor(address string) *slot {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -44,7 +44,7 @@
 	}
 	s := &slot{ready: make(chan struct{})}
 	p.slots[address] = s
-	go p.fill(address, s)
+	go p.connect(address, s)
 	return s
 }
 
@@ -57,19 +57,19 @@
 	}
 }
 
-// fill dials. The slot leaves the pool when the dial fails or the connection
-// ends, so that an address which is gone for good holds no memory.
-func (p *pool) fill(address string, s *slot) {
+// connect dials the address. The slot is removed from the pool when the dial fails or
+// the connection ends, so that an address that is never used again holds no memory.
+func (p *pool) connect(address string, s *slot) {
 	s.connection, s.err = p.dial(address)
 	close(s.ready)
 	if s.err != nil {
-		p.forget(address, s)
+		p.remove(address, s)
 		return
 	}
-	context.AfterFunc(s.connection.quic.Context(), func() { p.forget(address, s) })
+	context.AfterFunc(s.connection.quic.Context(), func() { p.remove(address, s) })
 }
 
-func (p *pool) forget(address string, s *slot) {
+func (p *pool) remove(address string, s *slot) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if p.slots[address] == s {
--- a/internal/peer/pool_test.go
+++ b/internal/peer/pool_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a burst of sessions to one gate makes a connection each. Cause:
-// dials for the same address did not share.
+// Guards against a burst of sessions to one gate that dials a connection for each
+// session instead of sharing one.
 func TestPoolSharesDials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := is.New(t)
@@ -18,12 +18,12 @@
 		p := newPool(func(string) (*connection, error) {
 			dials++
 			<-release
-			return nil, errorf(CodeUnreachable, "", nil, "away")
+			return nil, errorf(CodeUnreachable, "", nil, "no answer")
 		})
 		results := make(chan error, 3)
 		for range 3 {
 			go func() {
-				_, err := p.take(context.Background(), "a")
+				_, err := p.get(context.Background(), "a")
 				results <- err
 			}()
 		}
@@ -31,7 +31,7 @@
 		i.Equal(dials, 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, err := p.take(ctx, "a")
+		_, err := p.get(ctx, "a")
 		i.Equal(CodeOf(err), CodeCancelled)
 		close(release)
 		for range 3 {
@@ -39,7 +39,7 @@
 		}
 		synctest.Wait()
 		i.Equal(len(p.slots), 0)
-		_, _ = p.take(context.Background(), "a")
+		_, _ = p.get(context.Background(), "a")
 		i.Equal(dials, 2)
 	})
 }
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -26,15 +26,15 @@
 
 	sendLock sync.Mutex
 	buffer   []byte
-	// sendError is set once a frame could not be sent whole.
+	// sendError is set once a frame was not sent completely, or the session was closed.
 	sendError error
-	// readError is the end of Receive, whatever it was.
+	// readError is the error that ended Receive, io.EOF included.
 	readError error
 	closed    sync.Once
 }
 
 func newSession(stream *quic.Stream, c *connection) *session {
-	c.began()
+	c.sessionStarted()
 	traffic := c.endpoint.traffic
 	counted := countedReader{reader: stream, count: traffic.bytesReceived}
 	return &session{
@@ -55,14 +55,14 @@
 	}
 	frame, err := s.codec.Append(s.buffer[:0], m)
 	if err != nil {
-		return s.fail(err)
+		return s.recordError(err)
 	}
 	s.buffer = frame[:0]
 	if cap(s.buffer) > readStep {
 		s.buffer = nil
 	}
 	if _, err := s.stream.Write(frame); err != nil {
-		s.sendError = s.fail(err)
+		s.sendError = s.recordError(err)
 		return s.sendError
 	}
 	s.traffic.framesSent.Inc()
@@ -82,7 +82,7 @@
 	}
 	s.readError = err
 	if !errors.Is(err, io.EOF) || CodeOf(err) != "" {
-		s.readError = s.fail(err)
+		s.readError = s.recordError(err)
 	}
 	if breaksFraming(CodeOf(s.readError)) {
 		s.reset(streamGarbled)
@@ -90,14 +90,14 @@
 	return nil, s.readError
 }
 
-// breaksFraming tells the errors after which the bytes that follow can't be
-// trusted to begin a frame, or the conversation to make sense.
+// breaksFraming reports whether, after an error, the next bytes may not begin a
+// frame, or the message that could not be read may matter to the session.
 func breaksFraming(c Code) bool {
 	return c == CodeGarbled || c == CodeTooLarge || c == CodeUnknownKind
 }
 
-// fail names the peer in an error and counts it.
-func (s *session) fail(err error) error {
+// recordError adds the peer's name to an error and counts the error.
+func (s *session) recordError(err error) error {
 	typed := s.connection.translate(err)
 	if code := CodeOf(typed); code != CodeClosed && code != CodePeerClosed {
 		s.connection.endpoint.config.Metrics.Errors.WithLabelValues(string(code)).Inc()
@@ -105,20 +105,20 @@
 	return typed
 }
 
-// Close implements Stream. What was sent before is still delivered; a Send in
-// progress is broken off, and the peer then sees a reset.
+// Close implements Stream. Messages that were sent before are still delivered; a
+// Send in progress is aborted, and the peer then sees a reset.
 func (s *session) Close() error {
 	s.closed.Do(func() {
 		s.stream.CancelRead(streamClosed)
-		s.finish()
-		s.connection.ended()
+		s.closeSend()
+		s.connection.sessionEnded()
 	})
 	return nil
 }
 
-// finish ends the sending side. The library forbids Close beside a Write, so
+// closeSend closes the sending side. The library forbids Close during a Write, so
 // a Write that waits for the peer's window is made to return first.
-func (s *session) finish() {
+func (s *session) closeSend() {
 	_ = s.stream.SetWriteDeadline(time.Now())
 	s.sendLock.Lock()
 	defer s.sendLock.Unlock()
@@ -132,7 +132,7 @@
 	}
 }
 
-// reset ends the session in both directions and drops what is not delivered.
+// reset ends the session in both directions and drops data that is not delivered.
 func (s *session) reset(code quic.StreamErrorCode) {
 	s.stream.CancelRead(code)
 	s.stream.CancelWrite(code)
@@ -165,13 +165,13 @@
 	_ = s.Close()
 }
 
-// Identity returns what the peer's certificate says.
+// Identity returns the name and role in the peer's certificate.
 func (s *session) Identity() Identity {
 	return s.connection.peer
 }
 
 // IdentityOf returns the name and role in the certificate of a session's
-// peer. Streams that know no roles give the name alone.
+// peer. For streams without roles it returns the name alone.
 func IdentityOf(s Stream) Identity {
 	if known, ok := s.(interface{ Identity() Identity }); ok {
 		return known.Identity()
