--- a/internal/message/agreement.go
+++ b/internal/message/agreement.go
@@ -16,21 +16,21 @@
 	Name          string `cbor:"name"`
 	Address       string `cbor:"address"`
 	FailureDomain string `cbor:"failureDomain,omitempty"`
-	// Voter is false while a new member catches up; it then counts for no
-	// quorum.
+	// Voter is false while a new member catches up; the member does not count
+	// for a quorum then.
 	Voter bool `cbor:"voter"`
 }
 
-// EntryType says what a log entry carries.
+// EntryType is the type of a log entry's content.
 type EntryType string
 
 const (
 	// EntryCommand carries a command for the state machine.
 	EntryCommand EntryType = "command"
-	// EntryNone carries nothing; a new leader appends it to learn what is
+	// EntryNone carries nothing; a new leader appends it to find out which entries are
 	// committed.
 	EntryNone EntryType = "none"
-	// EntryMembers carries the members that hold from this entry on.
+	// EntryMembers carries the members that are in force from this entry on.
 	EntryMembers EntryType = "members"
 )
 
@@ -43,15 +43,14 @@
 	Members []Member  `cbor:"members,omitempty"`
 }
 
-// Agreement is the part that all messages of an agreement group share.
+// Agreement holds the fields that all messages of an agreement group share.
 type Agreement struct {
 	// Group names the group and its generation; a message of another group
 	// is ignored.
 	Group string `cbor:"group"`
-	// Term is the sender's term, or the one it would campaign in for a
-	// pre-vote.
+	// Term is the sender's term, or for a pre-vote the term that it would campaign in.
 	Term uint64 `cbor:"term"`
-	// From is the sending member.
+	// From is the name of the sending member.
 	From string `cbor:"from"`
 }
 
@@ -67,11 +66,11 @@
 	Round Round  `cbor:"round"`
 }
 
-// Round is one round of messages from the leader to all members; answers
-// repeat it, so that the leader knows since when a quorum follows it.
+// Round identifies one round of messages from the leader to all members. Answers repeat
+// it, so that the leader knows since when a quorum has followed it.
 type Round struct {
 	Number uint64 `cbor:"number"`
-	// Tick is when the round began, by the leader's own clock.
+	// Tick is the tick at which the round began, by the leader's own clock.
 	Tick uint64 `cbor:"tick"`
 }
 
@@ -83,25 +82,27 @@
 	PrevIndex uint64 `cbor:"prevIndex"`
 	// Match is the last index known to equal the leader's, if accepted.
 	Match uint64 `cbor:"match"`
-	// HintIndex and HintTerm help the leader to step back, if not accepted:
-	// the last index at or before PrevIndex whose term is HintTerm or lower.
+	// HintIndex and HintTerm help the leader to find the last common entry if the
+	// Append is not accepted: HintIndex is the last index at or before PrevIndex whose
+	// term is HintTerm or lower.
 	HintIndex uint64 `cbor:"hintIndex,omitempty"`
 	HintTerm  uint64 `cbor:"hintTerm,omitempty"`
-	// Recovering is true while the member grants no vote, since it started
-	// with an empty folder and has not caught up.
+	// Recovering is true while the member grants no vote, because it started with an
+	// empty data folder and has not caught up.
 	Recovering bool  `cbor:"recovering,omitempty"`
 	Round      Round `cbor:"round"`
 }
 
-// Vote asks for a vote or, with Pre set, whether one would be given.
+// Vote requests a vote or, with Pre set, asks whether a vote would be granted.
 type Vote struct {
 	Agreement
 	Pre bool `cbor:"pre,omitempty"`
-	// Transfer is set if the leader itself asked the sender to campaign; the
-	// receivers then need not wait for the leader's lease to end.
+	// Transfer is set if the leader itself asked the sender to campaign; the receivers
+	// then need not wait until the leader's lease has expired.
 	Transfer bool `cbor:"transfer,omitempty"`
-	// Starts names the start of every voter, where each has told that it has followed
-	// nobody since: no lease runs then that receivers have to wait for.
+	// Starts holds the Start of every voter, if each has reported that it has followed no
+	// leader since that start: no lease that receivers would have to wait for is in force
+	// then.
 	Starts    map[string]uint64 `cbor:"starts,omitempty"`
 	LastIndex uint64            `cbor:"lastIndex"`
 	LastTerm  uint64            `cbor:"lastTerm"`
@@ -112,16 +113,17 @@
 	Agreement
 	Pre     bool `cbor:"pre,omitempty"`
 	Granted bool `cbor:"granted"`
-	// Start is that of a sender that has followed nobody since; zero otherwise. It then
-	// would give its vote if Would is set, but for a lease that it may have granted before
-	// it started. MembersIndex is that of the members that it knows.
+	// Start identifies the start of a sender that has followed no leader since; zero
+	// otherwise. If Would is set, the sender would grant its vote except for a lease that
+	// it may have granted before it started. MembersIndex is the index of the members that
+	// the sender knows.
 	Start        uint64 `cbor:"start,omitempty"`
 	Would        bool   `cbor:"would,omitempty"`
 	MembersIndex uint64 `cbor:"membersIndex,omitempty"`
 }
 
-// Chunk carries a part of a snapshot to a member whose next entry the leader
-// no longer holds.
+// Chunk carries a part of a snapshot to a member whose next log entry the leader no
+// longer has.
 type Chunk struct {
 	Agreement
 	Index     uint64   `cbor:"index"`
@@ -136,19 +138,19 @@
 	Round  Round  `cbor:"round"`
 }
 
-// ChunkAnswer tells how much of a snapshot has arrived.
+// ChunkAnswer reports how much of a snapshot was received.
 type ChunkAnswer struct {
 	Agreement
 	Index uint64 `cbor:"index"`
-	// Offset is the next byte wanted.
+	// Offset is the offset of the next byte to send.
 	Offset int64 `cbor:"offset"`
-	// Done is true once the snapshot, or more, is durable.
+	// Done is true once the snapshot, or a later state, is durable.
 	Done  bool  `cbor:"done,omitempty"`
 	Round Round `cbor:"round"`
 }
 
-// Campaign asks a member to stand for election at once, because the leader
-// is stopping.
+// Campaign asks a member to stand for election immediately, because the leader is
+// stopping.
 type Campaign struct {
 	Agreement
 }
--- a/internal/message/confirm.go
+++ b/internal/message/confirm.go
@@ -2,29 +2,28 @@
 
 import "time"
 
-// Kinds of the messages between a control VM and the leader about how current
-// its state is.
+// Kinds of the messages by which a control VM asks the leader how current its state is.
 const (
 	KindConfirm   Kind = "confirm"
 	KindConfirmed Kind = "confirmed"
 )
 
-// Confirm asks the leader up to where the log was agreed on by now. The
-// stream then carries one Confirmed for each Confirm.
+// Confirm asks the leader up to which index the log is committed now. The stream
+// then carries one Confirmed for each Confirm.
 type Confirm struct {
-	// Control is the control VM that asks.
+	// Control is the control VM that sends the message.
 	Control string `cbor:"control"`
-	// Followers is what it knows of the processes that follow it.
+	// Followers are the processes that follow this control VM.
 	Followers Followers `cbor:"followers"`
 }
 
-// Confirmed answers a Confirm. Index is zero if the asked control VM could not
+// Confirmed answers a Confirm. Index is zero if the answering control VM could not
 // confirm that it leads.
 type Confirmed struct {
 	Index uint64 `cbor:"index"`
-	// Followers is what the leader knows of those of the other control VMs.
+	// Followers are the followers of the other control VMs, as known to the leader.
 	Followers []Followers `cbor:"followers,omitempty"`
-	// Took is how long the leader needed to confirm.
+	// Took is how long the leader took to confirm.
 	Took time.Duration `cbor:"took,omitempty"`
 }
 
--- a/internal/message/follow.go
+++ b/internal/message/follow.go
@@ -6,20 +6,21 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Kinds of the messages between two entries of which one owns a request.
+// Kinds of the messages between the entry that owns a request and another entry that
+// follows it.
 const (
 	KindFollow   Kind = "follow"
 	KindFollowed Kind = "followed"
 )
 
-// Follow asks the entry that owns a request for its answer, from the first
+// Follow requests the answer of a request from the entry that owns it, from the first
 // token on. The stream then carries Followed messages.
 type Follow struct {
 	RequestID    string `cbor:"requestID"`
 	Organisation string `cbor:"organisation"`
 }
 
-// Followed is one step of an answer; the one with Last set ends it.
+// Followed carries one part of an answer; the message with Last set is the final one.
 type Followed struct {
 	Offset int          `cbor:"offset,omitempty"`
 	Tokens int          `cbor:"tokens,omitempty"`
--- a/internal/message/gate.go
+++ b/internal/message/gate.go
@@ -22,7 +22,7 @@
 	KindStatusQuery Kind = "statusQuery"
 )
 
-// Reserve opens a session: it asks a gate to hold room for one attempt.
+// Reserve opens a session: it requests a reservation for one attempt from a gate.
 type Reserve struct {
 	Attempt      Attempt            `cbor:"1,keyasint"`
 	Phase        Phase              `cbor:"2,keyasint"`
@@ -33,129 +33,128 @@
 	Version      string             `cbor:"7,keyasint,omitempty"`
 	Adapter      string             `cbor:"8,keyasint,omitempty"`
 	Service      string             `cbor:"9,keyasint,omitempty"`
-	// PromptTokens and MaxTokens size the memory to hold.
+	// PromptTokens and MaxTokens determine the memory to reserve.
 	PromptTokens int `cbor:"10,keyasint,omitempty"`
 	MaxTokens    int `cbor:"11,keyasint,omitempty"`
-	// Prefix holds one hash for each leading block of the prompt, longest last.
+	// Prefix holds one hash for each leading block of the prompt, the longest last.
 	Prefix []uint64 `cbor:"12,keyasint,omitempty"`
-	// StartIn is when the room is needed, from now; decode room is asked for
-	// the predicted end of the prefill. While the reservation waits it stays
-	// the time from the grant on.
+	// StartIn is the time from now until the capacity is needed; for decode it is the
+	// predicted end of the prefill. While the reservation is queued it remains the time
+	// from the grant on.
 	StartIn time.Duration `cbor:"13,keyasint,omitempty"`
-	// Deadline is how long the caller still waits for the first token, from
-	// now; zero means no bound.
+	// Deadline is how long from now the caller waits for the first token; zero means
+	// no limit.
 	Deadline time.Duration `cbor:"14,keyasint,omitempty"`
-	// Waited is how long the request has waited since it was accepted; gates
-	// age patient work by it.
+	// Waited is how long the request has waited since it was accepted; gates use it to
+	// raise the priority of patient requests over time.
 	Waited time.Duration `cbor:"15,keyasint,omitempty"`
-	// Hold is true when the entry will wait in the gate's queue, false when
-	// a gate that can't grant now should refuse.
+	// Hold is true if the request may wait in the gate's queue, false if a gate that
+	// can't grant the reservation now should refuse it.
 	Hold bool `cbor:"16,keyasint,omitempty"`
-	// Once is true for work that may run at most once: the gate then lets the
-	// attempt through one time only.
+	// Once is true for work that may run at most once: the gate then admits the attempt
+	// only once.
 	Once bool `cbor:"17,keyasint,omitempty"`
 }
 
-// Offer is the gate's true state for one Reserve. If Granted is false the
+// Offer answers a Reserve with the actual state of the gate. If Granted is false, the
 // reservation waits in the gate's queue and a Grant follows.
 type Offer struct {
 	Attempt Attempt `cbor:"1,keyasint"`
 	Granted bool    `cbor:"2,keyasint,omitempty"`
 	// StartIn is the predicted wait until the work could start.
 	StartIn time.Duration `cbor:"3,keyasint,omitempty"`
-	// Took is the predicted time of the work itself, for a prefill.
+	// Took is the predicted duration of the work itself, for a prefill.
 	Took time.Duration `cbor:"4,keyasint,omitempty"`
-	// Queued counts reservations ahead of this one.
+	// Queued is the number of reservations ahead of this one.
 	Queued int `cbor:"5,keyasint,omitempty"`
-	// CachedTokens is how much of the prefix the engine holds.
+	// CachedTokens is how many tokens of the prefix the engine has in its cache.
 	CachedTokens int `cbor:"6,keyasint,omitempty"`
 	// FreeTokens is the free KV memory in tokens.
 	FreeTokens int `cbor:"7,keyasint,omitempty"`
-	// LinkBytes is the rate that the server's link has left, bytes a second.
+	// LinkBytes is the remaining rate of the server's link, in bytes per second.
 	LinkBytes float64 `cbor:"8,keyasint,omitempty"`
-	// LeaseFor is how long the reservation lives without renewal.
+	// LeaseFor is how long the reservation is valid without renewal.
 	LeaseFor time.Duration `cbor:"9,keyasint"`
 }
 
-// Grant tells a waiting reservation that its room is held.
+// Grant reports that the capacity of a queued reservation is reserved.
 type Grant struct {
 	Attempt Attempt `cbor:"attempt"`
-	// StartIn is from when on the room is held, from now: the StartIn that the
-	// Reserve asked for.
+	// StartIn is the time from now until the reservation begins: the StartIn of the
+	// Reserve.
 	StartIn  time.Duration `cbor:"startIn,omitempty"`
 	LeaseFor time.Duration `cbor:"leaseFor"`
 }
 
-// Refusal answers any message of a session that the gate did not carry out,
-// or tells of work that failed. The session is over.
+// Refusal answers any message of a session that the gate did not carry out, or reports
+// that work failed. It ends the session.
 type Refusal struct {
 	Attempt Attempt           `cbor:"attempt"`
 	Reason  oriolebend.Reason `cbor:"reason"`
-	// Ran is "no" only if the work did not run and the gate will never let
-	// this attempt through. A Reserve that was refused before it was granted
-	// closes nothing: the entry may reserve the same attempt again, and only
-	// then could it run.
+	// Ran is "no" only if the work did not run and the gate will never admit this
+	// attempt. Refusing a Reserve before it was granted does not close the attempt: the
+	// entry may reserve the same attempt again, and only then could it run.
 	Ran        oriolebend.Ran `cbor:"ran"`
 	RetryAfter time.Duration  `cbor:"retryAfter,omitempty"`
 	Detail     string         `cbor:"detail,omitempty"`
-	// Ticket is set by control VMs, where one stream carries many requests:
-	// the refusal is of that request only and the session goes on. Detail is
-	// then the address of the leader, if it is known.
+	// Ticket is set by control VMs, where one stream carries many requests: the refusal
+	// applies only to that request, and the session continues. Detail is then the
+	// address of the leader, if it is known.
 	Ticket uint64 `cbor:"ticket,omitempty"`
 }
 
-// Release gives a reservation back and cancels its work. The gate remembers
-// the attempt as closed and refuses it should it arrive later.
+// Release releases a reservation and cancels its work. The gate records the attempt as
+// closed and refuses it if it arrives later.
 type Release struct {
 	Attempt Attempt           `cbor:"attempt"`
 	Reason  oriolebend.Reason `cbor:"reason,omitempty"`
 }
 
-// Prefill starts the prefill that the session reserved.
+// Prefill starts the prefill of the session's reservation.
 type Prefill struct {
 	Attempt Attempt `cbor:"attempt"`
 	Prompt  string  `cbor:"prompt"`
 }
 
-// Prefilled tells that a prefill ended and where its KV cache can be fetched.
+// Prefilled reports that a prefill ended and where its KV cache can be fetched.
 type Prefilled struct {
 	Attempt   Attempt `cbor:"attempt"`
 	SourceURL string  `cbor:"sourceURL"`
 	KVBytes   int64   `cbor:"kvBytes"`
-	// CachedTokens is how much of the prompt the engine did not recompute.
+	// CachedTokens is how many tokens of the prompt the engine did not recompute.
 	CachedTokens int `cbor:"cachedTokens"`
 	// LivesFor is how long the engine holds the result.
 	LivesFor time.Duration `cbor:"livesFor"`
-	// Took is the time that the engine spent.
+	// Took is the time that the engine took.
 	Took time.Duration `cbor:"took"`
 }
 
-// Decode starts the transfer and the generation that the session reserved.
+// Decode starts the transfer and the generation of the session's reservation.
 type Decode struct {
 	Attempt   Attempt `cbor:"attempt"`
 	SourceURL string  `cbor:"sourceURL"`
 	KVBytes   int64   `cbor:"kvBytes"`
 	Prompt    string  `cbor:"prompt"`
-	// Delivered is the output that the caller already has; generation goes on
-	// behind it.
+	// Delivered is the output that the caller already has; generation continues after
+	// it.
 	Delivered string `cbor:"delivered,omitempty"`
 	// Offset is the number of output tokens in Delivered.
 	Offset    int `cbor:"offset,omitempty"`
 	MaxTokens int `cbor:"maxTokens"`
-	// TransferWithin is the deadline of the transfer, from now.
+	// TransferWithin is the timeout of the transfer, from now.
 	TransferWithin time.Duration `cbor:"transferWithin"`
-	// StartWithin is how long the decode may wait for its room, from now; zero
-	// means as long as TransferWithin.
+	// StartWithin is how long the decode may wait for its capacity, from now; zero means
+	// as long as TransferWithin.
 	StartWithin time.Duration `cbor:"startWithin,omitempty"`
 }
 
-// FinishReason says why generation ended.
+// FinishReason is the reason why generation ended.
 type FinishReason string
 
 const (
-	// FinishStop is a natural end.
+	// FinishStop means that the model ended the output.
 	FinishStop FinishReason = "stop"
-	// FinishLength is the bound on output tokens.
+	// FinishLength means that the limit of output tokens was reached.
 	FinishLength FinishReason = "length"
 )
 
@@ -170,12 +169,12 @@
 	Finish FinishReason `cbor:"finish,omitempty"`
 }
 
-// Call runs one call of a plain service that the session reserved.
+// Call runs one call of a plain service on the session's reservation.
 type Call struct {
 	Attempt Attempt `cbor:"attempt"`
 	Method  string  `cbor:"method"`
 	Path    string  `cbor:"path"`
-	// Header holds the caller's headers that may pass, first values only.
+	// Header holds the caller's headers that may be forwarded, first values only.
 	Header map[string]string `cbor:"header,omitempty"`
 	Body   []byte            `cbor:"body,omitempty"`
 	// Identity is the stable downstream identity of the operation; it is the
@@ -183,7 +182,7 @@
 	Identity string `cbor:"identity"`
 }
 
-// CallAnswer is the whole answer of a plain service.
+// CallAnswer is the complete answer of a plain service.
 type CallAnswer struct {
 	Attempt Attempt           `cbor:"attempt"`
 	Status  int               `cbor:"status"`
@@ -191,8 +190,8 @@
 	Body    []byte            `cbor:"body,omitempty"`
 }
 
-// StatusQuery asks a gate to ask its service for the outcome of an operation
-// whose answer was lost. It is answered by CallAnswer or Refusal.
+// StatusQuery makes a gate query its service for the outcome of an operation whose answer
+// was lost. It is answered with a CallAnswer or a Refusal.
 type StatusQuery struct {
 	Attempt  Attempt `cbor:"attempt"`
 	Path     string  `cbor:"path"`
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -3,20 +3,21 @@
 // Kind names the type of a message on the wire.
 type Kind string
 
-// Message is implemented by every struct of this package that travels alone.
+// Message is implemented by every struct of this package that is sent as a message of
+// its own, not only as part of another.
 type Message interface {
-	// Kind returns the name under which the message travels.
+	// Kind returns the name of the message's type on the wire.
 	Kind() Kind
 }
 
-// Attempt names one try of one request. Numbers start at 1 and grow by one
+// Attempt identifies one attempt at one request. Numbers start at 1 and grow by one
 // for each dispatch of the request's work.
 type Attempt struct {
 	RequestID string `cbor:"1,keyasint" json:"requestID"`
 	Number    uint32 `cbor:"2,keyasint" json:"number"`
 }
 
-// Phase is the part of a request's work that a session is for.
+// Phase is the part of a request's work that a session carries out.
 type Phase string
 
 const (
--- a/internal/message/quota.go
+++ b/internal/message/quota.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Kinds of the messages by which forwarders take from the quotas of organisations.
+// Kinds of the messages by which forwarders charge requests to the quotas of organisations.
 const (
 	KindQuotaAsk    Kind = "quotaAsk"
 	KindQuotaAnswer Kind = "quotaAnswer"
 )
 
-// QuotaAsk asks a control VM for a part of an organisation's quota.
+// QuotaAsk charges the cost of a request to an organisation's quota at a control VM.
 type QuotaAsk struct {
-	// ID names the question in its session.
+	// ID identifies the request in its session.
 	ID           uint64 `cbor:"6,keyasint,omitempty"`
 	Organisation string `cbor:"1,keyasint"`
 	// Cost is in the unit of the quota.
 	Cost float64 `cbor:"2,keyasint"`
-	// Call is the same for all tries of a caller at one request.
+	// Call is the same for all attempts of a caller at one request.
 	Call uint64 `cbor:"3,keyasint,omitempty"`
-	// Late is set if the caller was refused before, and has missed its target.
+	// Late is set if the caller was refused before and has missed its target.
 	Late bool `cbor:"5,keyasint,omitempty"`
-	// Return is set if the cost is given back. There is no answer then.
+	// Return is set if the cost is refunded. There is no answer then.
 	Return bool `cbor:"4,keyasint,omitempty"`
 }
 
 // QuotaAnswer answers a QuotaAsk.
 type QuotaAnswer struct {
-	// ID is that of the question.
+	// ID is that of the QuotaAsk.
 	ID      uint64 `cbor:"6,keyasint,omitempty"`
 	Granted bool   `cbor:"1,keyasint,omitempty"`
 	// Known is set if a refusal means that the quota is used up; otherwise another control
 	// VM may know better.
 	Known bool `cbor:"2,keyasint,omitempty"`
-	// RetryAfter is when a caller that is refused can be served.
+	// RetryAfter is the delay after which a caller that is refused can be served.
 	RetryAfter time.Duration `cbor:"3,keyasint,omitempty"`
-	// Left is what could be taken, and Since for how long the control VM has counted.
+	// Left is the remaining quota, and Since is how long the control VM has counted it.
 	Left  float64       `cbor:"4,keyasint,omitempty"`
 	Since time.Duration `cbor:"5,keyasint,omitempty"`
 }
--- a/internal/message/record.go
+++ b/internal/message/record.go
@@ -6,7 +6,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Kinds of the messages between an entry and the control VMs about requests.
+// Kinds of the messages between an entry and the control VMs about request records.
 const (
 	KindClaim       Kind = "claim"
 	KindClaimAnswer Kind = "claimAnswer"
@@ -21,21 +21,21 @@
 type RecordState string
 
 const (
-	// RecordClaimed is owned by an entry; no attempt was dispatched.
+	// RecordClaimed means that an entry owns the request and no attempt was dispatched.
 	RecordClaimed RecordState = "claimed"
-	// RecordRunning has a dispatched attempt.
+	// RecordRunning means that an attempt was dispatched.
 	RecordRunning RecordState = "running"
-	// RecordAnswered holds the whole answer.
+	// RecordAnswered means that the record holds the complete answer.
 	RecordAnswered RecordState = "answered"
-	// RecordFailed holds a failure that is replayed to retries.
+	// RecordFailed means that the record holds a failure that is replayed to retries.
 	RecordFailed RecordState = "failed"
-	// RecordNotRun is closed: no attempt ran and none ever will.
+	// RecordNotRun means that the record is closed: no attempt ran and none ever will.
 	RecordNotRun RecordState = "notRun"
-	// RecordUnknown was dispatched once and its outcome is lost.
+	// RecordUnknown means that the request was dispatched once and its outcome is lost.
 	RecordUnknown RecordState = "unknown"
 )
 
-// Scope is what makes a request the same request.
+// Scope identifies a request: requests with the same scope are the same request.
 type Scope struct {
 	Organisation string `cbor:"organisation"`
 	Operation    string `cbor:"operation"`
@@ -55,28 +55,29 @@
 	Ran oriolebend.Ran `cbor:"ran,omitempty"`
 }
 
-// Claim asks for the ownership of a scope. The first claim owns it; a claim
-// of the same owner is answered as the first was.
+// Claim requests the ownership of a scope. The first claim owns it; a repeated claim of
+// the same owner receives the same answer as the first.
 type Claim struct {
 	Scope       Scope  `cbor:"scope"`
 	RequestID   string `cbor:"requestID"`
 	Fingerprint string `cbor:"fingerprint"`
-	// Owner is the name and start of the claiming entry.
+	// Owner is the name and incarnation of the claiming entry.
 	Owner string `cbor:"owner"`
 	// Once is true for a request that may run at most once.
 	Once bool `cbor:"once"`
 	// LeaseFor is how long the ownership lasts without renewal.
 	LeaseFor time.Duration `cbor:"leaseFor"`
-	// OwnerAddress is where the owner's peers reach it, told to attachers.
+	// OwnerAddress is the address at which other entries that attach to the request
+	// reach the owner.
 	OwnerAddress string `cbor:"ownerAddress,omitempty"`
-	// Status is the call that tells the outcome of a lost dispatch, if the
-	// service has one.
+	// Status is the call that returns the outcome of a lost dispatch, if the service
+	// has one.
 	Status *StatusCall `cbor:"status,omitempty"`
 	// Ticket matches the answer to the claim on a shared stream.
 	Ticket uint64 `cbor:"ticket,omitempty"`
 }
 
-// StatusCall is how a service is asked for the outcome of an operation.
+// StatusCall is the call that queries a service for the outcome of an operation.
 type StatusCall struct {
 	Service string `cbor:"service"`
 	Path    string `cbor:"path"`
@@ -85,55 +86,55 @@
 	Identity string `cbor:"identity,omitempty"`
 }
 
-// ClaimOutcome says what a claim met.
+// ClaimOutcome is the result of a claim.
 type ClaimOutcome string
 
 const (
 	// ClaimOwned means that the claimer owns the request and may run it.
 	ClaimOwned ClaimOutcome = "owned"
-	// ClaimAttach means that another entry runs it.
+	// ClaimAttach means that another entry runs the request.
 	ClaimAttach ClaimOutcome = "attach"
 	// ClaimReplay means that the record holds a final answer or failure.
 	ClaimReplay ClaimOutcome = "replay"
-	// ClaimConflict means that the key holds another command.
+	// ClaimConflict means that the key was used for a different command.
 	ClaimConflict ClaimOutcome = "conflict"
 	// ClaimUnknown means that the outcome of the one dispatch is lost.
 	ClaimUnknown ClaimOutcome = "unknown"
-	// ClaimRefused means that nothing was claimed; Reason says why.
+	// ClaimRefused means that nothing was claimed, for the Reason given.
 	ClaimRefused ClaimOutcome = "refused"
 	// ClaimNone means that a query found no record.
 	ClaimNone ClaimOutcome = "none"
 )
 
-// ClaimAnswer is the record as a claim or query found it.
+// ClaimAnswer answers a Claim or a Query with the state of the record.
 type ClaimAnswer struct {
 	Outcome ClaimOutcome `cbor:"outcome"`
-	// RequestID is the record's own. For the owner it is the one that it claimed
-	// with; for others that of the owner.
+	// RequestID is that of the record: the owner receives the one of its claim, others
+	// receive that of the owner.
 	RequestID string      `cbor:"requestID"`
 	State     RecordState `cbor:"state"`
-	// Owner runs the request, for ClaimAttach.
+	// Owner is the entry that runs the request, for ClaimAttach.
 	Owner string `cbor:"owner,omitempty"`
-	// OwnerAddress is where the owner's peers reach it.
+	// OwnerAddress is the address at which other entries reach the owner.
 	OwnerAddress string `cbor:"ownerAddress,omitempty"`
-	// Attempt is the number that the next dispatch must carry.
+	// Attempt is the number that the next dispatch must have.
 	Attempt uint32  `cbor:"attempt,omitempty"`
 	Answer  *Answer `cbor:"answer,omitempty"`
-	// Reason says why there is no answer to replay, or no claim.
+	// Reason is why there is no answer to replay, or no claim.
 	Reason oriolebend.Reason `cbor:"reason,omitempty"`
-	// Once repeats whether the request may run at most once.
+	// Once is that of the record: true if the request may run at most once.
 	Once bool `cbor:"once,omitempty"`
-	// Ticket is the claim's or the query's.
+	// Ticket is that of the claim or the query.
 	Ticket uint64 `cbor:"ticket,omitempty"`
 }
 
-// AnyAttempt as the attempt of a Settle closes a record that is still claimed,
-// whatever its attempt number, and none that was moved on. It is for claims
-// whose answer nobody waited for.
+// AnyAttempt as the attempt of a Settle closes a record in state claimed, whatever its
+// attempt number, and no record in a later state. It is used for claims that were
+// cancelled before their answer arrived.
 const AnyAttempt uint32 = 0
 
-// Settle moves a record on: to running before a dispatch, to its outcome
-// after it.
+// Settle changes the state of a record: to running before a dispatch, to its outcome
+// after the dispatch.
 type Settle struct {
 	RequestID string      `cbor:"requestID"`
 	Scope     Scope       `cbor:"scope"`
@@ -146,20 +147,20 @@
 	Ticket uint64 `cbor:"ticket,omitempty"`
 }
 
-// Settled answers a Settle once it is durable on a quorum. If Accepted is
-// false the record had moved on; State tells where.
+// Settled answers a Settle once it is durable on a quorum. If Accepted is false, the
+// record had already changed to State.
 type Settled struct {
 	RequestID string      `cbor:"requestID"`
 	Accepted  bool        `cbor:"accepted"`
 	State     RecordState `cbor:"state"`
-	// Attempt is the record's: once the state is notRun, that attempt and
-	// every lower one is closed and gates may refuse it.
+	// Attempt is that of the record: once the state is notRun, this attempt and every
+	// lower one is closed, and gates may refuse them.
 	Attempt uint32 `cbor:"attempt,omitempty"`
-	// Ticket is the settle's.
+	// Ticket is that of the settle.
 	Ticket uint64 `cbor:"ticket,omitempty"`
 }
 
-// Query asks for the record of a request. It is answered by ClaimAnswer.
+// Query requests the record of a request. It is answered with a ClaimAnswer.
 type Query struct {
 	RequestID    string `cbor:"requestID"`
 	Organisation string `cbor:"organisation"`
@@ -167,13 +168,13 @@
 	Ticket uint64 `cbor:"ticket,omitempty"`
 }
 
-// Renew lengthens the lease of everything that an owner holds. Claims and
-// settles of the owner do so too.
+// Renew extends the lease of all records that an owner holds. Claims and settles of the
+// owner do so too.
 type Renew struct {
 	Owner    string        `cbor:"owner"`
 	Address  string        `cbor:"address,omitempty"`
 	LeaseFor time.Duration `cbor:"leaseFor"`
-	// Ended is true if the owner stops and holds nothing any more.
+	// Ended is true if the owner stops and no longer holds any record.
 	Ended  bool   `cbor:"ended,omitempty"`
 	Ticket uint64 `cbor:"ticket,omitempty"`
 }
--- a/internal/message/registry.go
+++ b/internal/message/registry.go
@@ -10,7 +10,7 @@
 // to, as cbor.Unmarshal does.
 type Unmarshal func(body []byte, target any) error
 
-// UnknownKindError tells of a message whose kind no type is registered for.
+// UnknownKindError is returned for a message whose kind has no registered type.
 type UnknownKindError struct {
 	Kind Kind
 }
@@ -25,12 +25,12 @@
 // decoders is written only while the package's variables are initialised.
 var decoders = map[Kind]decoder{}
 
-// Register makes T known to DecodeBody and returns its kind. Each message type
-// calls it once, in a package variable beside its declaration:
+// Register registers T with DecodeBody and returns its kind. It is called once for
+// each message type, in a package variable beside the type's declaration:
 //
 //	var _ = Register[Vote]()
 //
-// A second type of the same kind panics at start, since one of the two could
+// It panics at start if a second type has the same kind, since one of the two could
 // never be received.
 func Register[T Message]() Kind {
 	var zero T
@@ -59,7 +59,7 @@
 	return decode(body, unmarshal)
 }
 
-// Kinds lists the registered kinds in order.
+// Kinds returns the registered kinds, sorted.
 func Kinds() []Kind {
 	return slices.Sorted(maps.Keys(decoders))
 }
--- a/internal/message/registry_test.go
+++ b/internal/message/registry_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a peer ends every session that carries a new message, with
-// unknownKind. Cause: its type was never registered.
+// Guards against a new message type that is not registered: a peer would end every
+// session that carries it with unknownKind.
 func TestEveryMessageIsRegistered(t *testing.T) {
 	i := is.New(t)
 	files, err := filepath.Glob("*.go")
@@ -48,12 +48,12 @@
 
 func TestUnknownKind(t *testing.T) {
 	i := is.New(t)
-	_, err := DecodeBody("nobodyKnows", nil, nil)
+	_, err := DecodeBody("notRegistered", nil, nil)
 	_, typed := err.(*UnknownKindError)
 	i.True(typed)
 }
 
-func TestKindTakenTwicePanics(t *testing.T) {
+func TestDuplicateKindPanics(t *testing.T) {
 	defer func() { is.New(t).True(recover() != nil) }()
 	Register[Vote]()
 }
--- a/internal/message/serverlimit.go
+++ b/internal/message/serverlimit.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Kinds of the messages by which forwarders ask for permissions to send requests to servers
-// that have named a limit.
+// Kinds of the messages by which forwarders request permissions to send requests to servers
+// that have reported a limit.
 const (
 	KindLimitAsk    Kind = "limitAsk"
 	KindLimitAnswer Kind = "limitAnswer"
 )
 
-// LimitStep is what a LimitAsk is about.
+// LimitStep is the purpose of a LimitAsk.
 type LimitStep string
 
 const (
-	// LimitAsked asks for the permission to send one request.
+	// LimitAsked requests the permission to send one request.
 	LimitAsked LimitStep = "asked"
-	// LimitReturned gives a permission back that was not used. There is no answer.
+	// LimitReturned releases a permission that was not used. There is no answer.
 	LimitReturned LimitStep = "returned"
-	// LimitEnded tells that the server named no limit in an answer. There is no answer.
+	// LimitEnded reports that a response of the server contained no limit. There is no answer.
 	LimitEnded LimitStep = "ended"
 )
 
-// LimitAsk is one step of a forwarder at a server that has named a limit.
+// LimitAsk is sent by a forwarder for a server that has reported a limit; Step is its purpose.
 type LimitAsk struct {
-	// ID names the question in its session.
+	// ID identifies the request in its session.
 	ID     uint64      `cbor:"1,keyasint,omitempty"`
 	Step   LimitStep   `cbor:"2,keyasint"`
 	Server ServerStart `cbor:"3,keyasint"`
-	// PerSecond is the limit that the server named.
+	// PerSecond is the limit that the server reported.
 	PerSecond float64 `cbor:"4,keyasint,omitempty"`
-	// Age is how long ago it named it, or for LimitEnded how long ago the request was sent
-	// whose answer named none.
+	// Age is how long ago the server reported the limit, or for LimitEnded how long ago the
+	// request was sent whose response contained none.
 	Age time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
 // LimitAnswer answers a LimitAsk.
 type LimitAnswer struct {
-	// ID is that of the question.
+	// ID is that of the LimitAsk.
 	ID uint64 `cbor:"1,keyasint,omitempty"`
-	// Counted is set if the control VM counts; otherwise another one does.
+	// Counted is set if this control VM counts the permissions; otherwise another one does.
 	Counted bool `cbor:"2,keyasint,omitempty"`
 	Granted bool `cbor:"3,keyasint,omitempty"`
-	// Ended is set if the server is known to have no limit any more.
+	// Ended is set if the server is known to have no limit any longer.
 	Ended bool `cbor:"4,keyasint,omitempty"`
-	// After is when a forwarder that is refused may ask again.
+	// After is the delay after which a forwarder that is refused may ask again.
 	After time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
