--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,11 +1,11 @@
-// Package mailbox queues items between goroutines.
+// Package mailbox provides an unbounded queue between goroutines.
 package mailbox
 
 import "sync"
 
-// Mailbox is an unbounded queue between goroutines. Putting never blocks, so
-// that the loop of a role can't wait for a slow caller or peer; what bounds
-// its length is admission, which limits the requests in progress.
+// Mailbox is an unbounded queue between goroutines. Put never blocks, so that the loop of
+// a role never waits for a slow caller or peer. Admission, which limits the requests in
+// progress, bounds the length of the queue.
 type Mailbox[T any] struct {
 	mu     sync.Mutex
 	items  []T
@@ -17,7 +17,7 @@
 	return &Mailbox[T]{signal: make(chan struct{}, 1)}
 }
 
-// Put appends an item.
+// Put appends an item to the queue.
 func (m *Mailbox[T]) Put(item T) {
 	m.mu.Lock()
 	m.items = append(m.items, item)
@@ -28,7 +28,7 @@
 	}
 }
 
-// Take removes and returns everything in the mailbox.
+// Take removes and returns all items.
 func (m *Mailbox[T]) Take() []T {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -37,8 +37,8 @@
 	return items
 }
 
-// Wait returns a channel that receives after something was put. One receive
-// may stand for several items, and for items that were taken already.
+// Wait returns a channel that receives a value after an item was put. One value may signal
+// several items, or items that were already taken.
 func (m *Mailbox[T]) Wait() <-chan struct{} {
 	return m.signal
 }
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -23,7 +23,7 @@
 	for got := 0; got < writers*each; {
 		<-m.Wait()
 		for _, item := range m.Take() {
-			is.Equal(item[1], next[item[0]]) // each writer's items come in order
+			is.Equal(item[1], next[item[0]]) // items of one writer arrive in order
 			next[item[0]]++
 			got++
 		}
--- a/internal/routing/script_test.go
+++ b/internal/routing/script_test.go
@@ -15,11 +15,11 @@
 
 // TestScripts runs the files of testdata/scripts. Their commands:
 //
-//	check     checks a routing in JSON; prints what is wrong
-//	table     takes a routing in JSON for the matches that follow
-//	match     HOST PATH a line; prints the route of each
-//	target    a number from 0 to 1 a line, for route=NAME; prints the service
-//	replace   VERSION DOCUMENT a line, in the order of the log; prints the result
+//	check     checks a routing in JSON; prints its errors
+//	table     sets a routing in JSON for the following matches
+//	match     HOST PATH on each line; prints the route of each
+//	target    a number from 0 to 1 on each line, for route=NAME; prints the service
+//	replace   VERSION DOCUMENT on each line, in the order of the log; prints the result
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		var table *Table
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// replace applies one command to the store and to a copy that was restored from
-// a snapshot before it; they must agree.
+// replace applies one command to the store and to a copy restored from a snapshot that was
+// taken before the command; both must return the same result.
 func replace(t *testing.T, s *Store, index uint64, line string) string {
 	t.Helper()
 	is := is.New(t)
@@ -100,7 +100,7 @@
 	restored := NewStore()
 	is.NoErr(restored.Restore(snapshot))
 	result := s.Apply(index, command)
-	is.Equal(result, restored.Apply(index, command)) // a restored store answers alike
+	is.Equal(result, restored.Apply(index, command)) // a restored store returns the same result
 	var replaced Replaced
 	is.NoErr(cbor.Unmarshal(result, &replaced))
 	current, _ := s.Current()
@@ -109,9 +109,8 @@
 	return fmt.Sprintf("changed %t, in force %d %s", replaced.Changed, current.Version, current.Document)
 }
 
-// Symptom: a control VM stops, or differs from the others, after a command that
-// it can't read. Sequence: such a command is agreed on. Cause: an error where
-// every control VM must do the same.
+// Guards against a control VM that stops, or diverges from the others, after a committed
+// command that can't be decoded: every control VM must handle it in the same way.
 func TestUnreadableCommandChangesNothing(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
--- a/internal/routing/store.go
+++ b/internal/routing/store.go
@@ -9,24 +9,24 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Replace asks for a routing to come into force.
+// Replace is the command that brings a routing into force.
 type Replace struct {
 	Routing oriolebend.Routing `cbor:"routing"`
-	// Document is the routing as the operator wrote it, to be read back byte
-	// for byte.
+	// Document is the routing as the operator wrote it. Operators read it back byte for
+	// byte.
 	Document []byte `cbor:"document"`
 }
 
-// Replaced tells what a Replace led to.
+// Replaced is the result of a Replace.
 type Replaced struct {
-	// Version is in force after the command.
+	// Version is the version in force after the command.
 	Version uint64 `cbor:"version"`
-	// Changed is false if a version as high was in force already; the command
-	// then changed nothing.
+	// Changed is false if the same or a higher version was already in force; the
+	// command then changed nothing.
 	Changed bool `cbor:"changed"`
 }
 
-// InForce is the routing in force and its encoding for other processes.
+// InForce is the routing in force, with its encoding for other processes.
 type InForce struct {
 	Version  uint64
 	Document []byte
@@ -34,9 +34,8 @@
 	Encoded []byte
 }
 
-// Store is the part of the replicated state that holds the routing: the
-// highest version that was ever accepted. It implements control.Machine and
-// may be used by several goroutines.
+// Store is the part of the replicated state that holds the routing: the highest version
+// that was ever accepted. It implements control.Machine and is safe for concurrent use.
 type Store struct {
 	mutex   sync.Mutex
 	current InForce
@@ -46,20 +45,20 @@
 // NewStore returns a store without a routing.
 func NewStore() *Store { return &Store{changed: make(chan struct{})} }
 
-// stored is the snapshot of a Store.
+// stored is the encoded form of a snapshot of a Store.
 type stored struct {
 	Version  uint64          `cbor:"version"`
 	Document []byte          `cbor:"document"`
 	Routing  cbor.RawMessage `cbor:"routing"`
 }
 
-// Apply carries out one encoded Replace. Only a higher version changes
-// anything: an older change that arrives again, or the loser of two changes
-// with one number, must neither be obeyed nor read back.
+// Apply executes one encoded Replace and returns an encoded Replaced. Only a higher
+// version changes the routing: an older change that arrives again, or the second of two
+// changes with the same version, must be neither applied nor read back.
 func (s *Store) Apply(_ uint64, command []byte) []byte {
 	var replace Replace
 	if len(command) == 0 || cbor.Unmarshal(command, &replace) != nil {
-		return nil // what can't be read changes nothing, on every control VM alike
+		return nil // a command that can't be decoded changes nothing on any control VM
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -67,18 +66,18 @@
 	if changed {
 		encoded, err := cbor.Marshal(replace.Routing)
 		if err != nil {
-			return nil // plain fields that were just decoded always encode
+			return nil // never happens: plain fields that were just decoded can be encoded
 		}
 		s.set(InForce{Version: replace.Routing.Version, Document: replace.Document, Encoded: encoded})
 	}
 	result, err := cbor.Marshal(Replaced{Version: s.current.Version, Changed: changed})
 	if err != nil {
-		return nil // two plain fields always encode
+		return nil // never happens: two plain fields can be encoded
 	}
 	return result
 }
 
-// set puts a routing in place and wakes who waits. The mutex is held.
+// set brings a routing into force and signals the change. The mutex is held.
 func (s *Store) set(current InForce) {
 	s.current = current
 	close(s.changed)
@@ -99,7 +98,7 @@
 func (s *Store) Restore(snapshot []byte) error {
 	var from stored
 	if err := cbor.Unmarshal(snapshot, &from); err != nil {
-		return fmt.Errorf("read the routing of a snapshot: %w", err)
+		return fmt.Errorf("decode routing snapshot: %w", err)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,8 +106,8 @@
 	return nil
 }
 
-// Current returns the routing in force, of version 0 if there is none, and a
-// channel that is closed with the next change.
+// Current returns the routing in force, with version 0 if there is none, and a channel
+// that is closed at the next change.
 func (s *Store) Current() (InForce, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,5 +1,5 @@
-// Package routing holds the declared routes: the agreed part of the control
-// VMs' state that stores them, and the table that finds a request's route.
+// Package routing stores the declared routing as part of the replicated state of the
+// control VMs, and provides the table that finds the route of a request.
 package routing
 
 import (
@@ -11,19 +11,19 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Table finds routes of one routing. It is never changed after NewTable, so
-// that goroutines share it without locks.
+// Table is an index of one routing. It does not change once it is shared, so goroutines
+// use it without locks.
 type Table struct {
 	Routing  oriolebend.Routing
 	hosts    map[string][]*oriolebend.Route
 	services map[string]*oriolebend.RouteService
 	owners   identity.Keys[*oriolebend.Organisation]
-	// revoked holds the keys of earlier tables that nobody holds any more.
+	// revoked holds the keys of earlier tables that no organisation has any longer.
 	revoked map[oriolebend.KeyDigest]struct{}
 }
 
-// maxRevoked bounds the keys that are remembered as taken away. They only tell one reason
-// of a refusal from another.
+// maxRevoked is the highest number of revoked keys that are kept. They only serve to
+// distinguish two reasons of a refusal.
 const maxRevoked = 4096
 
 // NewTable indexes a checked routing.
@@ -54,8 +54,8 @@
 	return t
 }
 
-// After notes which keys were taken away since an earlier table, nil if there is none. It
-// must be called before the table is shared.
+// After records the keys that were revoked since an earlier table, which is nil if there
+// is none. It must be called before the table is shared.
 func (t *Table) After(earlier *Table) {
 	if earlier == nil {
 		return
@@ -74,20 +74,20 @@
 	}
 }
 
-// Owner is the organisation that holds a key, nil if none does.
+// Owner returns the organisation that has a key, nil if none has.
 func (t *Table) Owner(key string) *oriolebend.Organisation {
 	owner, _ := t.owners.Owner(key)
 	return owner
 }
 
-// Revoked reports whether a key was taken away.
+// Revoked reports whether a key was revoked.
 func (t *Table) Revoked(key string) bool {
 	_, revoked := t.revoked[oriolebend.DigestKey(key)]
 	return revoked
 }
 
-// Match returns the route of the host with the longest prefix of the path, nil
-// if there is none. The path is compared as it was sent, without its query.
+// Match returns the route of the host with the longest matching prefix of the path, nil if
+// there is none. The path is compared as it was sent, without its query.
 func (t *Table) Match(host, path string) *oriolebend.Route {
 	for _, route := range t.hosts[hostKey(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -100,8 +100,8 @@
 // Service returns a service by name, nil if there is none.
 func (t *Table) Service(name string) *oriolebend.RouteService { return t.services[name] }
 
-// Target picks one of a route's services by weight; at is a random number
-// from 0 up to 1.
+// Target selects one of a route's services by weight; at is a random number from 0 up
+// to 1.
 func Target(r *oriolebend.Route, at float64) string {
 	total := 0.0
 	for _, t := range r.Targets {
@@ -122,7 +122,8 @@
 	return last
 }
 
-// hostKey drops the port and the case of a host: neither tells routes apart.
+// hostKey returns a host in lower case without its port, since routes match regardless
+// of case and port.
 func hostKey(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
