--- a/internal/peer/requests.go
+++ b/internal/peer/requests.go
@@ -8,10 +8,10 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// Questions sends requests to peers over one session for each peer: a session for each
+// RequestClient sends requests to peers over one session for each peer: a session for each
 // request would cost both sides many times as much as the request itself. The zero value
 // with the exported fields set is ready to use.
-type Questions[Q, A message.Message] struct {
+type RequestClient[Q, A message.Message] struct {
 	Dialer Dialer
 	// Numbered returns a copy of a request with its number set, and Number returns the
 	// number of the request that an answer belongs to.
@@ -35,7 +35,7 @@
 
 // Ask sends a request to the peer at an address and waits for the answer. Its errors are
 // those of the dialer, a *SessionEndedError, and that of ctx.
-func (q *Questions[Q, A]) Ask(ctx context.Context, address string, request Q) (A, error) {
+func (q *RequestClient[Q, A]) Ask(ctx context.Context, address string, request Q) (A, error) {
 	s, err := q.session(ctx, address)
 	if err != nil {
 		var none A
@@ -45,7 +45,7 @@
 }
 
 // Tell sends a message that needs no answer, if a session with the peer is open.
-func (q *Questions[Q, A]) Tell(address string, m message.Message) {
+func (q *RequestClient[Q, A]) Tell(address string, m message.Message) {
 	q.mutex.Lock()
 	s := q.sessions[address]
 	q.mutex.Unlock()
@@ -56,7 +56,7 @@
 
 // Drop ends the session with a peer, for example because the process at the address may
 // have been replaced. Requests that wait for an answer fail with a *SessionEndedError.
-func (q *Questions[Q, A]) Drop(address string) {
+func (q *RequestClient[Q, A]) Drop(address string) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if s := q.sessions[address]; s != nil {
@@ -66,7 +66,7 @@
 }
 
 // Close ends all sessions.
-func (q *Questions[Q, A]) Close() {
+func (q *RequestClient[Q, A]) Close() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for _, s := range q.sessions {
@@ -75,7 +75,7 @@
 }
 
 // session returns the open session with a peer, and opens one if there is none.
-func (q *Questions[Q, A]) session(ctx context.Context, address string) (*requestSession[Q, A], error) {
+func (q *RequestClient[Q, A]) session(ctx context.Context, address string) (*requestSession[Q, A], error) {
 	q.mutex.Lock()
 	s := q.sessions[address]
 	q.mutex.Unlock()
@@ -128,7 +128,7 @@
 
 // requestSession is one open session.
 type requestSession[Q, A message.Message] struct {
-	client *Questions[Q, A]
+	client *RequestClient[Q, A]
 	stream Stream
 	out    *Outbox
 
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -39,7 +39,7 @@
 	mutex sync.Mutex
 	// away holds until when control VMs are asked last that did not answer.
 	away  map[string]time.Time
-	asked peer.Questions[message.QuotaAsk, message.QuotaAnswer]
+	asked peer.RequestClient[message.QuotaAsk, message.QuotaAnswer]
 }
 
 var _ forwarder.Quotas = (*Client)(nil)
@@ -47,7 +47,7 @@
 // Prepare makes the client ready; it must be called before all else.
 func (c *Client) Prepare() {
 	c.away = map[string]time.Time{}
-	c.asked = peer.Questions[message.QuotaAsk, message.QuotaAnswer]{
+	c.asked = peer.RequestClient[message.QuotaAsk, message.QuotaAnswer]{
 		Dialer:   c.Dialer,
 		Numbered: func(q message.QuotaAsk, number uint64) message.QuotaAsk { q.ID = number; return q },
 		Number:   func(a message.QuotaAnswer) uint64 { return a.ID },
--- a/internal/serverlimit/client.go
+++ b/internal/serverlimit/client.go
@@ -31,14 +31,14 @@
 	// away is until when the control VM awayAt is not asked, which did not answer.
 	away   time.Time
 	awayAt string
-	asked  peer.Questions[message.LimitAsk, message.LimitAnswer]
+	asked  peer.RequestClient[message.LimitAsk, message.LimitAnswer]
 }
 
 var _ forwarder.Limits = (*Client)(nil)
 
 // Prepare makes the client ready; it must be called before all else.
 func (c *Client) Prepare() {
-	c.asked = peer.Questions[message.LimitAsk, message.LimitAnswer]{
+	c.asked = peer.RequestClient[message.LimitAsk, message.LimitAnswer]{
 		Dialer:   c.Dialer,
 		Numbered: func(q message.LimitAsk, number uint64) message.LimitAsk { q.ID = number; return q },
 		Number:   func(a message.LimitAnswer) uint64 { return a.ID },
