--- a/internal/peer/requests.go
+++ b/internal/peer/requests.go
@@ -109,10 +109,10 @@
 	return s, nil
 }
 
-// AnswerQuestions answers the requests of a session until the session or ctx ends, or a
+// ServeRequests answers the requests of a session until the session or ctx ends, or a
 // message arrives that is not a Q. The second result of answer is false for a request that
 // needs no answer.
-func AnswerQuestions[Q, A message.Message](ctx context.Context, s Stream, answer func(Q) (A, bool)) {
+func ServeRequests[Q, A message.Message](ctx context.Context, s Stream, answer func(Q) (A, bool)) {
 	defer context.AfterFunc(ctx, func() { _ = s.Close() })()
 	for {
 		m, err := s.Receive()
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -101,7 +101,7 @@
 
 // Serve is the peer.Handler for forwarders. A session carries any number of questions.
 func (k *Keeper) Serve(ctx context.Context, s peer.Stream) {
-	peer.AnswerQuestions(ctx, s, func(asked message.QuotaAsk) (message.QuotaAnswer, bool) {
+	peer.ServeRequests(ctx, s, func(asked message.QuotaAsk) (message.QuotaAnswer, bool) {
 		if asked.Return {
 			k.returned(asked)
 			return message.QuotaAnswer{}, false
--- a/internal/serverlimit/keeper.go
+++ b/internal/serverlimit/keeper.go
@@ -53,7 +53,7 @@
 }
 
 // Serve is the peer.Handler for forwarders. A session carries any number of questions.
-func (k *Keeper) Serve(ctx context.Context, s peer.Stream) { peer.AnswerQuestions(ctx, s, k.take) }
+func (k *Keeper) Serve(ctx context.Context, s peer.Stream) { peer.ServeRequests(ctx, s, k.take) }
 
 // take feeds one step of a forwarder to the reducer.
 func (k *Keeper) take(m message.LimitAsk) (message.LimitAnswer, bool) {
