--- a/internal/peer/requests.go
+++ b/internal/peer/requests.go
@@ -33,9 +33,9 @@
 	return fmt.Sprintf("peer: session with %s has ended", e.Peer)
 }
 
-// Ask sends a request to the peer at an address and waits for the answer. Its errors are
+// Request sends a request to the peer at an address and waits for the answer. Its errors are
 // those of the dialer, a *SessionEndedError, and that of ctx.
-func (q *RequestClient[Q, A]) Ask(ctx context.Context, address string, request Q) (A, error) {
+func (q *RequestClient[Q, A]) Request(ctx context.Context, address string, request Q) (A, error) {
 	s, err := q.session(ctx, address)
 	if err != nil {
 		var none A
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -131,7 +131,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	return c.asked.Ask(ctx, address, ask)
+	return c.asked.Request(ctx, address, ask)
 }
 
 // Return implements forwarder.Quotas. What does not arrive is lost to the organisation
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -175,12 +175,12 @@
 		ask := message.QuotaAsk{Organisation: "o", Cost: 10}
 		opening, cancel := context.WithTimeout(ctx, time.Millisecond)
 		defer cancel()
-		_, err := c.asked.Ask(opening, "c0:1", returned("o", 0)) // opens the session; it has no answer
+		_, err := c.asked.Request(opening, "c0:1", returned("o", 0)) // opens the session; it has no answer
 		is.True(err != nil)
 		left, leave := context.WithCancel(ctx)
 		leave()
 		for range 20 {
-			_, err := c.asked.Ask(left, "c0:1", ask)
+			_, err := c.asked.Request(left, "c0:1", ask)
 			is.True(err != nil)
 			synctest.Wait()
 		}
--- a/internal/serverlimit/client.go
+++ b/internal/serverlimit/client.go
@@ -58,7 +58,7 @@
 	}
 	asking, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
-	answer, err := c.asked.Ask(asking, leader, message.LimitAsk{
+	answer, err := c.asked.Request(asking, leader, message.LimitAsk{
 		Step: message.LimitAsked, Server: ask.Server.Start(), PerSecond: ask.PerSecond, Age: ask.Age,
 	})
 	switch {
