--- a/internal/peer/requests.go
+++ b/internal/peer/requests.go
@@ -44,8 +44,8 @@
 	return s.send(ctx, request)
 }
 
-// Tell sends a message that needs no answer, if a session with the peer is open.
-func (q *RequestClient[Q, A]) Tell(address string, m message.Message) {
+// Send sends a message that needs no answer, if a session with the peer is open.
+func (q *RequestClient[Q, A]) Send(address string, m message.Message) {
 	q.mutex.Lock()
 	s := q.sessions[address]
 	q.mutex.Unlock()
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -137,7 +137,7 @@
 // Return implements forwarder.Quotas. What does not arrive is lost to the organisation
 // until its bucket is full again.
 func (c *Client) Return(charge forwarder.Charge) {
-	c.asked.Tell(charge.CountedBy, returned(charge.Organisation, charge.Cost))
+	c.asked.Send(charge.CountedBy, returned(charge.Organisation, charge.Cost))
 }
 
 // Close ends the sessions.
--- a/internal/serverlimit/client.go
+++ b/internal/serverlimit/client.go
@@ -97,13 +97,13 @@
 
 // Return implements forwarder.Limits.
 func (c *Client) Return(server message.BackendServer) {
-	c.asked.Tell(c.Leader(), message.LimitAsk{Step: message.LimitReturned, Server: server.Start()})
+	c.asked.Send(c.Leader(), message.LimitAsk{Step: message.LimitReturned, Server: server.Start()})
 }
 
 // Ended implements forwarder.Limits. A forwarder that never asked has no session to tell it
 // over; others learn it by their own requests then.
 func (c *Client) Ended(server message.BackendServer, age time.Duration) {
-	c.asked.Tell(c.Leader(), message.LimitAsk{Step: message.LimitEnded, Server: server.Start(), Age: age})
+	c.asked.Send(c.Leader(), message.LimitAsk{Step: message.LimitEnded, Server: server.Start(), Age: age})
 }
 
 // Close ends the sessions.
