--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -118,7 +118,7 @@
 		return
 	}
 	table := routing.NewTable(r)
-	table.After(f.table.Load())
+	table.RecordRevoked(f.table.Load())
 	f.table.Store(table)
 	f.reduce(dispatch.Services{Services: r.Services})
 	f.routedOnce.Do(func() { close(f.routed) })
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -54,9 +54,9 @@
 	return t
 }
 
-// After records the keys that were revoked since an earlier table, which is nil if there
+// RecordRevoked records the keys that were revoked since an earlier table, which is nil if there
 // is none. It must be called before the table is shared.
-func (t *Table) After(earlier *Table) {
+func (t *Table) RecordRevoked(earlier *Table) {
 	if earlier == nil {
 		return
 	}
