--- a/internal/role/controlprocess.go
+++ b/internal/role/controlprocess.go
@@ -181,7 +181,7 @@
 	c.members.Prepare()
 	c.crashes = quarantine.New(quarantine.Config{
 		Tell: func(reports []message.CrashReport) {
-			c.routes.TellReports(reports)
+			c.routes.SendReports(reports)
 			c.keeper.Changed()
 		},
 		Logger: p.Logger,
--- a/internal/role/relayprocess.go
+++ b/internal/role/relayprocess.go
@@ -35,7 +35,7 @@
 	p = p.withMetrics(peer.RoleControl)
 	r := &RelayProcess{process: p, done: make(chan struct{})}
 	crashes := quarantine.New(quarantine.Config{
-		Tell: func(reports []message.CrashReport) { r.routes.TellReports(reports) }, Logger: p.Logger,
+		Tell: func(reports []message.CrashReport) { r.routes.SendReports(reports) }, Logger: p.Logger,
 	})
 	r.routes = &routewatch.Server{
 		Store:     routing.NewStore(),
--- a/internal/routewatch/server_test.go
+++ b/internal/routewatch/server_test.go
@@ -234,7 +234,7 @@
 // Each of the two goroutines took one lock and waited for the other's.
 func TestCrashReportDuringNewWatch(t *testing.T) {
 	var r *Server
-	store := quarantine.New(quarantine.Config{Tell: func(reports []message.CrashReport) { r.TellReports(reports) }})
+	store := quarantine.New(quarantine.Config{Tell: func(reports []message.CrashReport) { r.SendReports(reports) }})
 	r = newServer(func(r *Server) { r.Reports = store.Reports })
 	const rounds = 500
 	done := make(chan struct{})
--- a/internal/routewatch/watch.go
+++ b/internal/routewatch/watch.go
@@ -185,8 +185,8 @@
 	return peers
 }
 
-// TellReports sends crash reports to all watchers.
-func (r *Server) TellReports(reports []message.CrashReport) {
+// SendReports sends crash reports to all watchers.
+func (r *Server) SendReports(reports []message.CrashReport) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for w := range r.watches {
