--- a/internal/message/place.go
+++ b/internal/message/place.go
@@ -20,13 +20,13 @@
 type PlaceOpen struct {
 	Node string `cbor:"node"`
 	// FailureDomain is the failure domain of the forwarder.
-	FailureDomain string          `cbor:"failureDomain,omitempty"`
-	Held          []PlaceQuestion `cbor:"held,omitempty"`
+	FailureDomain string             `cbor:"failureDomain,omitempty"`
+	Held          []PlacementRequest `cbor:"held,omitempty"`
 }
 
-// PlaceQuestion is a placement request: the needs of one request. As part of a
+// PlacementRequest is a placement request: the needs of one request. As part of a
 // PlaceOpen, Server and Prefill name the engines that the request already uses.
-type PlaceQuestion struct {
+type PlacementRequest struct {
 	ID      uint64 `cbor:"1,keyasint"`
 	Service string `cbor:"2,keyasint"`
 	Prompt  int    `cbor:"3,keyasint"`
@@ -77,9 +77,9 @@
 
 // PlaceEvent reports one step of one placement request.
 type PlaceEvent struct {
-	ID       uint64         `cbor:"1,keyasint"`
-	Step     PlaceStep      `cbor:"2,keyasint"`
-	Question *PlaceQuestion `cbor:"3,keyasint,omitempty"`
+	ID       uint64            `cbor:"1,keyasint"`
+	Step     PlaceStep         `cbor:"2,keyasint"`
+	Question *PlacementRequest `cbor:"3,keyasint,omitempty"`
 	// Took is the duration of the prefill, or the time to the first part of the answer.
 	Took time.Duration `cbor:"4,keyasint,omitempty"`
 	// Outcome is how a placement that ended was used.
--- a/internal/places/allocator.go
+++ b/internal/places/allocator.go
@@ -217,7 +217,7 @@
 	}
 }
 
-func needOf(q message.PlaceQuestion) dispatch.Need {
+func needOf(q message.PlacementRequest) dispatch.Need {
 	return dispatch.Need{
 		Service: q.Service, Prompt: q.Prompt, Output: q.Output, Tried: q.Tried, Excluded: q.Excluded,
 		FirstWithin: q.FirstWithin, PauseWithin: q.PauseWithin,
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -61,7 +61,7 @@
 
 // heldPlacement is a placement in use, and the time since when it is used.
 type heldPlacement struct {
-	message.PlaceQuestion
+	message.PlacementRequest
 	since time.Time
 }
 
@@ -133,7 +133,7 @@
 	open := message.PlaceOpen{Node: c.Node, FailureDomain: c.FailureDomain}
 	for _, h := range c.held {
 		h.Age = time.Since(h.since)
-		open.Held = append(open.Held, h.PlaceQuestion)
+		open.Held = append(open.Held, h.PlacementRequest)
 	}
 	o.Put(open)
 	c.outbox = o
@@ -258,7 +258,7 @@
 	c.lastID++
 	waiting := make(chan message.PlaceAnswer, 1)
 	c.pending[c.lastID] = waiting
-	c.sendEvent(message.PlaceEvent{ID: c.lastID, Step: message.PlaceAsked, Question: &message.PlaceQuestion{
+	c.sendEvent(message.PlaceEvent{ID: c.lastID, Step: message.PlaceAsked, Question: &message.PlacementRequest{
 		ID: c.lastID, Service: q.Need.Service, Prompt: q.Need.Prompt, Output: q.Need.Output, Rank: q.Rank, Call: q.Call,
 		InTime: q.InTime, Within: q.Within, Tried: q.Need.Tried, Excluded: q.Need.Excluded,
 		FirstWithin: q.Need.FirstWithin, PauseWithin: q.Need.PauseWithin,
@@ -273,14 +273,14 @@
 	question := placementOf(q.Need, *a.Server, a.Prefill)
 	question.ID = a.ID
 	c.mutex.Lock()
-	c.held[a.ID] = heldPlacement{PlaceQuestion: question, since: time.Now()}
+	c.held[a.ID] = heldPlacement{PlacementRequest: question, since: time.Now()}
 	c.mutex.Unlock()
 	return dispatch.Granted{Grant: dispatch.Grant{Need: q.Need, Server: *a.Server, Prefill: a.Prefill, Ahead: a.Ahead, Remote: a.ID}}
 }
 
 // placementOf describes the engines and the memory of a placement.
-func placementOf(n dispatch.Need, server message.BackendServer, prefill *message.BackendServer) message.PlaceQuestion {
-	question := message.PlaceQuestion{
+func placementOf(n dispatch.Need, server message.BackendServer, prefill *message.BackendServer) message.PlacementRequest {
+	question := message.PlacementRequest{
 		Service: n.Service, Prompt: n.Prompt, Output: n.Output, Server: server.Instance, ServerStart: server.Incarnation,
 	}
 	if prefill != nil {
@@ -298,7 +298,7 @@
 	defer c.mutex.Unlock()
 	c.lastID++
 	question.ID = c.lastID
-	c.held[c.lastID] = heldPlacement{PlaceQuestion: question, since: time.Now()}
+	c.held[c.lastID] = heldPlacement{PlacementRequest: question, since: time.Now()}
 	return c.lastID
 }
 
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -174,11 +174,11 @@
 	onPlaceSite(t, func(ctx context.Context, is *is.I, s *placeSite) {
 		s.lead("one:1")
 		time.Sleep(time.Second)
-		held := message.PlaceQuestion{ID: 1, Service: "s", Prompt: 400, Server: "d"}
+		held := message.PlacementRequest{ID: 1, Service: "s", Prompt: 400, Server: "d"}
 		for range 3 { // sessions of which none is known to have ended
 			session, err := s.network.Dialer("g").Open(ctx, "one:1")
 			is.NoErr(err)
-			is.NoErr(session.Send(message.PlaceOpen{Node: "g", Held: []message.PlaceQuestion{held}}))
+			is.NoErr(session.Send(message.PlaceOpen{Node: "g", Held: []message.PlacementRequest{held}}))
 			time.Sleep(100 * time.Millisecond)
 		}
 		s.granted(ctx, is, 600)
