--- a/internal/message/place.go
+++ b/internal/message/place.go
@@ -77,9 +77,9 @@
 
 // PlaceEvent reports one step of one placement request.
 type PlaceEvent struct {
-	ID       uint64            `cbor:"1,keyasint"`
-	Step     PlaceStep         `cbor:"2,keyasint"`
-	Question *PlacementRequest `cbor:"3,keyasint,omitempty"`
+	ID      uint64            `cbor:"1,keyasint"`
+	Step    PlaceStep         `cbor:"2,keyasint"`
+	Request *PlacementRequest `cbor:"3,keyasint,omitempty"`
 	// Took is the duration of the prefill, or the time to the first part of the answer.
 	Took time.Duration `cbor:"4,keyasint,omitempty"`
 	// Outcome is how a placement that ended was used.
--- a/internal/places/allocator.go
+++ b/internal/places/allocator.go
@@ -232,7 +232,7 @@
 	key := placement.Key{Session: session, ID: m.ID}
 	switch m.Step {
 	case message.PlaceAsked:
-		if q := m.Question; q != nil {
+		if q := m.Request; q != nil {
 			need := needOf(*q)
 			need.FailureDomain = a.sessions[session].failureDomain
 			a.reduce(placement.Requested{
