--- a/internal/message/routing.go
+++ b/internal/message/routing.go
@@ -135,8 +135,8 @@
 	Reports []CrashReport `cbor:"reports,omitempty"`
 }
 
-// RouteHeard acknowledges that an update was applied.
-type RouteHeard struct {
+// RouteAcknowledged acknowledges that an update was applied.
+type RouteAcknowledged struct {
 	Number uint64 `cbor:"number"`
 	// Version is that of the routing that the forwarder has. It is sent immediately when
 	// it changes, so that no other control VM sends the same routing.
@@ -186,7 +186,7 @@
 func (RouteUpdate) Kind() Kind { return KindRouteUpdate }
 
 // Kind implements Message.
-func (RouteHeard) Kind() Kind { return KindRouteHeard }
+func (RouteAcknowledged) Kind() Kind { return KindRouteHeard }
 
 // Kind implements Message.
 func (Join) Kind() Kind { return KindJoin }
@@ -197,7 +197,7 @@
 var (
 	_ = Register[RouteWatch]()
 	_ = Register[RouteUpdate]()
-	_ = Register[RouteHeard]()
+	_ = Register[RouteAcknowledged]()
 	_ = Register[Join]()
 	_ = Register[Joined]()
 )
--- a/internal/routewatch/link.go
+++ b/internal/routewatch/link.go
@@ -130,7 +130,7 @@
 		if first && f.Found != nil {
 			f.Found(l.address)
 		}
-		ack := message.RouteHeard{
+		ack := message.RouteAcknowledged{
 			Number: update.Number, Version: f.Sink.Version(), InTouch: f.InTouch(), Loads: f.takeLoads(l),
 		}
 		if err := s.Send(ack); err != nil {
@@ -159,7 +159,7 @@
 		if l == from || !l.open() {
 			continue
 		}
-		ack, stream := message.RouteHeard{Number: l.received, Version: version, InTouch: f.inTouch()}, l.stream
+		ack, stream := message.RouteAcknowledged{Number: l.received, Version: version, InTouch: f.inTouch()}, l.stream
 		// A send that blocks must not delay the others; its session ends by itself.
 		f.group.Go(func() { _ = stream.Send(ack) })
 	}
--- a/internal/routewatch/server_test.go
+++ b/internal/routewatch/server_test.go
@@ -108,7 +108,7 @@
 			defer near.Close()
 			go r.Serve(t.Context(), far)
 			is.NoErr(near.Send(message.RouteWatch{Node: address, Observes: address != "", Address: address}))
-			is.NoErr(near.Send(message.RouteHeard{Number: 1, InTouch: touch}))
+			is.NoErr(near.Send(message.RouteAcknowledged{Number: 1, InTouch: touch}))
 		}
 		synctest.Wait()
 		is.Equal(r.AnnounceTo("i-1"), "")
@@ -218,7 +218,7 @@
 			if err != nil {
 				return
 			}
-			if err := near.Send(message.RouteHeard{Number: m.(message.RouteUpdate).Number}); err != nil {
+			if err := near.Send(message.RouteAcknowledged{Number: m.(message.RouteUpdate).Number}); err != nil {
 				return
 			}
 		}
--- a/internal/routewatch/watch.go
+++ b/internal/routewatch/watch.go
@@ -139,7 +139,7 @@
 			_ = s.Close()
 			return
 		}
-		if ack, ok := m.(message.RouteHeard); ok {
+		if ack, ok := m.(message.RouteAcknowledged); ok {
 			r.mutex.Lock()
 			w.acknowledged, w.version, w.inTouch = max(w.acknowledged, ack.Number), max(w.version, ack.Version), ack.InTouch
 			close(w.progress)
