--- a/internal/message/routing.go
+++ b/internal/message/routing.go
@@ -9,11 +9,11 @@
 // Kinds of the messages by which control VMs send the routing and the backend servers to
 // forwarders, and by which a control VM joins the others.
 const (
-	KindRouteWatch  Kind = "routeWatch"
-	KindRouteUpdate Kind = "routeUpdate"
-	KindRouteHeard  Kind = "routeHeard"
-	KindJoin        Kind = "join"
-	KindJoined      Kind = "joined"
+	KindRouteWatch        Kind = "routeWatch"
+	KindRouteUpdate       Kind = "routeUpdate"
+	KindRouteAcknowledged Kind = "routeHeard"
+	KindJoin              Kind = "join"
+	KindJoined            Kind = "joined"
 )
 
 // ServerPhase is how far a backend server has progressed towards its shutdown.
@@ -186,7 +186,7 @@
 func (RouteUpdate) Kind() Kind { return KindRouteUpdate }
 
 // Kind implements Message.
-func (RouteAcknowledged) Kind() Kind { return KindRouteHeard }
+func (RouteAcknowledged) Kind() Kind { return KindRouteAcknowledged }
 
 // Kind implements Message.
 func (Join) Kind() Kind { return KindJoin }
