--- a/internal/message/place.go
+++ b/internal/message/place.go
@@ -24,8 +24,8 @@
 	Held          []PlacementRequest `cbor:"held,omitempty"`
 }
 
-// PlacementRequest is a placement request: the needs of one request. As part of a
-// PlaceOpen, Server and Prefill name the engines that the request already uses.
+// PlacementRequest requests a placement for one request. As part of a PlaceOpen, Server
+// and Prefill name the engines that the request already uses.
 type PlacementRequest struct {
 	ID      uint64 `cbor:"1,keyasint"`
 	Service string `cbor:"2,keyasint"`
--- a/internal/routewatch/follower.go
+++ b/internal/routewatch/follower.go
@@ -119,11 +119,11 @@
 func (f *Follower) InTouch() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.inTouch()
+	return f.connected()
 }
 
 // withSession is InTouch. The mutex is held.
-func (f *Follower) inTouch() bool { return time.Since(f.confirmed) < confirmationMaxAge }
+func (f *Follower) connected() bool { return time.Since(f.confirmed) < confirmationMaxAge }
 
 // Links counts the control VMs that are watched now.
 func (f *Follower) Links() int { return len(f.Open()) }
--- a/internal/routewatch/link.go
+++ b/internal/routewatch/link.go
@@ -159,7 +159,7 @@
 		if l == from || !l.open() {
 			continue
 		}
-		ack, stream := message.RouteAcknowledged{Number: l.received, Version: version, InTouch: f.inTouch()}, l.stream
+		ack, stream := message.RouteAcknowledged{Number: l.received, Version: version, InTouch: f.connected()}, l.stream
 		// A send that blocks must not delay the others; its session ends by itself.
 		f.group.Go(func() { _ = stream.Send(ack) })
 	}
--- a/internal/routewatch/server.go
+++ b/internal/routewatch/server.go
@@ -142,7 +142,7 @@
 	best, most := "", uint64(0)
 	for w := range r.watches {
 		weight := policy.Rendezvous(instance, w.address)
-		if w.address != "" && w.inTouch && (best == "" || weight > most) {
+		if w.address != "" && w.connected && (best == "" || weight > most) {
 			best, most = w.address, weight
 		}
 	}
--- a/internal/routewatch/watch.go
+++ b/internal/routewatch/watch.go
@@ -31,7 +31,7 @@
 	// version is the routing version that the watcher reported, withSession whether it recently
 	// received an update that a quorum had confirmed.
 	version uint64
-	inTouch bool
+	connected bool
 	// wake is signalled for changes that may be batched, urgent for those that must not wait.
 	wake, urgent chan struct{}
 	// progress is closed and replaced whenever heard is updated or the watch ends.
@@ -141,7 +141,7 @@
 		}
 		if ack, ok := m.(message.RouteAcknowledged); ok {
 			r.mutex.Lock()
-			w.acknowledged, w.version, w.inTouch = max(w.acknowledged, ack.Number), max(w.version, ack.Version), ack.InTouch
+			w.acknowledged, w.version, w.connected = max(w.acknowledged, ack.Number), max(w.version, ack.Version), ack.InTouch
 			close(w.progress)
 			w.progress = make(chan struct{})
 			r.mutex.Unlock()
