--- a/internal/role/forwarderprocess.go
+++ b/internal/role/forwarderprocess.go
@@ -90,7 +90,7 @@
 		Quarantine: process.crashes,
 		Quotas:     process.quotas,
 		Limits:     process.limits,
-		Current:    func() bool { return process.follower.InTouch() },
+		Current:    func() bool { return process.follower.Connected() },
 		Observer:   p.observer(),
 		Logger:     p.Logger,
 		Held:       p.Held,
--- a/internal/routewatch/follower.go
+++ b/internal/routewatch/follower.go
@@ -114,9 +114,9 @@
 	return f.leader
 }
 
-// InTouch reports whether a control VM recently reported that a quorum confirmed its
+// Connected reports whether a control VM recently reported that a quorum confirmed its
 // state.
-func (f *Follower) InTouch() bool {
+func (f *Follower) Connected() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.connected()
--- a/internal/routewatch/link.go
+++ b/internal/routewatch/link.go
@@ -131,7 +131,7 @@
 			f.Found(l.address)
 		}
 		ack := message.RouteAcknowledged{
-			Number: update.Number, Version: f.Sink.Version(), InTouch: f.InTouch(), Loads: f.takeLoads(l),
+			Number: update.Number, Version: f.Sink.Version(), InTouch: f.Connected(), Loads: f.takeLoads(l),
 		}
 		if err := s.Send(ack); err != nil {
 			return
