--- a/internal/role/controlprocess.go
+++ b/internal/role/controlprocess.go
@@ -202,9 +202,9 @@
 			_, address := c.replica.Leader()
 			return address
 		},
-		InTouch: func() bool { return c.LeaderIP() != "" },
-		Reports: c.crashes.Reports,
-		Logger:  p.Logger,
+		Connected: func() bool { return c.LeaderIP() != "" },
+		Reports:   c.crashes.Reports,
+		Logger:    p.Logger,
 	}
 	c.routes.Prepare()
 	c.observe(name)
--- a/internal/role/relayprocess.go
+++ b/internal/role/relayprocess.go
@@ -42,7 +42,7 @@
 		Confirmed: func() (time.Duration, bool) { return 0, false },
 		Controls:  func() []string { return nil },
 		Leader:    r.leader,
-		InTouch:   func() bool { return r.follower.Connected() },
+		Connected: func() bool { return r.follower.Connected() },
 		Reports:   crashes.Reports,
 		Logger:    p.Logger,
 	}
--- a/internal/routewatch/server.go
+++ b/internal/routewatch/server.go
@@ -51,9 +51,9 @@
 	// Leader returns the peer address of the leading control VM, empty if none is
 	// known.
 	Leader func() string
-	// InTouch reports whether this control VM is connected to the leader; nil means
+	// Connected reports whether this control VM is connected to the leader; nil means
 	// always.
-	InTouch func() bool
+	Connected func() bool
 	// Loads receives the loads that forwarders report; nil discards them.
 	Loads func([]message.ServiceLoad)
 	// Reports lists the known crash reports, which are sent to each new watcher; nil
@@ -134,7 +134,7 @@
 // those that had crashed and restarted were idle until the partition ended. Control VMs
 // that watch this one and are connected themselves reach both it and the leader.
 func (r *Server) AnnounceTo(instance string) string {
-	if r.InTouch == nil || r.InTouch() {
+	if r.Connected == nil || r.Connected() {
 		return ""
 	}
 	r.mutex.Lock()
--- a/internal/routewatch/server_test.go
+++ b/internal/routewatch/server_test.go
@@ -101,7 +101,7 @@
 		is := is.New(t)
 		var inTouch atomic.Bool
 		inTouch.Store(true)
-		r := newServer(func(r *Server) { r.InTouch = inTouch.Load })
+		r := newServer(func(r *Server) { r.Connected = inTouch.Load })
 		watchers := map[string]bool{"10.0.0.1:1": true, "10.0.0.2:1": true, "10.0.0.3:1": false, "": true}
 		for address, touch := range watchers {
 			near, far := peertest.Pair("watcher", "control")
--- a/internal/routewatch/watch.go
+++ b/internal/routewatch/watch.go
@@ -30,7 +30,7 @@
 	acknowledged uint64
 	// version is the routing version that the watcher reported, withSession whether it recently
 	// received an update that a quorum had confirmed.
-	version uint64
+	version   uint64
 	connected bool
 	// wake is signalled for changes that may be batched, urgent for those that must not wait.
 	wake, urgent chan struct{}
