--- a/internal/message/routing.go
+++ b/internal/message/routing.go
@@ -141,9 +141,9 @@
 	// Version is that of the routing that the forwarder has. It is sent immediately when
 	// it changes, so that no other control VM sends the same routing.
 	Version uint64 `cbor:"version,omitempty"`
-	// InTouch is set if a control VM recently reported to the sender that a quorum
+	// Connected is set if a control VM recently reported to the sender that a quorum
 	// confirmed its state.
-	InTouch bool `cbor:"inTouch,omitempty"`
+	Connected bool `cbor:"inTouch,omitempty"`
 	// Loads are the loads since they were last sent, about once a second.
 	Loads []ServiceLoad `cbor:"loads,omitempty"`
 }
--- a/internal/routewatch/link.go
+++ b/internal/routewatch/link.go
@@ -131,7 +131,7 @@
 			f.Found(l.address)
 		}
 		ack := message.RouteAcknowledged{
-			Number: update.Number, Version: f.Sink.Version(), InTouch: f.Connected(), Loads: f.takeLoads(l),
+			Number: update.Number, Version: f.Sink.Version(), Connected: f.Connected(), Loads: f.takeLoads(l),
 		}
 		if err := s.Send(ack); err != nil {
 			return
@@ -159,7 +159,7 @@
 		if l == from || !l.open() {
 			continue
 		}
-		ack, stream := message.RouteAcknowledged{Number: l.received, Version: version, InTouch: f.connected()}, l.stream
+		ack, stream := message.RouteAcknowledged{Number: l.received, Version: version, Connected: f.connected()}, l.stream
 		// A send that blocks must not delay the others; its session ends by itself.
 		f.group.Go(func() { _ = stream.Send(ack) })
 	}
--- a/internal/routewatch/server_test.go
+++ b/internal/routewatch/server_test.go
@@ -108,7 +108,7 @@
 			defer near.Close()
 			go r.Serve(t.Context(), far)
 			is.NoErr(near.Send(message.RouteWatch{Node: address, Observes: address != "", Address: address}))
-			is.NoErr(near.Send(message.RouteAcknowledged{Number: 1, InTouch: touch}))
+			is.NoErr(near.Send(message.RouteAcknowledged{Number: 1, Connected: touch}))
 		}
 		synctest.Wait()
 		is.Equal(r.AnnounceTo("i-1"), "")
--- a/internal/routewatch/watch.go
+++ b/internal/routewatch/watch.go
@@ -141,7 +141,7 @@
 		}
 		if ack, ok := m.(message.RouteAcknowledged); ok {
 			r.mutex.Lock()
-			w.acknowledged, w.version, w.connected = max(w.acknowledged, ack.Number), max(w.version, ack.Version), ack.InTouch
+			w.acknowledged, w.version, w.connected = max(w.acknowledged, ack.Number), max(w.version, ack.Version), ack.Connected
 			close(w.progress)
 			w.progress = make(chan struct{})
 			r.mutex.Unlock()
