--- a/internal/routewatch/feed.go
+++ b/internal/routewatch/feed.go
@@ -34,7 +34,7 @@
 	// sentVersion is the highest routing version that was sent to the watcher.
 	sentVersion uint64
 	// behindSince is since when the watcher has had version behindAt while this control VM
-	// knownVersion a higher one; zero while it has none.
+	// has a higher one; zero while it has none.
 	behindSince time.Time
 	behindAt    uint64
 	// sent is the last update without its servers and routing, sentAt the time it was sent.
@@ -153,7 +153,7 @@
 	return max(0, slices.Index(order, r.Self))
 }
 
-// progress reports whether an update, or the servers and reports pending for it, hold a change
+// hasChanges reports whether an update, or the servers and reports pending for it, hold a change
 // that was not sent to the watcher.
 func (f *feed) hasChanges(u message.RouteUpdate) bool {
 	f.server.mutex.Lock()
--- a/internal/routewatch/follower.go
+++ b/internal/routewatch/follower.go
@@ -122,7 +122,7 @@
 	return f.connected()
 }
 
-// withSession is InTouch. The mutex is held.
+// connected is Connected. The mutex is held.
 func (f *Follower) connected() bool { return time.Since(f.confirmed) < confirmationMaxAge }
 
 // Links counts the control VMs that are watched now.
@@ -148,7 +148,7 @@
 	return slices.Clone(f.peers)
 }
 
-// acquire applies an update. It returns false if its routing can't be decoded.
+// applyUpdate applies an update. It returns false if its routing can't be decoded.
 func (f *Follower) applyUpdate(l *link, s peer.Stream, u message.RouteUpdate) bool {
 	if len(u.Routing) > 0 {
 		var r oriolebend.Routing
--- a/internal/routewatch/link.go
+++ b/internal/routewatch/link.go
@@ -17,7 +17,7 @@
 type link struct {
 	address    string
 	forwarders int
-	// stream is the session, nil until its first update was received; heard is the
+	// stream is the session, nil until its first update was received; received is the
 	// number of the last update received on it.
 	stream   peer.Stream
 	received uint64
--- a/internal/routewatch/open_queue.go
+++ b/internal/routewatch/open_queue.go
@@ -100,8 +100,9 @@
 }
 
 // run calls open once the queue lets it begin. After a successful open the next opening begins
-// openDelayFactor times its duration later, after an error immediately. If open takes longer
-// than limit returned when it began, the next opening does not wait for it.
+// openDelayFactor times its duration later, at most maxOpenDelay; after an error it begins
+// immediately. If open takes longer than limit returned when it began, the next opening does
+// not wait for it.
 func (t *openQueue) run(ctx context.Context, weight uint64, limit func() time.Duration, open func() error) error {
 	if !t.acquire(ctx, weight) {
 		return ctx.Err()
--- a/internal/routewatch/server.go
+++ b/internal/routewatch/server.go
@@ -21,8 +21,9 @@
 )
 
 const (
-	// updateInterval is how often a watcher receives an update without a change. It shows
-	// that the control VM is alive, and whether its routing is known to be the newest.
+	// updateInterval is the longest time between two updates to a watcher. An update without
+	// changes shows that the control VM is alive, and whether its routing is known to be the
+	// newest.
 	updateInterval = time.Second
 	// confirmationMaxAge is the highest age of a confirmation at which a routing is sent as
 	// confirmed; control VMs confirm every second.
@@ -101,7 +102,7 @@
 
 // controlAddresses lists the addresses of the control VMs that forwarders can watch: the members,
 // and the control VMs that watch this one. The seeds in the settings may be relays only;
-// members know each other from their log, and no other process would find them.
+// members know each other from their log, and no other process would find the members.
 func (r *Server) controlAddresses() []string {
 	addresses := r.Controls()
 	r.mutex.Lock()
--- a/internal/routewatch/server_test.go
+++ b/internal/routewatch/server_test.go
@@ -99,9 +99,9 @@
 func TestPartitionedControlVMRedirectsServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var inTouch atomic.Bool
-		inTouch.Store(true)
-		r := newServer(func(r *Server) { r.Connected = inTouch.Load })
+		var connected atomic.Bool
+		connected.Store(true)
+		r := newServer(func(r *Server) { r.Connected = connected.Load })
 		watchers := map[string]bool{"10.0.0.1:1": true, "10.0.0.2:1": true, "10.0.0.3:1": false, "": true}
 		for address, touch := range watchers {
 			near, far := peertest.Pair("watcher", "control")
@@ -112,7 +112,7 @@
 		}
 		synctest.Wait()
 		is.Equal(r.AnnounceTo("i-1"), "")
-		inTouch.Store(false)
+		connected.Store(false)
 		named := map[string]int{}
 		for i := range 100 {
 			to := r.AnnounceTo(fmt.Sprint("i-", i))
--- a/internal/routewatch/watch.go
+++ b/internal/routewatch/watch.go
@@ -17,7 +17,7 @@
 	listen string
 	// observes is set for control VMs, which send no requests to servers.
 	observes bool
-	// isFirst is set if the process watched no other control VM when it began.
+	// alone is set if the process watched no other control VM when it began.
 	alone bool
 	// pending are the servers to send with the next update, number is that of the last one.
 	pending map[string]message.BackendServer
@@ -26,15 +26,15 @@
 	reports []message.CrashReport
 	// peers are the other forwarders that were last sent to it.
 	peers []string
-	// received is the number of the last update that the watcher acknowledged.
+	// acknowledged is the number of the last update that the watcher acknowledged.
 	acknowledged uint64
-	// version is the routing version that the watcher reported, withSession whether it recently
-	// received an update that a quorum had confirmed.
+	// version is the routing version that the watcher reported, connected whether a control
+	// VM recently reported to it that a quorum confirmed its state.
 	version   uint64
 	connected bool
 	// wake is signalled for changes that may be batched, urgent for those that must not wait.
 	wake, urgent chan struct{}
-	// progress is closed and replaced whenever heard is updated or the watch ends.
+	// progress is closed and replaced whenever acknowledged changes or the watch ends.
 	progress chan struct{}
 	closed   bool
 }
@@ -47,10 +47,10 @@
 }
 
 // awaitAcknowledged waits until forwarders have acknowledged updates. A server that leaves
-// serves on for only a short time once its leaving is acknowledged. If a control VM that
-// no forwarder receives updates from acknowledged it, requests would still be sent to the
-// server after it has stopped. A forwarder that is partitioned itself must not block
-// this, so half of them suffice after the timeout.
+// serves on for only a short time once its leaving is acknowledged. If a control VM from
+// which no forwarder receives updates acknowledged it, requests would still be sent to the
+// server after it has stopped. A forwarder that is partitioned itself must not delay the
+// acknowledgement, so half of the forwarders suffice after the timeout.
 func (r *Server) awaitAcknowledged(ctx context.Context, numbers map[*watcher]uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
 	defer cancel()
