--- a/internal/routewatch/server_test.go
+++ b/internal/routewatch/server_test.go
@@ -103,12 +103,12 @@
 		connected.Store(true)
 		r := newServer(func(r *Server) { r.Connected = connected.Load })
 		watchers := map[string]bool{"10.0.0.1:1": true, "10.0.0.2:1": true, "10.0.0.3:1": false, "": true}
-		for address, touch := range watchers {
+		for address, isConnected := range watchers {
 			near, far := peertest.Pair("watcher", "control")
 			defer near.Close()
 			go r.Serve(t.Context(), far)
 			is.NoErr(near.Send(message.RouteWatch{Node: address, Observes: address != "", Address: address}))
-			is.NoErr(near.Send(message.RouteAcknowledged{Number: 1, Connected: touch}))
+			is.NoErr(near.Send(message.RouteAcknowledged{Number: 1, Connected: isConnected}))
 		}
 		synctest.Wait()
 		is.Equal(r.AnnounceTo("i-1"), "")
