--- a/internal/places/allocator.go
+++ b/internal/places/allocator.go
@@ -217,7 +217,7 @@
 	}
 }
 
-func needOf(q message.PlaceQuestion) dispatch.Need {
+func needOf(q message.PlacementRequest) dispatch.Need {
 	return dispatch.Need{
 		Service: q.Service, Prompt: q.Prompt, Output: q.Output, Tried: q.Tried, Excluded: q.Excluded,
 		FirstWithin: q.FirstWithin, PauseWithin: q.PauseWithin,
@@ -232,7 +232,7 @@
 	key := placement.Key{Session: session, ID: m.ID}
 	switch m.Step {
 	case message.PlaceAsked:
-		if q := m.Question; q != nil {
+		if q := m.Request; q != nil {
 			need := needOf(*q)
 			need.FailureDomain = a.sessions[session].failureDomain
 			a.reduce(placement.Requested{
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -39,7 +39,7 @@
 	mutex sync.Mutex
 	// unreachable holds, for each control VM that did not answer, until when it is queried last.
 	unreachable map[string]time.Time
-	requests    peer.Questions[message.QuotaAsk, message.QuotaAnswer]
+	requests    peer.RequestClient[message.QuotaAsk, message.QuotaAnswer]
 }
 
 var _ forwarder.Quotas = (*Client)(nil)
@@ -47,7 +47,7 @@
 // Prepare initialises the client; it must be called before any other method.
 func (c *Client) Prepare() {
 	c.unreachable = map[string]time.Time{}
-	c.requests = peer.Questions[message.QuotaAsk, message.QuotaAnswer]{
+	c.requests = peer.RequestClient[message.QuotaAsk, message.QuotaAnswer]{
 		Dialer:   c.Dialer,
 		Numbered: func(q message.QuotaAsk, number uint64) message.QuotaAsk { q.ID = number; return q },
 		Number:   func(a message.QuotaAnswer) uint64 { return a.ID },
@@ -132,13 +132,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return c.requests.Ask(ctx, address, request)
+	return c.requests.Request(ctx, address, request)
 }
 
 // Return implements forwarder.Quotas. If the message is lost, the organisation lacks the units
 // until its bucket is full again.
 func (c *Client) Return(charge forwarder.Charge) {
-	c.requests.Tell(charge.CountedBy, returnMessage(charge.Organisation, charge.Cost))
+	c.requests.Send(charge.CountedBy, returnMessage(charge.Organisation, charge.Cost))
 }
 
 // Close closes the sessions.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -176,12 +176,12 @@
 		request := message.QuotaAsk{Organisation: "o", Cost: 10}
 		opening, cancel := context.WithTimeout(ctx, time.Millisecond)
 		defer cancel()
-		_, err := c.requests.Ask(opening, "c0:1", returnMessage("o", 0)) // opens the session; it has no answer
+		_, err := c.requests.Request(opening, "c0:1", returnMessage("o", 0)) // opens the session; it has no answer
 		is.True(err != nil)
 		cancelled, cancelRequest := context.WithCancel(ctx)
 		cancelRequest()
 		for range 20 {
-			_, err := c.requests.Ask(cancelled, "c0:1", request)
+			_, err := c.requests.Request(cancelled, "c0:1", request)
 			is.True(err != nil)
 			synctest.Wait()
 		}
--- a/internal/quota/server.go
+++ b/internal/quota/server.go
@@ -102,7 +102,7 @@
 
 // Serve is the peer.Handler for forwarders. A session carries any number of requests.
 func (s *Server) Serve(ctx context.Context, stream peer.Stream) {
-	peer.AnswerQuestions(ctx, stream, func(request message.QuotaAsk) (message.QuotaAnswer, bool) {
+	peer.ServeRequests(ctx, stream, func(request message.QuotaAsk) (message.QuotaAnswer, bool) {
 		if request.Return {
 			s.applyReturn(request)
 			return message.QuotaAnswer{}, false
--- a/internal/role/control_process.go
+++ b/internal/role/control_process.go
@@ -184,7 +184,7 @@
 	c.members.Prepare()
 	c.crashes = quarantine.New(quarantine.Config{
 		SendReports: func(reports []message.CrashReport) {
-			c.routes.TellReports(reports)
+			c.routes.SendReports(reports)
 			c.crashReports.RequestSave()
 		},
 		Logger: p.Logger,
@@ -205,9 +205,9 @@
 			_, address := c.replica.Leader()
 			return address
 		},
-		InTouch: func() bool { return c.LeaderIP() != "" },
-		Reports: c.crashes.Reports,
-		Logger:  p.Logger,
+		Connected: func() bool { return c.LeaderIP() != "" },
+		Reports:   c.crashes.Reports,
+		Logger:    p.Logger,
 	}
 	c.routes.Prepare()
 	c.buildObserver(name)
--- a/internal/role/relay_process.go
+++ b/internal/role/relay_process.go
@@ -35,14 +35,14 @@
 	p = p.withMetrics(peer.RoleControl)
 	r := &RelayProcess{process: p, done: make(chan struct{})}
 	crashes := quarantine.New(quarantine.Config{
-		SendReports: func(reports []message.CrashReport) { r.routes.TellReports(reports) }, Logger: p.Logger,
+		SendReports: func(reports []message.CrashReport) { r.routes.SendReports(reports) }, Logger: p.Logger,
 	})
 	r.routes = &routewatch.Server{
 		Store:     routing.NewStore(),
 		Confirmed: func() (time.Duration, bool) { return 0, false },
 		Controls:  func() []string { return nil },
 		Leader:    r.leader,
-		InTouch:   func() bool { return r.follower.InTouch() },
+		Connected: func() bool { return r.follower.Connected() },
 		Reports:   crashes.Reports,
 		Logger:    p.Logger,
 	}
--- a/internal/serverlimit/client.go
+++ b/internal/serverlimit/client.go
@@ -32,14 +32,14 @@
 	// until when it is not queried.
 	unreachableUntil time.Time
 	unreachable      string
-	requests         peer.Questions[message.LimitAsk, message.LimitAnswer]
+	requests         peer.RequestClient[message.LimitAsk, message.LimitAnswer]
 }
 
 var _ forwarder.Limits = (*Client)(nil)
 
 // Prepare initialises the client; it must be called before any other method.
 func (c *Client) Prepare() {
-	c.requests = peer.Questions[message.LimitAsk, message.LimitAnswer]{
+	c.requests = peer.RequestClient[message.LimitAsk, message.LimitAnswer]{
 		Dialer:   c.Dialer,
 		Numbered: func(q message.LimitAsk, number uint64) message.LimitAsk { q.ID = number; return q },
 		Number:   func(a message.LimitAnswer) uint64 { return a.ID },
@@ -59,7 +59,7 @@
 	}
 	requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	answer, err := c.requests.Ask(requestCtx, leader, message.LimitAsk{
+	answer, err := c.requests.Request(requestCtx, leader, message.LimitAsk{
 		Step: message.LimitAsked, Server: request.Server.Start(), PerSecond: request.PerSecond, Age: request.Age,
 	})
 	switch {
@@ -99,14 +99,14 @@
 
 // Return implements forwarder.Limits.
 func (c *Client) Return(server message.BackendServer) {
-	c.requests.Tell(c.Leader(), message.LimitAsk{Step: message.LimitReturned, Server: server.Start()})
+	c.requests.Send(c.Leader(), message.LimitAsk{Step: message.LimitReturned, Server: server.Start()})
 }
 
 // Ended implements forwarder.Limits. A forwarder that has never requested a permission has no
 // session over which to report the end of a limit; the other forwarders then detect it by their own
 // requests.
 func (c *Client) Ended(server message.BackendServer, age time.Duration) {
-	c.requests.Tell(c.Leader(), message.LimitAsk{Step: message.LimitEnded, Server: server.Start(), Age: age})
+	c.requests.Send(c.Leader(), message.LimitAsk{Step: message.LimitEnded, Server: server.Start(), Age: age})
 }
 
 // Close closes the sessions.
--- a/internal/serverlimit/server.go
+++ b/internal/serverlimit/server.go
@@ -54,7 +54,7 @@
 
 // Serve is the peer.Handler for forwarders. A session carries any number of requests.
 func (s *Server) Serve(ctx context.Context, stream peer.Stream) {
-	peer.AnswerQuestions(ctx, stream, s.handle)
+	peer.ServeRequests(ctx, stream, s.handle)
 }
 
 // handle passes one message of a forwarder to the reducer and returns the answer, if the message
