--- a/pkg/oriolebend/backend.go
+++ b/pkg/oriolebend/backend.go
@@ -1,8 +1,8 @@
 package oriolebend
 
-// Backend is a backend server of a route's service, as it announces itself.
+// Backend is a backend server of a route's service, as its announcements describe it.
 type Backend struct {
-	// Instance names the server. One that starts again may keep its name.
+	// Instance is the name of the server. A server that restarts may keep its name.
 	Instance      string   `json:"instance"`
 	Service       string   `json:"service"`
 	Address       string   `json:"address"`
@@ -11,22 +11,23 @@
 	Role          PoolRole `json:"role,omitempty"`
 	// Phase is "ready", "draining" or "gone"; empty means ready.
 	Phase string `json:"phase,omitempty"`
-	// Incarnation is when this start of the server began, in milliseconds since 1970:
-	// what is said by an earlier start than the last one known is passed over. Zero
-	// means that the server does not say.
+	// Incarnation is when this process of the server started, in milliseconds since
+	// 1970. Announcements of an earlier incarnation than the latest known one are
+	// ignored. Zero means that the server does not report its incarnation.
 	Incarnation uint64 `json:"incarnation,omitempty"`
-	// Sequence grows with each announcement of one start; a lower one is passed
-	// over as late.
-	Sequence uint64   `json:"sequence"`
-	SlowFor  Duration `json:"slowFor,omitempty"`
-	// Silent is set if the server has not been heard of for a while.
+	// Sequence grows with each announcement of one incarnation; an announcement with
+	// a lower number arrived late and is ignored.
+	Sequence uint64 `json:"sequence"`
+	// SlowFor is how long the server remains slow after its start.
+	SlowFor Duration `json:"slowFor,omitempty"`
+	// Silent is true if no announcement of the server has arrived for a while.
 	Silent bool `json:"silent,omitempty"`
 }
 
-// RoutingResult tells what became of a declared routing.
+// RoutingResult is the answer to a declared routing.
 type RoutingResult struct {
-	// Version is in force.
+	// Version is the version of the routing in force.
 	Version uint64 `json:"version"`
-	// Changed is false if a version as high was in force already.
+	// Changed is false if the same or a higher version was already in force.
 	Changed bool `json:"changed"`
 }
--- a/pkg/oriolebend/change.go
+++ b/pkg/oriolebend/change.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ChangeAction says what an order does to a resource.
+// ChangeAction is what an order does to a resource.
 type ChangeAction string
 
 const (
@@ -10,52 +10,54 @@
 	ActionApply ChangeAction = "apply"
 	// ActionDelete deletes a resource.
 	ActionDelete ChangeAction = "delete"
-	// ActionAdvance lifts the revision after a restore from a backup.
+	// ActionAdvance raises the revision counter after a restore from a backup.
 	ActionAdvance ChangeAction = "advance"
 )
 
-// ChangeOutcome says what an order met.
+// ChangeOutcome is the outcome of an order.
 type ChangeOutcome string
 
 const (
-	// ChangeApplied means that the change is accepted and durable.
+	// ChangeApplied means that the change was accepted and is durable.
 	ChangeApplied ChangeOutcome = "applied"
-	// ChangeUnchanged means that the resource already was as ordered.
+	// ChangeUnchanged means that the resource already matched the order.
 	ChangeUnchanged ChangeOutcome = "unchanged"
 	// ChangeRaced means that the resource is not at the expected revision;
-	// Current and Winner tell what won.
+	// Current and Winner describe the change that was applied instead.
 	ChangeRaced ChangeOutcome = "raced"
-	// ChangeMissing means that there is no such resource.
+	// ChangeMissing means that the resource does not exist.
 	ChangeMissing ChangeOutcome = "missing"
-	// ChangeInvalid means that the resource fails its checks.
+	// ChangeInvalid means that the resource fails validation.
 	ChangeInvalid ChangeOutcome = "invalid"
 	// ChangeInUse means that other resources refer to this one.
 	ChangeInUse ChangeOutcome = "inUse"
-	// ChangeOrderReused means that the order id was used for another order.
+	// ChangeOrderReused means that the order id was already used for a different order.
 	ChangeOrderReused ChangeOutcome = "orderReused"
 )
 
-// ChangeResult is the answer to an order of an operator.
+// ChangeResult is the answer to an operator's order.
 type ChangeResult struct {
 	Outcome ChangeOutcome `json:"outcome" cbor:"outcome"`
-	// Revision is that of the resource after the order; for a refused order
-	// it is that of the whole declared state.
+	// Revision is the revision of the resource after the order; for a refused order
+	// it is the revision of the whole declared state.
 	Revision uint64 `json:"revision" cbor:"revision"`
-	// OrderID names the order; an order resent under it gets the same answer.
+	// OrderID is the id of the order; an order resent under the same id gets the same
+	// answer.
 	OrderID string `json:"orderID,omitempty" cbor:"orderID,omitempty"`
-	// Resent is true if the order had been answered before.
+	// Resent is true if the order had already been answered before.
 	Resent bool `json:"resent,omitempty" cbor:"resent,omitempty"`
-	// DryRun is true if nothing was changed because the order asked for that.
+	// DryRun is true if nothing was changed because the order was a dry run.
 	DryRun bool `json:"dryRun,omitempty" cbor:"dryRun,omitempty"`
-	// Current is the resource as it stands, for a lost race.
+	// Current is the present resource, for ChangeRaced.
 	Current *Resource `json:"current,omitempty" cbor:"current,omitempty"`
-	// Winner is the change that won a race, if it is still known.
+	// Winner is the change that won the race, if it is still known.
 	Winner *AuditEntry `json:"winner,omitempty" cbor:"winner,omitempty"`
-	// Problems lists what is wrong, for an invalid order or one in use.
+	// Problems lists the invalid fields for ChangeInvalid, and the
+	// resources that refer to this one for ChangeInUse.
 	Problems []FieldError `json:"problems,omitempty" cbor:"problems,omitempty"`
 }
 
-// Done reports whether the resource is as the order wanted it.
+// Done reports whether the resource now matches the order.
 func (r ChangeResult) Done() bool {
 	return r.Outcome == ChangeApplied || r.Outcome == ChangeUnchanged
 }
@@ -69,6 +71,6 @@
 	Action   ChangeAction `json:"action" cbor:"action"`
 	Kind     ResourceKind `json:"kind" cbor:"kind"`
 	Name     string       `json:"name" cbor:"name"`
-	// Resource is what was applied; nil for a deletion.
+	// Resource is the applied resource; nil for a deletion.
 	Resource *Resource `json:"resource,omitempty" cbor:"resource,omitempty"`
 }
--- a/pkg/oriolebend/check.go
+++ b/pkg/oriolebend/check.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// FieldError is one thing that is wrong with a resource.
+// FieldError describes one invalid field of a resource.
 type FieldError struct {
 	// Field is the path of the field, such as "spec.minServers".
 	Field string `json:"field" cbor:"field"`
-	// Problem says what is wrong.
+	// Problem says what is wrong with the value.
 	Problem string `json:"problem" cbor:"problem"`
-	// Allowed says what would be right, if that can be said briefly.
+	// Allowed describes the allowed values, if a short description exists.
 	Allowed string `json:"allowed,omitempty" cbor:"allowed,omitempty"`
 }
 
-// InvalidError lists everything that is wrong with a resource.
+// InvalidError lists every invalid field of a resource.
 type InvalidError struct{ Fields []FieldError }
 
 // Error implements error.
@@ -34,7 +34,7 @@
 	return "invalid resource: " + strings.Join(lines, "; ")
 }
 
-// Bounds of what a resource may hold.
+// Bounds of the fields of a resource.
 const (
 	maxNameBytes = 128
 	maxURLBytes  = 2048
@@ -45,8 +45,8 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@+-]*$`)
 
-// Check returns nil or an *InvalidError with all that is wrong with the
-// resource by itself; what it refers to is checked when it is applied.
+// Check validates the resource by itself. The error is an *InvalidError that lists every
+// invalid field. References to other resources are checked when the resource is applied.
 func (r Resource) Check() error {
 	c := &checker{}
 	r.check(c)
@@ -79,7 +79,7 @@
 	return strings.Join(names, ", ")
 }
 
-// checker collects what is wrong.
+// checker collects the invalid fields of a resource.
 type checker struct{ fields []FieldError }
 
 func (c *checker) add(field, problem, allowed string) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// derived checks a name that is made of two fields.
+// derived checks that a name matches the name derived from the spec.
 func (c *checker) derived(name, want string) {
 	if name != want {
 		c.add("name", fmt.Sprintf("%.140q does not fit the spec", name), want)
--- a/pkg/oriolebend/client/client.go
+++ b/pkg/oriolebend/client/client.go
@@ -1,6 +1,6 @@
-// Package client speaks to the operator API of the control VMs. It retries
-// what may be retried, keeping the order id, so that an order whose answer was
-// lost is carried out once.
+// Package client is a client of the operator API of the control VMs. It retries
+// requests where a retry is safe. Retries of an order carry the same order id, so that
+// an order whose answer was lost is executed only once.
 package client
 
 import (
@@ -22,37 +22,36 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Config sets whom to speak to.
+// Config configures a Client.
 type Config struct {
 	// Addresses are the base URLs of the control VMs' operator API, such as
-	// "http://10.0.0.2:7470"; each is tried in turn.
+	// "http://10.0.0.2:7470"; they are tried in turn.
 	Addresses []string
-	// Token lets the operator in.
+	// Token authenticates the operator.
 	Token string
-	// Who names the operator where no token is asked for.
+	// Who is the name of the operator where no token is required.
 	Who string
-	// HTTP carries the requests; nil means a client of its own.
+	// HTTP is the HTTP client to use; nil means a new one.
 	HTTP *http.Client
-	// Tries bounds how often a request is sent; zero means 8.
+	// Tries bounds how often a request is tried; zero means 8.
 	Tries int
-	// WaitFirst and WaitMost bound the waits between tries; zero means 200ms
-	// and 3s.
+	// WaitFirst bounds the random delay before the first retry. The bound doubles with
+	// each retry up to WaitMost. Zero means 200ms and 3s.
 	WaitFirst time.Duration
 	WaitMost  time.Duration
 }
 
-// Client is a client of the operator API; it may be used by several
-// goroutines.
+// Client is a client of the operator API. It is safe for concurrent use.
 type Client struct {
 	config Config
 	http   *http.Client
 }
 
-// maxRedirects bounds how often a request is sent on to a leader; leaders may
-// change while it is on its way.
+// maxRedirects bounds how often a request follows a redirect to the leader, because the
+// leader may change in the meantime.
 const maxRedirects = 4
 
-// New returns a client.
+// New returns a client with the given configuration.
 func New(config Config) *Client {
 	if config.Tries == 0 {
 		config.Tries = 8
@@ -63,30 +62,30 @@
 	if config.WaitMost == 0 {
 		config.WaitMost = 3 * time.Second
 	}
-	carrier := http.Client{}
+	httpClient := http.Client{}
 	if config.HTTP != nil {
-		carrier = *config.HTTP
+		httpClient = *config.HTTP
 	}
-	// The library would follow a redirect to another VM without the token.
-	carrier.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &Client{config: config, http: &carrier}
+	// net/http would follow a redirect to another VM without the token.
+	httpClient.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &Client{config: config, http: &httpClient}
 }
 
-// Options are those of an order.
+// Options are the options of an order.
 type Options struct {
-	// Expect is the revision that the resource must be at: zero for none yet,
-	// nil for any.
+	// Expect is the revision that the resource must be at; zero means that the
+	// resource must not exist yet, nil that any revision will do.
 	Expect *uint64
-	// OrderID names the order; empty means a new one. Give the one of an
-	// earlier call to learn its answer.
+	// OrderID is the id of the order; empty means a new id. The id of an earlier call
+	// returns the answer to that call.
 	OrderID string
-	// DryRun asks what the order would meet.
+	// DryRun returns the result that the order would have, without a change.
 	DryRun bool
-	// Force drains a server even if its pool then is under its minimum.
+	// Force drains a server even if its pool then falls below its minimum.
 	Force bool
-	// Stop has a drained server's sidecar stop.
+	// Stop makes the sidecar of a drained server stop.
 	Stop bool
-	// Undo has a drained server take work again.
+	// Undo makes a drained server accept work again.
 	Undo bool
 }
 
@@ -112,32 +111,32 @@
 	orderID string
 }
 
-// maxBroken bounds how often a request is sent again because its answer broke
-// off in the middle.
-const maxBroken = 3
+// maxDecodeTries bounds how often a request is sent if the body of its answer is
+// incomplete.
+const maxDecodeTries = 3
 
-// call sends a request until it is answered, and decodes the answer.
+// call sends a request, retrying it until it is answered, and decodes the answer.
 func (c *Client) call(ctx context.Context, r request, into any) error {
 	if r.orderID == "" && r.method != http.MethodGet {
 		r.orderID = uuid.NewString()
 	}
-	var broken error
-	for range maxBroken {
+	var decodeErr error
+	for range maxDecodeTries {
 		response, err := c.send(ctx, r)
 		if err != nil {
 			return err
 		}
-		broken = json.NewDecoder(response.Body).Decode(into)
+		decodeErr = json.NewDecoder(response.Body).Decode(into)
 		drainBody(response)
-		if broken == nil {
+		if decodeErr == nil {
 			return nil
 		}
 	}
-	return &Error{Problem: lost(r, broken), cause: broken}
+	return &Error{Problem: answerLostProblem(r, decodeErr), cause: decodeErr}
 }
 
-// send sends a request to one control VM after another, until one answers
-// well or with a refusal that another try does not change.
+// send sends a request to one control VM after another until one answers with success
+// or with a refusal that a retry would not change.
 func (c *Client) send(ctx context.Context, r request) (*http.Response, error) {
 	if len(c.config.Addresses) == 0 {
 		return nil, &Error{Problem: oriolebend.OperatorProblem{
@@ -147,51 +146,51 @@
 	var failure *Error
 	for try := range c.config.Tries {
 		base := c.config.Addresses[try%len(c.config.Addresses)]
-		response, err := c.follow(ctx, base, r)
+		response, err := c.sendToLeader(ctx, base, r)
 		if err == nil {
 			return response, nil
 		}
 		failure = err
-		if !failure.again || ctx.Err() != nil || try == c.config.Tries-1 {
+		if !failure.retryable || ctx.Err() != nil || try == c.config.Tries-1 {
 			break
 		}
-		if !pause.For(ctx, max(c.wait(try), failure.retryAfter)) {
+		if !pause.For(ctx, max(c.retryDelay(try), failure.retryAfter)) {
 			break
 		}
 	}
 	return nil, failure
 }
 
-// wait returns a jittered time that doubles with each try.
-func (c *Client) wait(try int) time.Duration {
+// retryDelay returns a random delay whose upper bound doubles with each try.
+func (c *Client) retryDelay(try int) time.Duration {
 	bound := min(c.config.WaitFirst<<min(try, 16), c.config.WaitMost)
 	return time.Duration(rand.Int64N(int64(bound) + 1))
 }
 
-// follow sends a request once, and on to the leader if the answer says so.
-func (c *Client) follow(ctx context.Context, base string, r request) (*http.Response, *Error) {
+// sendToLeader sends a request to a control VM and follows its redirects to the leader.
+func (c *Client) sendToLeader(ctx context.Context, base string, r request) (*http.Response, *Error) {
 	target := strings.TrimSuffix(base, "/") + r.path
 	if len(r.query) > 0 {
 		target += "?" + r.query.Encode()
 	}
 	for range maxRedirects {
-		response, err := c.once(ctx, target, r)
+		response, err := c.sendOnce(ctx, target, r)
 		if err != nil {
-			return nil, &Error{Problem: lost(r, err), again: true, cause: err}
+			return nil, &Error{Problem: answerLostProblem(r, err), retryable: true, cause: err}
 		}
 		if response.StatusCode != http.StatusTemporaryRedirect {
-			return checked(response, r)
+			return checkStatus(response, r)
 		}
 		target = response.Header.Get("Location")
 		drainBody(response)
 	}
-	return nil, &Error{again: true, Problem: oriolebend.OperatorProblem{
+	return nil, &Error{retryable: true, Problem: oriolebend.OperatorProblem{
 		Reason: oriolebend.ReasonNotLeader, Ran: oriolebend.RanNo, OrderID: r.orderID,
 		Detail: "the control VMs do not agree on who leads",
 	}}
 }
 
-func (c *Client) once(ctx context.Context, target string, r request) (*http.Response, error) {
+func (c *Client) sendOnce(ctx context.Context, target string, r request) (*http.Response, error) {
 	sent, err := http.NewRequestWithContext(ctx, r.method, target, bytes.NewReader(r.body))
 	if err != nil {
 		return nil, err
@@ -211,8 +210,9 @@
 	return c.http.Do(sent)
 }
 
-// checked returns a good answer, or an error made of any other.
-func checked(response *http.Response, r request) (*http.Response, *Error) {
+// checkStatus returns the response if its status is 200, and otherwise an error with the
+// problem in its body, or with ReasonInternal if the body holds no problem.
+func checkStatus(response *http.Response, r request) (*http.Response, *Error) {
 	if response.StatusCode == http.StatusOK {
 		return response, nil
 	}
@@ -227,17 +227,17 @@
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
 		failure.retryAfter = time.Duration(seconds) * time.Second
 	}
-	// A gateway's 502 tells no more than a broken connection does.
+	// A 502 from a gateway says no more about the outcome than a broken connection.
 	switch response.StatusCode {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout, http.StatusTooManyRequests:
-		failure.again = true
+		failure.retryable = true
 	}
 	return nil, failure
 }
 
-// lost is the problem of a request that got no answer. An order may have been
-// accepted all the same.
-func lost(r request, err error) oriolebend.OperatorProblem {
+// answerLostProblem returns the problem of a request that got no answer. An order may
+// have been accepted nevertheless.
+func answerLostProblem(r request, err error) oriolebend.OperatorProblem {
 	problem := oriolebend.OperatorProblem{
 		Reason: oriolebend.ReasonControlAway, Ran: oriolebend.RanNo, OrderID: r.orderID, Detail: err.Error(),
 	}
@@ -252,13 +252,13 @@
 	_ = response.Body.Close()
 }
 
-// Error is a refusal or failure of the operator API.
+// Error reports that the operator API refused or failed a request.
 type Error struct {
-	// Problem is what the control VM answered, or what stands for an answer
-	// that did not come.
+	// Problem is the problem that the control VM answered with, or one that the client
+	// made because no answer arrived.
 	Problem oriolebend.OperatorProblem
 
-	again      bool
+	retryable  bool
 	retryAfter time.Duration
 	cause      error
 }
@@ -275,11 +275,10 @@
 	return text
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.cause }
 
-// ReasonOf returns the reason of an error of this package, empty if it is
-// another's.
+// ReasonOf returns the reason of an *Error, and the empty reason for any other error.
 func ReasonOf(err error) oriolebend.Reason {
 	var e *Error
 	if errors.As(err, &e) {
--- a/pkg/oriolebend/client/client_test.go
+++ b/pkg/oriolebend/client/client_test.go
@@ -19,29 +19,29 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend/client"
 )
 
-// oneLog applies what is proposed at the leader at once.
-type oneLog struct {
+// instantLog applies commands that are proposed at the leader immediately.
+type instantLog struct {
 	store *operator.Store
 	leads bool
 }
 
-func (l oneLog) Propose(_ context.Context, command []byte) ([]byte, error) {
+func (l instantLog) Propose(_ context.Context, command []byte) ([]byte, error) {
 	if !l.leads {
 		return nil, &oriolebend.Problem{Reason: oriolebend.ReasonNotLeader, Ran: oriolebend.RanNo}
 	}
 	return l.store.Apply(0, command), nil
 }
 
-func (l oneLog) Confirm(context.Context) error { return nil }
+func (l instantLog) Confirm(context.Context) error { return nil }
 
-func (l oneLog) Leader() (name, address string) { return "c1", "" }
+func (l instantLog) Leader() (name, address string) { return "c1", "" }
 
 // newControls returns the URLs of a leader c1 and a follower c2.
 func newControls(t *testing.T) (leader, follower string) {
 	store := operator.NewStore()
 	serve := func(name string, leads bool) string {
 		config := operator.Config{
-			Node: name, Store: store, Log: oneLog{store: store, leads: leads},
+			Node: name, Store: store, Log: instantLog{store: store, leads: leads},
 			Tokens:        []string{"ana=secret"},
 			OperatorURL:   func(string) string { return leader },
 			BookmarkEvery: 10 * time.Millisecond,
@@ -55,15 +55,15 @@
 	return leader, follower
 }
 
-// lossy carries requests, and loses the answers to the first of them, and to
-// one of so many orders.
-type lossy struct {
+// lossyTransport sends requests and drops the answers to the first lose requests, and to
+// one of every oneOf orders.
+type lossyTransport struct {
 	lose   int
 	oneOf  int
 	orders int
 }
 
-func (l *lossy) RoundTrip(r *http.Request) (*http.Response, error) {
+func (l *lossyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	response, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		return nil, err
@@ -85,25 +85,25 @@
 	return oriolebend.Resource{Kind: oriolebend.KindModel, Name: name, Spec: &oriolebend.Model{Versions: versions}}
 }
 
-// TestLostAnswerIsNoRace: symptom: an operator is told that she lost a race
-// against herself. Sequence: the order is accepted, its answer is lost, the
-// client sends it again. Cause: the second try had another order id.
-func TestLostAnswerIsNoRace(t *testing.T) {
+// TestRetryAfterLostAnswerIsNoRace guards against an order that loses a race against its
+// own retry: the order was accepted, its answer was lost, and the client sent the order
+// again under another order id.
+func TestRetryAfterLostAnswerIsNoRace(t *testing.T) {
 	is := is.New(t)
 	leader, follower := newControls(t)
 	c := client.New(client.Config{
 		Addresses: []string{follower, leader}, Token: "secret",
-		HTTP: &http.Client{Transport: &lossy{lose: 3}}, WaitFirst: time.Millisecond,
+		HTTP: &http.Client{Transport: &lossyTransport{lose: 3}}, WaitFirst: time.Millisecond,
 	})
 	none := uint64(0)
 	result, err := c.Apply(t.Context(), model("m", "v1"), client.Options{Expect: &none})
 	is.NoErr(err)
 	is.Equal(result.Outcome, oriolebend.ChangeApplied)
-	is.True(result.Resent) // one of the lost answers was the first
+	is.True(result.Resent) // one of the lost answers was that to the applied order
 	is.Equal(result.Revision, uint64(1))
 }
 
-func TestRaceTellsTheWinner(t *testing.T) {
+func TestRaceReportsTheWinner(t *testing.T) {
 	is := is.New(t)
 	leader, follower := newControls(t)
 	c := client.New(client.Config{Addresses: []string{follower, leader}, Token: "secret"})
@@ -121,9 +121,9 @@
 	is.Equal(client.ReasonOf(err), oriolebend.ReasonUnknownRequest)
 }
 
-// TestOperatorsRace has operators add versions to one model at once, over
-// connections that lose answers. Each reads, adds its own, and begins anew when
-// another won; in the end none is missing and none stands twice.
+// TestOperatorsRace has operators add versions to one model concurrently, over connections
+// that lose answers. Each operator reads the model, adds a version, and starts again if
+// another operator won. In the end each version must be listed exactly once.
 func TestOperatorsRace(t *testing.T) {
 	const operators, each = 4, 10
 	is := is.New(t)
@@ -135,7 +135,7 @@
 	for o := range operators {
 		c := client.New(client.Config{
 			Addresses: []string{follower, leader}, Token: "secret", Tries: 50,
-			HTTP: &http.Client{Transport: &lossy{oneOf: 2 + o}}, WaitFirst: time.Millisecond, WaitMost: 2 * time.Millisecond,
+			HTTP: &http.Client{Transport: &lossyTransport{oneOf: 2 + o}}, WaitFirst: time.Millisecond, WaitMost: 2 * time.Millisecond,
 		})
 		group.Go(func() {
 			for i := 0; i < each; {
@@ -150,10 +150,10 @@
 	is.NoErr(err)
 	versions := r.Spec.(*oriolebend.Model).Versions
 	is.Equal(len(versions), 1+operators*each)
-	is.NoErr(r.Check()) // each once
+	is.NoErr(r.Check()) // no version is listed twice
 }
 
-// addVersion reports false if another operator won.
+// addVersion returns false if another operator won the race.
 func addVersion(t *testing.T, c *client.Client, version string) bool {
 	r, err := c.Get(t.Context(), model("m").Key())
 	if err != nil {
@@ -168,23 +168,23 @@
 	return client.ReasonOf(err) != oriolebend.ReasonRevisionRace
 }
 
-func TestControlAway(t *testing.T) {
+func TestControlUnreachable(t *testing.T) {
 	is := is.New(t)
 	closed := httptest.NewServer(nil)
 	closed.Close()
 	c := client.New(client.Config{Addresses: []string{closed.URL}, Tries: 2, WaitFirst: time.Millisecond})
 	_, err := c.Apply(t.Context(), model("m", "v"), client.Options{OrderID: "o1"})
-	var away *client.Error
-	is.True(errors.As(err, &away))
-	is.Equal(away.Problem.Reason, oriolebend.ReasonControlAway)
-	is.Equal(away.Problem.Ran, oriolebend.RanUnknown) // it can't know
-	is.Equal(away.Problem.OrderID, "o1")
+	var unreachable *client.Error
+	is.True(errors.As(err, &unreachable))
+	is.Equal(unreachable.Problem.Reason, oriolebend.ReasonControlAway)
+	is.Equal(unreachable.Problem.Ran, oriolebend.RanUnknown) // the client can't know
+	is.Equal(unreachable.Problem.OrderID, "o1")
 }
 
-// cutting breaks each answer off after some bytes, perhaps within a line.
-type cutting struct{ after int64 }
+// truncatingTransport cuts each answer off after a number of bytes, possibly within a line.
+type truncatingTransport struct{ after int64 }
 
-func (c cutting) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c truncatingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	response, err := http.DefaultTransport.RoundTrip(r)
 	if err == nil {
 		response.Body = struct {
@@ -195,15 +195,15 @@
 	return response, err
 }
 
-// TestWatchGoesOn breaks a watch off again and again; it goes on where it was,
-// and each change is seen once.
-func TestWatchGoesOn(t *testing.T) {
+// TestWatchResumes cuts a watch off repeatedly. It must resume where it was, and report
+// each change once.
+func TestWatchResumes(t *testing.T) {
 	is := is.New(t)
 	leader, follower := newControls(t)
 	c := client.New(client.Config{Addresses: []string{leader, follower}, Token: "secret", WaitFirst: time.Millisecond})
 	watcher := client.New(client.Config{
 		Addresses: []string{follower, leader}, Token: "secret",
-		HTTP: &http.Client{Transport: cutting{after: 250}}, WaitFirst: time.Millisecond,
+		HTTP: &http.Client{Transport: truncatingTransport{after: 250}}, WaitFirst: time.Millisecond,
 	})
 	stop := errors.New("seen enough")
 	var names []string
@@ -216,7 +216,7 @@
 		switch {
 		case e.Resource != nil:
 			names = append(names, e.Resource.Name)
-		case e.Bookmark && len(names) < 6: // another change comes
+		case e.Bookmark && len(names) < 6: // make another change
 			put(string(rune('a' + len(names))))
 		case e.Bookmark:
 			return stop
--- a/pkg/oriolebend/client/group.go
+++ b/pkg/oriolebend/client/group.go
@@ -18,7 +18,7 @@
 	return c.group(ctx, request{method: http.MethodGet, path: groupPath})
 }
 
-// AddMember adds a control VM, which votes once it has caught up.
+// AddMember adds a control VM. It becomes a voter once it has caught up.
 func (c *Client) AddMember(ctx context.Context, m oriolebend.GroupMember) (oriolebend.Group, error) {
 	body, err := json.Marshal(m)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return c.group(ctx, request{method: http.MethodDelete, path: memberPath(name)})
 }
 
-// TransferLeadership has the leader hand over to another control VM.
+// TransferLeadership makes the leader transfer leadership to another control VM.
 func (c *Client) TransferLeadership(ctx context.Context) (oriolebend.Group, error) {
 	return c.group(ctx, request{method: http.MethodPost, path: groupPath + "/transfer"})
 }
--- a/pkg/oriolebend/client/resources.go
+++ b/pkg/oriolebend/client/resources.go
@@ -10,7 +10,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// List is what was listed, and the revision that it was true for.
+// List is a list of items at a revision of the declared state.
 type List[T any] struct {
 	Revision uint64 `json:"revision"`
 	Items    []T    `json:"items"`
@@ -27,7 +27,7 @@
 	return r, err
 }
 
-// List returns the declared resources of a kind, or of all if it is empty.
+// List returns the declared resources of a kind; an empty kind means all kinds.
 func (c *Client) List(ctx context.Context, kind oriolebend.ResourceKind) (List[oriolebend.Resource], error) {
 	path := "/v1/resources"
 	if kind != "" {
@@ -38,8 +38,8 @@
 	return list, err
 }
 
-// Apply creates or replaces a resource. A lost race and an invalid resource
-// are an *Error whose Problem has the Result.
+// Apply creates or replaces a resource. If the resource is invalid or not at the expected
+// revision, the error is an *Error whose Problem has the Result.
 func (c *Client) Apply(ctx context.Context, r oriolebend.Resource, o Options) (oriolebend.ChangeResult, error) {
 	body, err := json.Marshal(struct {
 		Spec oriolebend.Spec `json:"spec"`
@@ -50,8 +50,8 @@
 	return c.ApplyRaw(ctx, r.Key(), body, o)
 }
 
-// ApplyRaw is Apply with a body as it is sent: {"spec": {...}}. The server
-// then reports all that is wrong with it.
+// ApplyRaw is Apply with the body given as JSON: {"spec": {...}}. The control VM decodes
+// it and reports every invalid field.
 func (c *Client) ApplyRaw(ctx context.Context, key oriolebend.ResourceKey, body []byte, o Options) (oriolebend.ChangeResult, error) {
 	return c.order(ctx, request{
 		method: http.MethodPut, path: resourcePath(key), query: o.query(), body: body, orderID: o.OrderID,
@@ -65,7 +65,8 @@
 	})
 }
 
-// Drain takes a server out of new work; with Stop its sidecar ends after.
+// Drain makes a server accept no new work. With Options.Stop, its sidecar stops once
+// its work has finished.
 func (c *Client) Drain(ctx context.Context, server string, o Options) (oriolebend.ChangeResult, error) {
 	return c.order(ctx, request{
 		method: http.MethodPost, path: "/v1/servers/" + url.PathEscape(server) + "/drain",
@@ -73,7 +74,7 @@
 	})
 }
 
-// Advance lifts the revision counter after a restore from a backup, past the
+// Advance raises the revision counter after a restore from a backup. It must exceed the
 // highest revision that any follower holds.
 func (c *Client) Advance(ctx context.Context, to uint64) (oriolebend.ChangeResult, error) {
 	query := url.Values{"to": {strconv.FormatUint(to, 10)}}
@@ -86,14 +87,14 @@
 	return result, err
 }
 
-// Status returns what is declared against what is reached.
+// Status compares the declared state with the state that the fleet has reached.
 func (c *Client) Status(ctx context.Context) (oriolebend.Status, error) {
 	var status oriolebend.Status
 	err := c.call(ctx, request{method: http.MethodGet, path: "/v1/status"}, &status)
 	return status, err
 }
 
-// Explain says why something is not reached yet.
+// Explain says why a declared resource has not been reached yet.
 func (c *Client) Explain(ctx context.Context, key oriolebend.ResourceKey) (oriolebend.Explanation, error) {
 	var e oriolebend.Explanation
 	path := "/v1/explain/" + url.PathEscape(string(key.Kind)) + "/" + url.PathEscape(key.Name)
@@ -101,14 +102,14 @@
 	return e, err
 }
 
-// Servers returns the members, each against what is declared for it.
+// Servers returns the member servers, each compared with its declared state.
 func (c *Client) Servers(ctx context.Context) (List[oriolebend.ServerStatus], error) {
 	var list List[oriolebend.ServerStatus]
 	err := c.call(ctx, request{method: http.MethodGet, path: "/v1/servers"}, &list)
 	return list, err
 }
 
-// Audit returns the accepted changes after a revision, oldest first.
+// Audit returns the changes that were accepted after a revision, oldest first.
 func (c *Client) Audit(ctx context.Context, after uint64) (List[oriolebend.AuditEntry], error) {
 	var list List[oriolebend.AuditEntry]
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}}
--- a/pkg/oriolebend/client/routing.go
+++ b/pkg/oriolebend/client/routing.go
@@ -20,8 +20,8 @@
 	return r, err
 }
 
-// DeclareRouting has a routing come into force. Declared again it changes
-// nothing, so that it can be sent again when its answer was lost.
+// DeclareRouting brings a routing into force. Declaring the same routing again changes
+// nothing, so the call can be repeated when its answer was lost.
 func (c *Client) DeclareRouting(ctx context.Context, r oriolebend.Routing) (oriolebend.RoutingResult, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return result, err
 }
 
-// Backends lists the backend servers that announced themselves to the control
-// VM that answers.
+// Backends returns the backend servers that the answering control VM knows from
+// announcements.
 func (c *Client) Backends(ctx context.Context) ([]oriolebend.Backend, error) {
 	var list []oriolebend.Backend
 	err := c.call(ctx, request{method: http.MethodGet, path: backendsPath}, &list)
--- a/pkg/oriolebend/client/watch.go
+++ b/pkg/oriolebend/client/watch.go
@@ -13,54 +13,54 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// maxLineBytes bounds one line of a watch.
+// maxLineBytes bounds the size of one line of a watch.
 const maxLineBytes = 4 << 20
 
-// silentAfter is how long a watch may be without a line before it is opened
-// anew; control VMs send a bookmark every 5 s.
-const silentAfter = 20 * time.Second
+// idleTimeout is how long a watch may receive no line before it is opened again. Control
+// VMs send a bookmark every 5 s.
+const idleTimeout = 20 * time.Second
 
-// Watch calls a function with each event after a revision, until the function
-// or ctx ends it. A watch that breaks off or falls silent is resumed where it
-// was, at the next control VM.
-func (c *Client) Watch(ctx context.Context, from uint64, see func(oriolebend.WatchEvent) error) error {
+// Watch calls handle with each event after revision from, until handle returns an error
+// or ctx is done. A watch that breaks off or times out is resumed from its last revision
+// at the next control VM.
+func (c *Client) Watch(ctx context.Context, from uint64, handle func(oriolebend.WatchEvent) error) error {
 	for try := 0; ; try++ {
 		before := from
-		err := c.watchOnce(ctx, try, &from, see)
+		err := c.watchOnce(ctx, try, &from, handle)
 		if err != nil {
 			return err
 		}
 		if from != before {
 			try = 0
 		}
-		if !pause.For(ctx, c.wait(try)) {
+		if !pause.For(ctx, c.retryDelay(try)) {
 			return ctx.Err()
 		}
 	}
 }
 
-// watchOnce reads one stream to its end, moving from on. It returns an error
-// only if the watch is to end.
-func (c *Client) watchOnce(ctx context.Context, try int, from *uint64, see func(oriolebend.WatchEvent) error) error {
+// watchOnce reads one stream to its end and advances from. It returns an error only if
+// the watch must end.
+func (c *Client) watchOnce(ctx context.Context, try int, from *uint64, handle func(oriolebend.WatchEvent) error) error {
 	stream, cancel := context.WithCancel(ctx)
 	defer cancel()
 	query := url.Values{"from": {strconv.FormatUint(*from, 10)}}
-	response, err := c.at(try).send(stream, request{method: http.MethodGet, path: "/v1/watch", query: query})
+	response, err := c.startingAt(try).send(stream, request{method: http.MethodGet, path: "/v1/watch", query: query})
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	silence := time.AfterFunc(silentAfter, cancel)
-	defer silence.Stop()
+	idle := time.AfterFunc(idleTimeout, cancel)
+	defer idle.Stop()
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		silence.Reset(silentAfter)
+		idle.Reset(idleTimeout)
 		var event oriolebend.WatchEvent
 		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
-			return nil // a line cut off in the middle; resume
+			return nil // the line is incomplete; resume
 		}
-		if err := see(event); err != nil {
+		if err := handle(event); err != nil {
 			return err
 		}
 		*from = max(*from, event.Revision)
@@ -68,8 +68,8 @@
 	return ctx.Err()
 }
 
-// at returns a client that starts with another of the control VMs.
-func (c *Client) at(try int) *Client {
+// startingAt returns a copy of the client with its list of addresses rotated by try.
+func (c *Client) startingAt(try int) *Client {
 	other := *c
 	addresses := c.config.Addresses
 	if len(addresses) > 0 {
--- a/pkg/oriolebend/decode.go
+++ b/pkg/oriolebend/decode.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// decodeFields reads a JSON object into a struct, field by field, so that
-// everything that is wrong is found at once.
+// decodeFields decodes a JSON object into a struct field by field, so that it reports
+// every invalid field at once instead of only the first.
 func decodeFields(prefix string, data []byte, into any) []FieldError {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(data, &raw); err != nil {
@@ -34,7 +34,7 @@
 	return wrong
 }
 
-// plainProblem says in an operator's words why JSON could not be read.
+// plainProblem describes a JSON decoding error in terms that an operator knows.
 func plainProblem(err error) string {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
@@ -53,7 +53,7 @@
 	return fields
 }
 
-// typeName names a type for operators, who write JSON or TOML.
+// typeName describes a Go type in the terms of JSON and TOML, for operators.
 func typeName(t reflect.Type) string {
 	if t == reflect.TypeFor[Duration]() {
 		return `a duration such as "1.2s"`
@@ -82,9 +82,9 @@
 	return decoder.Decode(into)
 }
 
-// ReadSpec reads the JSON form of a spec and checks the resource that it
-// makes. It returns an *InvalidError with everything that is wrong: fields
-// that can't be read and values that are not allowed.
+// ReadSpec decodes the JSON form of a spec and validates the resulting resource. The
+// error is an *InvalidError that lists every field that can't be decoded and every
+// value that is not allowed.
 func ReadSpec(key ResourceKey, data []byte) (Resource, error) {
 	r := Resource{Kind: key.Kind, Name: key.Name}
 	spec, err := newSpec(key.Kind)
--- a/pkg/oriolebend/doc.go
+++ b/pkg/oriolebend/doc.go
@@ -1,4 +1,4 @@
-// Package oriolebend holds the plain types that callers, operators and
-// other programs share with the router: urgencies, reasons, problems, servers
-// and declared resources.
+// Package oriolebend defines the types that programs of callers and operators
+// share with the router: urgencies, reasons, problems, servers, routing and
+// declared resources.
 package oriolebend
--- a/pkg/oriolebend/duration.go
+++ b/pkg/oriolebend/duration.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Duration is a time.Duration written as text, such as "1.2s" or "41ms", in
+// Duration is a time.Duration that is encoded as text, such as "1.2s" or "41ms", in
 // JSON and TOML, and as nanoseconds in CBOR.
 type Duration time.Duration
 
@@ -21,12 +21,12 @@
 	return nil
 }
 
-// String writes the duration as it stands in a settings file.
+// String returns the duration in the form of a settings file.
 func (d Duration) String() string {
 	return time.Duration(d).String()
 }
 
-// Or returns d, or the other if d is zero.
+// Or returns d, or other if d is zero.
 func (d Duration) Or(other time.Duration) time.Duration {
 	if d == 0 {
 		return other
--- a/pkg/oriolebend/group.go
+++ b/pkg/oriolebend/group.go
@@ -7,15 +7,15 @@
 	Role   string `json:"role"`
 	Term   uint64 `json:"term"`
 	Leader string `json:"leader,omitempty"`
-	// Last, Committed, Applied and Snapshot are indexes of the log.
+	// Last, Committed, Applied and Snapshot are log indexes.
 	Last      uint64 `json:"last"`
 	Committed uint64 `json:"committed"`
 	Applied   uint64 `json:"applied"`
 	Snapshot  uint64 `json:"snapshot"`
-	// Recovering is true while this VM grants no vote, because it started with
-	// an empty data folder and has not caught up.
+	// Recovering is true while this VM grants no votes because it started with an
+	// empty data folder and has not caught up.
 	Recovering bool `json:"recovering,omitempty"`
-	// DiskFull is true while this VM's disk has no room.
+	// DiskFull is true while the disk of this VM has too little free space.
 	DiskFull bool          `json:"diskFull,omitempty"`
 	Members  []GroupMember `json:"members"`
 }
@@ -25,10 +25,10 @@
 	Name          string `json:"name"`
 	Address       string `json:"address"`
 	FailureDomain string `json:"failureDomain,omitempty"`
-	// Voter is false while the VM catches up.
+	// Voter is false while the VM is catching up.
 	Voter bool `json:"voter"`
-	// Active and Match are known to the leader only: whether the VM answers,
-	// and the last index that it has synced.
+	// Active reports whether the VM responds; Match is the last log index that it
+	// has synced. Only the leader knows both.
 	Active bool   `json:"active,omitempty"`
 	Match  uint64 `json:"match,omitempty"`
 }
--- a/pkg/oriolebend/kind.go
+++ b/pkg/oriolebend/kind.go
@@ -13,13 +13,13 @@
 	KindPolicy  ResourceKind = "policy"
 )
 
-// ResourceKinds lists every kind in the order in which resources can be
-// applied: a resource refers only to kinds before its own.
+// ResourceKinds returns every kind in the order in which resources can be applied:
+// a resource refers only to kinds before its own.
 func ResourceKinds() []ResourceKind {
 	return []ResourceKind{KindModel, KindVersion, KindAdapter, KindPool, KindServer, KindPolicy}
 }
 
-// ResourceKey names one resource.
+// ResourceKey identifies one resource.
 type ResourceKey struct {
 	Kind ResourceKind `json:"kind" cbor:"kind"`
 	Name string       `json:"name" cbor:"name"`
@@ -38,12 +38,12 @@
 	return k.Name < other.Name
 }
 
-// VersionName is the name of the version resource of a model.
+// VersionName returns the name of the version resource of a model.
 func VersionName(model, version string) string {
 	return model + "@" + version
 }
 
-// AdapterName is the name of the adapter resource of a model.
+// AdapterName returns the name of the adapter resource of a model.
 func AdapterName(model, adapter string) string {
 	return model + "+" + adapter
 }
--- a/pkg/oriolebend/model.go
+++ b/pkg/oriolebend/model.go
@@ -12,12 +12,12 @@
 // "model@version", "model:adapter" or "model@version:adapter".
 type ModelName struct {
 	Model string
-	// Version and Adapter are empty if any version, or no adapter, will do.
+	// Version is empty if any version matches, Adapter if no adapter is named.
 	Version string
 	Adapter string
 }
 
-// ModelNameError tells that a text is not a model name.
+// ModelNameError reports a text that is not a model name.
 type ModelNameError struct {
 	Text string
 }
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("%.64q is not a model name", e.Text)
 }
 
-// ParseModelName reads a model name. Errors are *ModelNameError.
+// ParseModelName parses a model name. Errors are *ModelNameError.
 func ParseModelName(text string) (ModelName, error) {
 	rest, adapter, hasAdapter := strings.Cut(text, ":")
 	model, version, hasVersion := strings.Cut(rest, "@")
@@ -40,7 +40,7 @@
 	return ModelName{Model: model, Version: version, Adapter: adapter}, nil
 }
 
-// String writes the name as ParseModelName reads it.
+// String returns the name in the form that ParseModelName parses.
 func (n ModelName) String() string {
 	text := n.Model
 	if n.Version != "" {
@@ -52,7 +52,7 @@
 	return text
 }
 
-// Holds reports whether a loaded model answers to the name.
+// Holds reports whether the loaded model matches the name.
 func (m LoadedModel) Holds(n ModelName) bool {
 	return m.Model == n.Model && m.matches(n.Version, n.Adapter)
 }
--- a/pkg/oriolebend/organisation.go
+++ b/pkg/oriolebend/organisation.go
@@ -7,14 +7,15 @@
 	"strings"
 )
 
-// Organisation is one organisation of callers of declared routes.
+// Organisation is an organisation whose callers use declared routes.
 type Organisation struct {
 	Name string `json:"name" cbor:"name"`
-	// Keys are the credentials that its callers show; without one, nobody can call for it.
+	// Keys are the digests of the credentials that its callers present; without a key,
+	// nobody can call on behalf of the organisation.
 	Keys []KeyDigest `json:"keys,omitempty" cbor:"keys,omitempty"`
-	// Rank goes before the rank of routes; nil leaves it to them.
+	// Rank overrides the rank of the route; nil means the rank of the route.
 	Rank *int `json:"rank,omitempty" cbor:"rank,omitempty"`
-	// Quota bounds what its callers may ask for, over all forwarders together.
+	// Quota bounds the requests or tokens of its callers over all forwarders together.
 	Quota Quota `json:"quota,omitzero" cbor:"quota"`
 }
 
@@ -25,26 +26,27 @@
 const (
 	// QuotaRequests counts each request as one.
 	QuotaRequests QuotaUnit = "requests"
-	// QuotaTokens counts the tokens of a request's prompt and those of its output at most.
+	// QuotaTokens counts the tokens of a request's prompt and the maximum of its output.
 	QuotaTokens QuotaUnit = "tokens"
 )
 
-// Quota is a token bucket: PerSecond on average, and Burst at once.
+// Quota is a token bucket: PerSecond is the average rate, Burst the capacity.
 type Quota struct {
-	// Unit is what is counted; empty means QuotaRequests.
+	// Unit is the unit that is counted; empty means QuotaRequests.
 	Unit QuotaUnit `json:"unit,omitempty" cbor:"unit,omitempty"`
-	// PerSecond bounds the units a second; zero means no bound.
+	// PerSecond bounds the units per second; zero means no bound.
 	PerSecond float64 `json:"perSecond,omitempty" cbor:"perSecond,omitempty"`
-	// Burst is how many units may be saved up for later.
+	// Burst is how many unused units may accumulate.
 	Burst float64 `json:"burst,omitempty" cbor:"burst,omitempty"`
-	// PlainTokens is what a request counts under QuotaTokens that states no tokens.
+	// PlainTokens is the cost under QuotaTokens of a request that states no tokens.
 	PlainTokens int `json:"plainTokens,omitempty" cbor:"plainTokens,omitempty"`
 }
 
-// Bounded reports whether there is a bound at all.
+// Bounded reports whether the quota sets a bound.
 func (q Quota) Bounded() bool { return q.PerSecond > 0 }
 
-// Cost is what a request counts; tokens is zero for one that states none.
+// Cost returns the units that a request consumes; tokens is zero for a request that
+// states none.
 func (q Quota) Cost(tokens int) float64 {
 	switch {
 	case q.Unit != QuotaTokens:
@@ -55,30 +57,31 @@
 	return float64(q.PlainTokens)
 }
 
-// KeyDigest is the SHA-256 of a key that callers show. It stands for the key wherever the
-// key itself is not needed, so that who reads a routing, a log or a snapshot can't call as
-// the organisation.
+// KeyDigest is the SHA-256 of a key that callers present. It replaces the key wherever the
+// key itself is not needed, so that a reader of a routing, a log or a snapshot can't call
+// on behalf of the organisation.
 type KeyDigest [sha256.Size]byte
 
-// digestPrefix begins the text of a digest.
+// digestPrefix is the prefix of the text form of a digest.
 const digestPrefix = "sha256:"
 
-// DigestKey is the digest of a key.
+// DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
 // String implements fmt.Stringer.
 func (d KeyDigest) String() string { return digestPrefix + hex.EncodeToString(d[:]) }
 
-// Short begins String: enough to tell the keys of one routing apart.
+// Short returns the beginning of String, which is enough to distinguish the keys of one
+// routing.
 func (d KeyDigest) Short() string { return digestPrefix + hex.EncodeToString(d[:shortDigest]) }
 
-// shortDigest is the bytes of a digest that Short shows.
+// shortDigest is how many bytes of a digest Short includes.
 const shortDigest = 4
 
 // MarshalText implements encoding.TextMarshaler.
 func (d KeyDigest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads a key, or the text of a digest of one. Errors are *KeyError.
+// UnmarshalText parses a key or the text form of its digest. Errors are *KeyError.
 func (d *KeyDigest) UnmarshalText(text []byte) error {
 	if len(text) == 0 {
 		return &KeyError{Detail: "is empty"}
@@ -96,13 +99,13 @@
 	return nil
 }
 
-// KeyError is a key that can't be used. It does not quote the key.
+// KeyError reports an invalid key. Its text does not quote the key.
 type KeyError struct{ Detail string }
 
 // Error implements error.
 func (e *KeyError) Error() string { return "a key " + e.Detail }
 
-// checkOrganisations finds what is wrong with a routing's organisations.
+// checkOrganisations validates the organisations of a routing.
 func (r Routing) checkOrganisations(c *checker) {
 	names := map[string]bool{}
 	owners := map[KeyDigest]string{}
--- a/pkg/oriolebend/organisation_test.go
+++ b/pkg/oriolebend/organisation_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// A key is read as such or as its digest, and written as its digest alone.
+// TestKeyDigestText checks that a key is parsed from its own text or from its digest,
+// and encoded as its digest only.
 func TestKeyDigestText(t *testing.T) {
 	is := is.New(t)
 	var keys []KeyDigest
@@ -29,7 +30,8 @@
 	}
 }
 
-// What a request counts depends on the unit; a quota without a rate is none.
+// TestQuotaCost checks that the cost of a request depends on the unit, and that a quota
+// without a rate sets no bound.
 func TestQuotaCost(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Quota{}.Cost(5000), 1.0)
--- a/pkg/oriolebend/problem.go
+++ b/pkg/oriolebend/problem.go
@@ -5,20 +5,22 @@
 	"time"
 )
 
-// Problem is the typed error of the router: what a caller or operator is told
-// when a request is refused or fails.
+// Problem is the typed error of the router. It describes to a caller or operator
+// why a request was refused or failed.
 type Problem struct {
-	// Reason is the stable word for what happened.
+	// Reason is the machine-readable cause.
 	Reason Reason
-	// Ran says whether the request was executed.
+	// Ran reports whether the request was executed.
 	Ran Ran
-	// Detail is one sentence for a person.
+	// Detail is a human-readable sentence.
 	Detail string
-	// RequestID names the request, if it got that far.
+	// RequestID is the id of the request, empty if the request failed before it
+	// got one.
 	RequestID string
-	// RetryAfter is when to come back; zero means that a retry does not help.
+	// RetryAfter is how long to wait before a retry; zero means that a retry does
+	// not help.
 	RetryAfter time.Duration
-	// Cause is the error beneath, if any; it is logged and not sent.
+	// Cause is the underlying error, if any; it is logged and never sent.
 	Cause error
 }
 
@@ -34,7 +36,7 @@
 	return text
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the underlying error.
 func (p *Problem) Unwrap() error {
 	return p.Cause
 }
--- a/pkg/oriolebend/ran.go
+++ b/pkg/oriolebend/ran.go
@@ -1,13 +1,13 @@
 package oriolebend
 
-// Ran says whether a request was executed by a backend server.
+// Ran reports whether a backend server executed a request.
 type Ran string
 
 const (
-	// RanNo means that the request did not run and never will.
+	// RanNo means that the request was not executed and never will be.
 	RanNo Ran = "no"
-	// RanYes means that the request ran to its end.
+	// RanYes means that the request was executed to completion.
 	RanYes Ran = "yes"
-	// RanUnknown means that an attempt was dispatched and its outcome was lost.
+	// RanUnknown means that an attempt was dispatched and its outcome is not known.
 	RanUnknown Ran = "unknown"
 )
--- a/pkg/oriolebend/reasons.go
+++ b/pkg/oriolebend/reasons.go
@@ -1,6 +1,6 @@
 package oriolebend
 
-// reasons lists every reason, in the order of their declaration.
+// reasons lists every reason in the order of declaration.
 var reasons = []Reason{
 	ReasonMalformed,
 	ReasonTooLarge,
@@ -52,7 +52,8 @@
 	ReasonInternal,
 }
 
-// Reasons lists every reason; counters exist for each from the start.
+// Reasons returns every reason. Metrics use it to create a counter for each reason
+// at process start.
 func Reasons() []Reason {
 	return append([]Reason(nil), reasons...)
 }
--- a/pkg/oriolebend/reasons_test.go
+++ b/pkg/oriolebend/reasons_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// TestReasonsAreAll reads the reasons from the source that declares them, so
-// that a new one can't be left out of the list.
-func TestReasonsAreAll(t *testing.T) {
+// TestReasonsAreComplete parses the declarations of the reasons, so that a new reason
+// can't be missing from the list.
+func TestReasonsAreComplete(t *testing.T) {
 	is := is.New(t)
 	file, err := parser.ParseFile(token.NewFileSet(), "reason.go", nil, 0)
 	is.NoErr(err)
--- a/pkg/oriolebend/resource.go
+++ b/pkg/oriolebend/resource.go
@@ -6,21 +6,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Resource is one declared resource: what an operator wants to be so.
+// Resource is one declared resource: the desired state that an operator wrote.
 type Resource struct {
 	Kind ResourceKind
 	Name string
 	// Revision is the revision of the whole declared state at which this
 	// resource last changed. Writers leave it zero.
 	Revision uint64
-	// Deleted marks what is left of a deleted resource in a change feed; Spec
-	// is then nil.
+	// Deleted marks the deletion of a resource in a change feed; Spec is then nil.
 	Deleted bool
 	// Spec is the part that an operator writes; its type follows from Kind.
 	Spec Spec
 }
 
-// Key returns the name of the resource.
+// Key returns the key of the resource.
 func (r Resource) Key() ResourceKey {
 	return ResourceKey{Kind: r.Kind, Name: r.Name}
 }
@@ -39,8 +38,8 @@
 	return json.Marshal(resourceForm[Spec](r))
 }
 
-// UnmarshalJSON implements json.Unmarshaler. A field that the kind does not
-// have is an error.
+// UnmarshalJSON implements json.Unmarshaler. A field that the kind does not define is
+// an error.
 func (r *Resource) UnmarshalJSON(data []byte) error {
 	var form resourceForm[json.RawMessage]
 	if err := strictJSON(data, &form); err != nil {
@@ -64,17 +63,17 @@
 	return nil
 }
 
-// Equal encodings must mean equal values on every control VM, so maps are
-// written in sorted order.
+// resourceEncoding encodes maps in sorted order, because equal values must have equal
+// encodings on every control VM.
 var resourceEncoding = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic(err) // the library's own options are valid
+		panic(err) // unreachable: the library's predefined options are valid
 	}
 	return mode
 }()
 
-// MarshalCBOR implements cbor.Marshaler; equal resources encode equally.
+// MarshalCBOR implements cbor.Marshaler. Equal resources have equal encodings.
 func (r Resource) MarshalCBOR() ([]byte, error) {
 	return resourceEncoding.Marshal(resourceForm[Spec](r))
 }
--- a/pkg/oriolebend/resource_test.go
+++ b/pkg/oriolebend/resource_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestCheckFindsEverythingAtOnce(t *testing.T) {
+func TestCheckReportsEveryInvalidField(t *testing.T) {
 	for _, test := range []struct {
 		text   string
 		fields []string
--- a/pkg/oriolebend/routing.go
+++ b/pkg/oriolebend/routing.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// Routing is everything that decides where callers' plain HTTP requests may
-// go. It is declared and replaced as a whole: two operators who each changed a
-// part could otherwise bring a mixture into force that neither of them wrote.
+// Routing determines where callers' plain HTTP requests may be sent. It is declared
+// and replaced as a whole: two operators who each changed a part could otherwise
+// bring a combination into force that neither of them wrote.
 type Routing struct {
-	// Version is the operators' number for this routing. The highest one that
-	// was ever accepted is in force.
+	// Version is the number that operators give this routing. The routing with the
+	// highest version ever accepted is in force.
 	Version  uint64         `json:"version" cbor:"version"`
 	Routes   []Route        `json:"routes" cbor:"routes"`
 	Services []RouteService `json:"services" cbor:"services"`
 	Limits   CallerLimits   `json:"limits,omitzero" cbor:"limits"`
-	// Keyed is set if callers show a key on every route that is not public. It is implied
-	// by Organisations, and stays when the last of these is removed: a routing that has
-	// lost its organisations must not let everybody in.
+	// Keyed is set if callers must present a key on every route that is not public. It is
+	// implied by Organisations, and stays set when the last organisation is removed: a
+	// routing that has lost its organisations must not admit everybody.
 	Keyed         bool           `json:"keyed,omitempty" cbor:"keyed,omitempty"`
 	Organisations []Organisation `json:"organisations,omitempty" cbor:"organisations,omitempty"`
 }
 
-// NeedsKeys reports whether callers show a key on routes that are not public.
+// NeedsKeys reports whether callers must present a key on routes that are not public.
 func (r Routing) NeedsKeys() bool { return r.Keyed || len(r.Organisations) > 0 }
 
-// RepeatRule says what may be done with a request whose outcome is not known.
+// RepeatRule says whether a request whose outcome is not known may be repeated.
 type RepeatRule string
 
 // Repeat rules.
@@ -31,36 +31,36 @@
 	RepeatIdempotent RepeatRule = "idempotent"
 	// RepeatNever requests run at most once.
 	RepeatNever RepeatRule = "atMostOnce"
-	// RepeatResumable streams may go on at another backend server behind the
+	// RepeatResumable streams may be resumed at another backend server after the
 	// last event that was delivered.
 	RepeatResumable RepeatRule = "resumable"
 )
 
-// Repeatable reports whether a request may be sent again after it may have run.
+// Repeatable reports whether a request that may have been executed may be sent again.
 func (r RepeatRule) Repeatable() bool { return r == RepeatIdempotent || r == RepeatResumable }
 
 // Route sends the requests of one host and path prefix to services.
 type Route struct {
 	Name string `json:"name" cbor:"name"`
 	Host string `json:"host" cbor:"host"`
-	// PathPrefix begins and ends with a slash; the longest that fits wins.
+	// PathPrefix begins and ends with a slash; the longest matching prefix wins.
 	PathPrefix string     `json:"pathPrefix" cbor:"pathPrefix"`
 	Repeat     RepeatRule `json:"repeat" cbor:"repeat"`
-	// Public routes need no key.
+	// Public is set if the route needs no key.
 	Public bool `json:"public,omitempty" cbor:"public,omitempty"`
 	// Stream is set if answers are streams of events.
 	Stream bool `json:"stream,omitempty" cbor:"stream,omitempty"`
-	// Timeout bounds the whole answer.
+	// Timeout bounds the time until the answer is complete.
 	Timeout Duration `json:"timeout" cbor:"timeout"`
-	// AnswerWithin is the target for the answer, or for a stream's first event;
-	// PauseWithin the one for the pause between two events.
+	// AnswerWithin is the target time to the answer, or to a stream's first event.
+	// PauseWithin is the target for the pause between two events.
 	AnswerWithin Duration `json:"answerWithin,omitempty" cbor:"answerWithin,omitempty"`
 	PauseWithin  Duration `json:"pauseWithin,omitempty" cbor:"pauseWithin,omitempty"`
-	// Rank orders requests that compete; 0 goes first.
+	// Rank is the priority among competing requests; 0 is served first.
 	Rank int `json:"rank,omitempty" cbor:"rank,omitempty"`
-	// Attempts is how many backend servers one request may be sent to.
+	// Attempts bounds how many backend servers one request is sent to.
 	Attempts int `json:"attempts" cbor:"attempts"`
-	// Targets share the requests by weight.
+	// Targets are the services that share the requests by weight.
 	Targets []RouteTarget `json:"targets" cbor:"targets"`
 }
 
@@ -70,39 +70,40 @@
 	Weight  float64 `json:"weight" cbor:"weight"`
 }
 
-// RouteService is a group of backend servers that answer alike.
+// RouteService is a group of interchangeable backend servers.
 type RouteService struct {
 	Name       string `json:"name" cbor:"name"`
 	HealthPath string `json:"healthPath,omitempty" cbor:"healthPath,omitempty"`
-	// MaxConnections is what one backend server accepts from all its clients
-	// together.
+	// MaxConnections is how many connections one backend server accepts from all its
+	// clients together.
 	MaxConnections int `json:"maxConnections,omitempty" cbor:"maxConnections,omitempty"`
 	// Engine is set for model engines.
 	Engine *EngineLimits `json:"engine,omitempty" cbor:"engine,omitempty"`
 }
 
-// EngineLimits is what the engines of a service can hold.
+// EngineLimits describes the capacity of each engine of a service.
 type EngineLimits struct {
-	// Slots is how many requests an engine works on at once.
+	// Slots is how many requests an engine processes at once.
 	Slots int `json:"slots" cbor:"slots"`
-	// KVTokens is the size of the KV memory, TokenBytes the bytes of one token.
+	// KVTokens is the size of the KV memory in tokens, TokenBytes the size of one
+	// token's KV cache in bytes.
 	KVTokens   int   `json:"kvTokens" cbor:"kvTokens"`
 	TokenBytes int64 `json:"tokenBytes" cbor:"tokenBytes"`
-	// TokensPerPart is how many tokens of output a part of a stream holds; zero means that
-	// it is not known.
+	// TokensPerPart is how many output tokens one part of a stream holds; zero means
+	// that the number is not known.
 	TokensPerPart int `json:"tokensPerPart,omitempty" cbor:"tokensPerPart,omitempty"`
-	// LinkMbps is the rate of the engine's link for KV transfers.
+	// LinkMbps is the bandwidth of the engine's link for KV transfers.
 	LinkMbps float64 `json:"linkMbps" cbor:"linkMbps"`
 	// ResultLives is how long a prefill result is kept for its transfer.
 	ResultLives Duration `json:"resultLives" cbor:"resultLives"`
-	// RoleChange is how long an engine is away to change its pool role.
+	// RoleChange is how long an engine is unavailable while it changes its pool role.
 	RoleChange Duration `json:"roleChange,omitempty" cbor:"roleChange,omitempty"`
-	// HoldWithin is the longest that memory can be reserved ahead.
+	// HoldWithin bounds how long memory can be reserved ahead.
 	HoldWithin Duration `json:"holdWithin,omitempty" cbor:"holdWithin,omitempty"`
 }
 
-// CallerLimits bounds what callers may send and how slowly; zero leaves a
-// bound to the process's defaults.
+// CallerLimits bounds the size of callers' requests and how slowly they may arrive.
+// Zero means the default of the process.
 type CallerLimits struct {
 	MaxHeaderBytes int      `json:"maxHeaderBytes,omitempty" cbor:"maxHeaderBytes,omitempty"`
 	MaxBodyBytes   int64    `json:"maxBodyBytes,omitempty" cbor:"maxBodyBytes,omitempty"`
@@ -110,8 +111,8 @@
 	IdleTimeout    Duration `json:"idleTimeout,omitempty" cbor:"idleTimeout,omitempty"`
 }
 
-// Check finds everything that is wrong with a routing. The error is an
-// *InvalidError.
+// Check validates the whole routing. The error is an *InvalidError that lists every
+// invalid field.
 func (r Routing) Check() error {
 	c := &checker{}
 	services := map[string]bool{}
@@ -124,14 +125,14 @@
 		}
 		services[s.Name] = true
 	}
-	places := map[[2]string]bool{}
+	prefixes := map[[2]string]bool{}
 	for i, route := range r.Routes {
 		route.check(c, i, services)
-		place := [2]string{route.Host, route.PathPrefix}
-		if places[place] {
+		prefix := [2]string{route.Host, route.PathPrefix}
+		if prefixes[prefix] {
 			c.add(indexed("routes", i, "pathPrefix"), "is taken by another route of the host", "one route for each host and prefix")
 		}
-		places[place] = true
+		prefixes[prefix] = true
 	}
 	r.checkOrganisations(c)
 	if len(c.fields) > 0 {
@@ -170,7 +171,7 @@
 	}
 }
 
-// indexed is the path of a field of an element of a list.
+// indexed returns the path of a field of a list element.
 func indexed(list string, at int, field string) string {
 	return fmt.Sprintf("%s[%d].%s", list, at, field)
 }
--- a/pkg/oriolebend/server.go
+++ b/pkg/oriolebend/server.go
@@ -1,41 +1,45 @@
 package oriolebend
 
-// PoolRole says which phase of a request a backend server runs.
+// PoolRole is the phase of a request that a backend server runs.
 type PoolRole string
 
 const (
-	// Prefill servers turn prompts into KV cache.
+	// Prefill servers compute the KV cache of prompts.
 	Prefill PoolRole = "prefill"
 	// Decode servers import KV cache and generate tokens.
 	Decode PoolRole = "decode"
-	// Service servers run plain services beside the model engines.
+	// Service servers run plain services instead of model engines.
 	Service PoolRole = "service"
 )
 
-// ServerState says whether a backend server takes new work.
+// ServerState is the state of a backend server; it determines whether the server
+// accepts new work.
 type ServerState string
 
 const (
-	// ServerServing takes new work.
+	// ServerServing means that the server accepts new work.
 	ServerServing ServerState = "serving"
-	// ServerLoading changes its model, adapter, version or role.
+	// ServerLoading means that the server is changing its model, adapter, version or
+	// role.
 	ServerLoading ServerState = "loading"
-	// ServerLeaving takes no new work and ends the work that it has.
+	// ServerLeaving means that the server accepts no new work and finishes the work
+	// that it has.
 	ServerLeaving ServerState = "leaving"
-	// ServerStopping leaves, and its sidecar stops once its work has ended.
+	// ServerStopping is like ServerLeaving, and the sidecar stops once the work has
+	// finished.
 	ServerStopping ServerState = "stopping"
-	// ServerGone no longer holds its membership lease.
+	// ServerGone means that the server no longer holds its membership lease.
 	ServerGone ServerState = "gone"
 )
 
-// LoadedModel is one model that a backend server holds ready.
+// LoadedModel is one model that a backend server has loaded.
 type LoadedModel struct {
 	Model    string   `json:"model" cbor:"model"`
 	Version  string   `json:"version" cbor:"version"`
 	Adapters []string `json:"adapters,omitempty" cbor:"adapters,omitempty"`
 }
 
-// Server is a backend server as its sidecar announces it.
+// Server is a backend server as announced by its sidecar.
 type Server struct {
 	Name          string `json:"name" cbor:"name"`
 	Region        string `json:"region" cbor:"region"`
@@ -47,16 +51,16 @@
 	Role        PoolRole      `json:"role" cbor:"role"`
 	State       ServerState   `json:"state" cbor:"state"`
 	Models      []LoadedModel `json:"models,omitempty" cbor:"models,omitempty"`
-	// Service is the name of the plain service, for servers of that role.
+	// Service is the name of the plain service, for servers with role Service.
 	Service string `json:"service,omitempty" cbor:"service,omitempty"`
-	// KVTokens is how many tokens of KV cache the engine's memory holds.
+	// KVTokens is the capacity of the engine's KV memory in tokens.
 	KVTokens int `json:"kvTokens,omitempty" cbor:"kvTokens,omitempty"`
-	// LinkBytes is the rate of the server's link in bytes a second.
+	// LinkBytes is the bandwidth of the server's link in bytes per second.
 	LinkBytes float64 `json:"linkBytes,omitempty" cbor:"linkBytes,omitempty"`
 }
 
-// Serves reports whether the server is of the role and holds the model. An
-// empty version or adapter matches any.
+// Serves reports whether the server has the role and has loaded the model. An empty
+// version or adapter matches any.
 func (s Server) Serves(role PoolRole, model, version, adapter string) bool {
 	if s.Role != role {
 		return false
--- a/pkg/oriolebend/urgency.go
+++ b/pkg/oriolebend/urgency.go
@@ -1,13 +1,13 @@
 package oriolebend
 
-// Urgency orders a request against others that wait for the same server.
+// Urgency is the priority of a request among others that wait for the same server.
 type Urgency string
 
 const (
-	// Urgent requests (pings) are served before every patient one.
+	// Urgent requests (pings) are served before every patient request.
 	Urgent Urgency = "urgent"
-	// Patient requests (briefs, tab histories) may wait but are never dropped
-	// once accepted.
+	// Patient requests (briefs, tab histories) may wait, but are never dropped
+	// once they are accepted.
 	Patient Urgency = "patient"
 )
 
