--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -6,42 +6,42 @@
 	"sync/atomic"
 )
 
-// queueBytes bounds the lines that wait to be written: seconds of the log of a
-// busy process, and little beside its memory.
-const queueBytes = 512 << 10
+// maxQueueBytes bounds the lines that wait to be written. It holds several seconds of the
+// log of a busy process and is small compared with the memory of the process.
+const maxQueueBytes = 512 << 10
 
-// Async is a writer that never blocks: lines wait in a bounded queue for a
-// goroutine to write them, and are dropped and counted while it is full.
+// Async is a writer that never blocks: lines wait in a bounded queue until a
+// goroutine writes them, and are dropped and counted while the queue is full.
 //
-// Standard output is often a pipe. Once its reader stands still a plain write
-// blocks, and with it every request that logs a line; one would notice requests
-// that time out on a VM whose log has stopped.
+// Standard output is often a pipe. If its reader stops reading, a plain write blocks, and
+// so does every request that logs a line: requests time out on a VM whose log has
+// stopped.
 type Async struct {
-	to      io.Writer
+	out     io.Writer
 	dropped atomic.Uint64
 
-	mutex   sync.Mutex
-	waiting []byte
-	spare   []byte
-	closed  bool
-	wake    chan struct{}
-	done    chan struct{}
+	mutex  sync.Mutex
+	queue  []byte
+	spare  []byte
+	closed bool
+	wake   chan struct{}
+	done   chan struct{}
 }
 
-// NewAsync begins to write to a writer; Close ends it.
-func NewAsync(to io.Writer) *Async {
-	a := &Async{to: to, wake: make(chan struct{}, 1), done: make(chan struct{})}
+// NewAsync returns an Async that writes to out until it is closed.
+func NewAsync(out io.Writer) *Async {
+	a := &Async{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-// Write implements io.Writer. It reports no error: there is nobody who could do
-// anything about one.
+// Write implements io.Writer. It always returns a nil error, because no caller could
+// handle an error of the log.
 func (a *Async) Write(line []byte) (int, error) {
 	a.mutex.Lock()
-	full := a.closed || len(a.waiting)+len(line) > queueBytes
+	full := a.closed || len(a.queue)+len(line) > maxQueueBytes
 	if !full {
-		a.waiting = append(a.waiting, line...)
+		a.queue = append(a.queue, line...)
 	}
 	a.mutex.Unlock()
 	if full {
@@ -59,10 +59,10 @@
 	}
 }
 
-// Dropped counts the lines that found no room.
+// Dropped returns how many lines were dropped.
 func (a *Async) Dropped() uint64 { return a.dropped.Load() }
 
-// Close writes what waits and ends the writer.
+// Close writes the queued lines and stops the writer.
 func (a *Async) Close() {
 	a.mutex.Lock()
 	a.closed = true
@@ -75,13 +75,13 @@
 	defer close(a.done)
 	for range a.wake {
 		a.mutex.Lock()
-		batch, closed := a.waiting, a.closed
-		a.waiting = a.spare[:0]
+		batch, closed := a.queue, a.closed
+		a.queue = a.spare[:0]
 		a.spare = nil
 		a.mutex.Unlock()
 		if len(batch) > 0 {
-			// A log that can't be written to has no place to say so.
-			_, _ = a.to.Write(batch)
+			// The error can't be reported, because the log itself can't be written.
+			_, _ = a.out.Write(batch)
 		}
 		a.mutex.Lock()
 		a.spare = batch
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging sets up the log of a process. Lines carry the request,
-// attempt and reason that they are about, and never what callers or services
-// sent: prompts, bodies, answers and tokens may be personal or secret.
+// Package logging sets up the log of a process. Log lines name the request, attempt and
+// reason, and never contain data that callers or services sent: prompts, bodies, answers
+// and tokens may be personal or secret.
 package logging
 
 import (
@@ -15,14 +15,14 @@
 )
 
 const (
-	// maxText bounds a text in a line, in bytes. An error that quotes what it
-	// could not read would otherwise carry a whole prompt into the log.
-	maxText = 256
-	// Withheld stands for a value that is not logged.
+	// maxTextBytes bounds a text in a line. Without it, an error that quotes its
+	// unreadable input could write a whole prompt to the log.
+	maxTextBytes = 256
+	// Withheld replaces a value that must not be logged.
 	Withheld = "[withheld]"
 )
 
-// LevelError is a level of the settings that is not known.
+// LevelError reports an unknown log level in the settings.
 type LevelError struct{ Level string }
 
 // Error implements error.
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("log level %q is not debug, info, warn or error", e.Level)
 }
 
-// FormatError is a format of the settings that is not known.
+// FormatError reports an unknown log format in the settings.
 type FormatError struct{ Format string }
 
 // Error implements error.
@@ -38,8 +38,8 @@
 	return fmt.Sprintf("log format %q is not text or json", e.Format)
 }
 
-// New returns a logger that writes to w as the settings ask for. Errors are
-// *LevelError or *FormatError.
+// New returns a logger that writes to w with the level and format of the settings.
+// Errors are *LevelError or *FormatError.
 func New(l settings.Log, w io.Writer) (*slog.Logger, error) {
 	level := slog.LevelInfo
 	if l.Level != "" {
@@ -47,7 +47,7 @@
 			return nil, &LevelError{Level: l.Level}
 		}
 	}
-	options := &slog.HandlerOptions{Level: level, ReplaceAttr: clean}
+	options := &slog.HandlerOptions{Level: level, ReplaceAttr: redact}
 	switch l.Format {
 	case "", "text":
 		return slog.New(slog.NewTextHandler(w, options)), nil
@@ -57,35 +57,36 @@
 	return nil, &FormatError{Format: l.Format}
 }
 
-// withheldKeys are names of attributes that hold what is not to be logged,
-// whatever the type of their value.
+// withheldKeys are the keys of attributes whose values must not be logged, unless they
+// are integers.
 var withheldKeys = map[string]bool{
 	"prompt": true, "messages": true, "body": true, "answer": true, "text": true, "content": true,
 	"token": true, "tokens": true, "authorization": true, "header": true, "headers": true,
 	"key": true, "secret": true, "password": true,
 }
 
-// clean is called for each attribute. It withholds by name, withholds values
-// that are not plain, and shortens texts.
-func clean(_ []string, a slog.Attr) slog.Attr {
+// redact is called for each attribute. It withholds the values of withheldKeys and values
+// of composite types, and shortens texts.
+func redact(_ []string, a slog.Attr) slog.Attr {
 	a.Value = a.Value.Resolve()
-	number := a.Value.Kind() == slog.KindInt64 || a.Value.Kind() == slog.KindUint64
-	if withheldKeys[strings.ToLower(a.Key)] && !number {
+	integer := a.Value.Kind() == slog.KindInt64 || a.Value.Kind() == slog.KindUint64
+	if withheldKeys[strings.ToLower(a.Key)] && !integer {
 		return slog.String(a.Key, Withheld)
 	}
 	switch a.Value.Kind() {
 	case slog.KindString:
 		return slog.String(a.Key, shorten(a.Value.String()))
 	case slog.KindAny:
-		return slog.Attr{Key: a.Key, Value: cleanAny(a.Value.Any())}
+		return slog.Attr{Key: a.Key, Value: redactAny(a.Value.Any())}
 	default:
 		return a
 	}
 }
 
-// cleanAny gives the text of enums and of values that know their own, and of
-// others only the type: a whole request passed to the log by mistake must not get there.
-func cleanAny(value any) slog.Value {
+// redactAny returns the text of errors, of fmt.Stringers and of values whose kind is
+// string, and only the type of any other value, so that a request that is passed to the
+// log by mistake is not written there.
+func redactAny(value any) slog.Value {
 	switch v := value.(type) {
 	case nil:
 		return slog.AnyValue(nil)
@@ -105,8 +106,8 @@
 }
 
 func shorten(text string) string {
-	if len(text) <= maxText {
+	if len(text) <= maxTextBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:maxText], "") + "…"
+	return strings.ToValidUTF8(text[:maxTextBytes], "") + "…"
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -16,8 +16,8 @@
 
 type request struct{ Prompt string }
 
-// TestWithheld: what callers send stays out of the log, under whatever name or
-// type it is passed to it.
+// TestWithheld checks that data of callers is not logged, whatever the key and type of the
+// attribute that holds it.
 func TestWithheld(t *testing.T) {
 	const secret = "patron 4711 disputes"
 	long := strings.Repeat(secret, 100)
@@ -30,7 +30,7 @@
 		logger.With("tokens", secret).WithGroup("g").Info("b", "request", request{secret}, "list", []string{secret})
 		logger.Info("c", slog.Group("inner", "answer", secret), "pointer", &request{secret})
 		logger.Info("d", "error", errors.New(long), "detail", long)
-		is.Equal(strings.Count(out.String(), secret), 2*(maxText/len(secret)))
+		is.Equal(strings.Count(out.String(), secret), 2*(maxTextBytes/len(secret)))
 	}
 }
 
--- a/internal/metrics/handler.go
+++ b/internal/metrics/handler.go
@@ -10,18 +10,19 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// HandlerConfig sets up the handler of a process's metrics port.
+// HandlerConfig configures the handler of a process's metrics port.
 type HandlerConfig struct {
-	// Metrics are those of each role that the process runs.
+	// Metrics are the metrics of each role that the process runs.
 	Metrics []*Metrics
-	// Ready reports whether the process should get work; nil means yes.
+	// Ready reports whether the process should receive work; nil means always.
 	Ready func() bool
-	// Pprof serves profiles of the running process under /debug/pprof/. They
-	// may hold what callers sent, so that it is off unless asked for.
+	// Pprof enables profiles of the running process under /debug/pprof/. It is off by
+	// default, because profiles may contain data that callers sent.
 	Pprof bool
 }
 
-// Handler serves /metrics, /healthz, /readyz and, if asked for, profiles.
+// Handler returns a handler that serves /metrics, /healthz, /readyz and, if enabled,
+// profiles.
 func Handler(c HandlerConfig) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(gatherers(c.Metrics), promhttp.HandlerOpts{}))
@@ -44,10 +45,10 @@
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(text)) // a prober that left needs no answer
+	_, _ = w.Write([]byte(text)) // the prober may have disconnected
 }
 
-// gatherers joins the metrics of the roles and those of the process itself.
+// gatherers combines the metrics of the roles with those of the process itself.
 func gatherers(roles []*Metrics) prometheus.Gatherers {
 	process := prometheus.NewRegistry()
 	process.MustRegister(
@@ -69,7 +70,7 @@
 	mux.HandleFunc("GET /debug/pprof/trace", pprof.Trace)
 }
 
-// Timeouts of the metrics port. A profile may take half a minute.
+// Timeouts of the metrics port. A CPU profile may take 30 s.
 const (
 	headerTimeout = 5 * time.Second
 	writeTimeout  = 60 * time.Second
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts and measures what a role does, for Prometheus.
+// Package metrics collects the Prometheus metrics of a role.
 package metrics
 
 import (
@@ -11,26 +11,26 @@
 
 const namespace = "oriolebend"
 
-// otherOrganisation stands for every organisation that is not in the settings:
-// a label must not take values that callers make up.
+// otherOrganisation is the label value for every organisation that is not in the
+// settings. Callers must not be able to create label values.
 const otherOrganisation = "other"
 
-// Config sets up the metrics of one role.
+// Config configures the metrics of one role.
 type Config struct {
 	// Role is "entry", "sidecar" or "control".
 	Role string
-	// Node is the name of the process, or of the server beside a sidecar.
+	// Node is the name of the process, or of a sidecar's backend server.
 	Node string
-	// Organisations lists those that are counted by name.
+	// Organisations lists the organisations that are counted by name.
 	Organisations []string
-	// Logger is told of counts and measures without a metric; nil is told
-	// nothing.
+	// Logger receives warnings about events and measurements without a metric; nil
+	// discards them.
 	Logger *slog.Logger
 }
 
-// Metrics counts and measures for one role. Every counter exists at zero for
-// every reason from the start, so that a rate over its first rise is right. Its
-// methods may be called from several goroutines.
+// Metrics holds the metrics of one role. Every counter exists with value zero for every
+// reason from the start, so that a rate over its first increment is correct. It is safe
+// for concurrent use.
 type Metrics struct {
 	logger        *slog.Logger
 	registry      *prometheus.Registry
@@ -71,12 +71,12 @@
 }
 
 func (m *Metrics) registerCounters() {
-	for what, described := range reasonCounters {
-		vec := m.counter(described.Name, described.Help, "reason")
+	for event, definition := range reasonCounters {
+		vec := m.counter(definition.Name, definition.Help, "reason")
 		for _, reason := range oriolebend.Reasons() {
 			vec.WithLabelValues(string(reason))
 		}
-		m.byReason[what] = vec
+		m.byReason[event] = vec
 	}
 	m.events = m.counter("events_total", "Events that need no action, by kind; see docs/OPERATING.md.", "event")
 	for _, event := range events {
@@ -89,15 +89,15 @@
 }
 
 func (m *Metrics) registerMeasures() {
-	for what, described := range measures {
+	for measure, definition := range measures {
 		vec := prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: namespace, Name: described.Name, Help: described.Help, Buckets: described.Buckets,
+			Namespace: namespace, Name: definition.Name, Help: definition.Help, Buckets: definition.Buckets,
 		}, []string{"urgency"})
 		m.labelled.MustRegister(vec)
 		for _, urgency := range urgencies {
 			vec.WithLabelValues(string(urgency))
 		}
-		m.measures[what] = vec
+		m.measures[measure] = vec
 	}
 }
 
@@ -109,21 +109,21 @@
 	}
 }
 
-// Count adds one to the counter of what happened and why. The organisation may
-// be empty.
-func (m *Metrics) Count(what string, reason oriolebend.Reason, organisation string) {
-	if what == whatRefusal && organisation != "" {
+// Count increments the counter of an event with a reason. Reason and organisation may be
+// empty.
+func (m *Metrics) Count(event string, reason oriolebend.Reason, organisation string) {
+	if event == eventRefusal && organisation != "" {
 		m.countOrganisation(organisation)
 	}
-	if vec, found := m.byReason[what]; found {
+	if vec, found := m.byReason[event]; found {
 		vec.WithLabelValues(string(reason)).Inc()
 		return
 	}
-	if !knownEvents[what] {
-		m.logger.Warn("an event without a counter", "event", what)
+	if !knownEvents[event] {
+		m.logger.Warn("no counter exists for an event", "event", event)
 		return
 	}
-	m.events.WithLabelValues(what).Inc()
+	m.events.WithLabelValues(event).Inc()
 }
 
 func (m *Metrics) countOrganisation(name string) {
@@ -133,32 +133,32 @@
 	m.byOrganisation.WithLabelValues(name).Inc()
 }
 
-// Refused counts a request that the callers' side refused on its own.
+// Refused counts a request that the HTTP server for callers refused itself.
 func (m *Metrics) Refused(reason oriolebend.Reason) {
-	m.Count(whatRefusal, reason, "")
+	m.Count(eventRefusal, reason, "")
 }
 
-// Observe records a measure of one request, in seconds, as a ratio, or, for
-// wasted prefill, in tokens.
-func (m *Metrics) Observe(what string, urgency oriolebend.Urgency, value float64) {
-	if what == whatWastedTokens {
+// Observe records a measurement of one request: in seconds, as a ratio, or, for wasted
+// prefill, in tokens.
+func (m *Metrics) Observe(measure string, urgency oriolebend.Urgency, value float64) {
+	if measure == measureWastedTokens {
 		m.wastedTokens.WithLabelValues(string(urgency)).Add(value)
 		return
 	}
-	vec, found := m.measures[what]
+	vec, found := m.measures[measure]
 	if !found {
-		m.logger.Warn("a measure without a metric", "measure", what)
+		m.logger.Warn("no metric exists for a measurement", "measure", measure)
 		return
 	}
 	vec.WithLabelValues(string(urgency)).Observe(value)
 }
 
-// Registerer takes the metrics of parts that make their own; they get the
-// labels of the role.
+// Registerer returns the registerer for components that define their own metrics. It
+// adds the labels of the role.
 func (m *Metrics) Registerer() prometheus.Registerer { return m.labelled }
 
-// CounterByReason publishes counters that another part keeps, one for each
-// reason. The name is without the prefix "oriolebend_".
+// CounterByReason publishes counters that another component keeps, one for each reason.
+// The name is without the prefix "oriolebend_".
 func (m *Metrics) CounterByReason(name, help string, value func(oriolebend.Reason) float64) {
 	for _, reason := range oriolebend.Reasons() {
 		m.labelled.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
@@ -168,8 +168,8 @@
 	}
 }
 
-// Gauge publishes a value that is read at each scrape. The name is without the
-// prefix "oriolebend_"; it must not be published twice.
+// Gauge publishes a value that is read at each scrape. The name is without the prefix
+// "oriolebend_" and must not be published twice.
 func (m *Metrics) Gauge(name, help string, value func() float64) {
 	m.labelled.MustRegister(prometheus.NewGaugeFunc(
 		prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, value))
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -22,7 +22,7 @@
 	return recorder.Code, recorder.Body.String()
 }
 
-func TestEveryReasonFromTheStart(t *testing.T) {
+func TestEveryReasonStartsAtZero(t *testing.T) {
 	is := is.New(t)
 	h := Handler(HandlerConfig{Metrics: []*Metrics{New(Config{Role: "entry", Node: "entry-1"})}})
 	_, body := get(h, "/metrics")
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestReducersAreCovered reads from the reducers' source what they count and
-// measure: a name without a metric would be lost without a word.
+// TestReducersAreCovered extracts the names of events and measurements from the source of
+// the reducers. A name without a metric would only be logged and not counted.
 func TestReducersAreCovered(t *testing.T) {
 	is := is.New(t)
 	counted := regexp.MustCompile(`(?:\.count\(|Count\{What: )"(\w+)"`)
@@ -92,7 +92,7 @@
 			found++
 		}
 		for _, match := range measured.FindAllStringSubmatch(string(source), -1) {
-			if _, known := measures[match[1]]; !known && match[1] != whatWastedTokens {
+			if _, known := measures[match[1]]; !known && match[1] != measureWastedTokens {
 				t.Errorf("%s measures %q, which has no metric", path, match[1])
 			}
 			found++
--- a/internal/metrics/name.go
+++ b/internal/metrics/name.go
@@ -6,25 +6,25 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Names under which reducers count and measure, and that need more than a
-// metric of their own.
+// Names of reducer events and measurements that Metrics treats specially.
 const (
-	whatRefusal      = "refusal"
-	whatWastedTokens = "wastedPrefillTokens"
+	eventRefusal        = "refusal"
+	measureWastedTokens = "wastedPrefillTokens"
 )
 
 var urgencies = []oriolebend.Urgency{oriolebend.Urgent, oriolebend.Patient}
 
-// described is the name of a metric, without the prefix, and what it says.
-type described struct {
+// definition holds the name of a metric, without the prefix, its help text and the
+// buckets of a histogram.
+type definition struct {
 	Name    string
 	Help    string
 	Buckets []float64
 }
 
-// reasonCounters gives what reducers count with a reason its own counter.
-var reasonCounters = map[string]described{
-	whatRefusal:           {Name: "refusals_total", Help: "Requests or reservations refused, by reason."},
+// reasonCounters maps the events that reducers count with a reason to their counters.
+var reasonCounters = map[string]definition{
+	eventRefusal:          {Name: "refusals_total", Help: "Requests or reservations refused, by reason."},
 	"refused":             {Name: "gate_refusals_total", Help: "Refusals of gates that an entry met, by reason."},
 	"retry":               {Name: "retries_total", Help: "Attempts made again, by the reason of the one before."},
 	"retryDelayed":        {Name: "retries_delayed_total", Help: "Retries put off, by reason."},
@@ -49,7 +49,7 @@
 	"settledElsewhere": {Name: "settled_elsewhere_total", Help: "Requests whose record another entry had moved on."},
 }
 
-// events are what reducers count without a reason.
+// events are the events that reducers count without a reason.
 var events = []string{
 	"cacheGap", "cacheRepaired", "cancel", "cancelledByList", "closedForgotten", "doubled",
 	"duplicatePart", "outdatedMessage", "stray", "unowned",
@@ -68,10 +68,9 @@
 	return known
 }()
 
-// measures gives what reducers measure its histogram. The targets of the
-// latencies, 1.2 s and 41 ms, are bounds of buckets, so that goodput is read off
-// exactly.
-var measures = map[string]described{
+// measures maps the measurements of reducers to their histograms. The latency targets,
+// 1.2 s and 41 ms, are bucket bounds, so that goodput can be computed exactly.
+var measures = map[string]definition{
 	"firstToken": {
 		Name: "time_to_first_token_seconds", Help: "Time from arrival to the first output.",
 		Buckets: []float64{0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1, 1.2, 1.6, 2.4, 5, 10, 30, 60},
