--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,7 +9,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Values that the settings' enums allow.
+// Allowed values of enums.
 var (
 	logLevels  = []string{"debug", "info", "warn", "error"}
 	logFormats = []string{"text", "json"}
@@ -20,10 +20,10 @@
 	methods    = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"}
 )
 
-// identityMark is replaced by an operation's identity in a status path.
-const identityMark = "{identity}"
+// identityPlaceholder is replaced by the identity of a call in a status path.
+const identityPlaceholder = "{identity}"
 
-// common finds the faults that hold for every role.
+// common finds the faults that apply to every role.
 func (f *faults) common(s Settings) {
 	f.enum("log.level", s.Log.Level, logLevels)
 	f.enum("log.format", s.Log.Format, logFormats)
@@ -56,14 +56,14 @@
 	}
 }
 
-// enum checks a value that may be left out.
+// enum checks that an optional value is one of the allowed values.
 func (f *faults) enum(key, value string, values []string) {
 	if value != "" && !slices.Contains(values, value) {
 		f.add(key, CodeNotAllowed, "%q is not known; %s", value, allowed(value, values))
 	}
 }
 
-// address checks an IP:port that may be left out.
+// address checks an optional IP:port.
 func (f *faults) address(key, value string) {
 	if value == "" {
 		return
@@ -83,7 +83,7 @@
 	}
 }
 
-// atLeast checks a number against its smallest value.
+// atLeast checks a number against its smallest allowed value.
 func atLeast[N int | int64 | float64 | Duration](f *faults, key string, value, least N) {
 	if value >= least {
 		return
@@ -95,7 +95,8 @@
 	f.add(key, CodeNotAllowed, "%v is too small; allowed are numbers from %v", value, least)
 }
 
-// portClash compares the TCP addresses; peers use UDP, whose ports are apart.
+// portClash checks that no two TCP listeners use the same address. The UDP port of peers
+// can't clash with them.
 func (f *faults) portClash(s Settings) {
 	type listener struct{ key, address string }
 	listeners := []listener{
@@ -113,7 +114,7 @@
 	}
 }
 
-// overlap reports whether two addresses can't both be listened on.
+// overlap reports whether two listeners can't use both addresses at the same time.
 func overlap(a, b string) bool {
 	x, errX := netip.ParseAddrPort(a)
 	y, errY := netip.ParseAddrPort(b)
@@ -158,7 +159,7 @@
 	atLeast(f, "caller.stopDelay", c.StopDelay, 0)
 }
 
-// maxMembers is how many VMs may be set aside for control.
+// maxMembers is the maximum number of control VMs.
 const maxMembers = 6
 
 func (f *faults) members(members []Member) {
@@ -170,8 +171,8 @@
 		f.required(joinPath(path, "failureDomain"), m.FailureDomain)
 		f.address(joinPath(path, "address"), m.Address)
 		f.address(joinPath(path, "operatorAddress"), m.OperatorAddress)
-		names.see(joinPath(path, "name"), m.Name)
-		addresses.see(joinPath(path, "address"), m.Address)
+		names.add(joinPath(path, "name"), m.Name)
+		addresses.add(joinPath(path, "address"), m.Address)
 	}
 	if len(members) > maxMembers {
 		f.add("control.members", CodeNotAllowed, "%d control VMs; allowed are 1 to %d", len(members), maxMembers)
@@ -203,10 +204,10 @@
 	for i, o := range s.Organisations {
 		path := elementPath("organisations", i)
 		f.required(joinPath(path, "name"), o.Name)
-		names.see(joinPath(path, "name"), o.Name)
+		names.add(joinPath(path, "name"), o.Name)
 		atLeast(f, joinPath(path, "share"), o.Share, 0)
 		for j, token := range o.Tokens {
-			tokens.see(elementPath(joinPath(path, "tokens"), j), token)
+			tokens.add(elementPath(joinPath(path, "tokens"), j), token)
 		}
 		for j, name := range o.Operations {
 			f.enum(elementPath(joinPath(path, "operations"), j), name, operations)
@@ -217,11 +218,11 @@
 	}
 }
 
-// defaultOperation names the requests whose callers name none.
+// defaultOperation is the operation of requests that name none.
 const defaultOperation = "completion"
 
-// operationNames lists what organisations can be limited to: the declared
-// operations, and the services, each as "service:" and its name.
+// operationNames lists the operations that an organisation can be limited to: the default
+// operation, the declared operations, and each service as "service:" and its name.
 func operationNames(s Settings) []string {
 	names := []string{defaultOperation}
 	for _, o := range s.Operations {
@@ -238,7 +239,7 @@
 	for i, o := range list {
 		path := elementPath("operations", i)
 		f.required(joinPath(path, "name"), o.Name)
-		names.see(joinPath(path, "name"), o.Name)
+		names.add(joinPath(path, "name"), o.Name)
 		f.enum(joinPath(path, "urgency"), string(o.Urgency), urgencies)
 		atLeast(f, joinPath(path, "firstWithin"), o.FirstWithin, 0)
 	}
@@ -249,7 +250,7 @@
 	for i, s := range list {
 		path := elementPath("services", i)
 		f.required(joinPath(path, "name"), s.Name)
-		names.see(joinPath(path, "name"), s.Name)
+		names.add(joinPath(path, "name"), s.Name)
 		f.calls(joinPath(path, "calls"), s.Calls)
 	}
 }
@@ -263,10 +264,10 @@
 		f.enum(joinPath(path, "urgency"), string(c.Urgency), urgencies)
 		f.path(joinPath(path, "path"), c.Path)
 		f.path(joinPath(path, "statusPath"), c.StatusPath)
-		if c.StatusPath != "" && !strings.Contains(c.StatusPath, identityMark) {
-			f.add(joinPath(path, "statusPath"), CodeNotAllowed, "%q asks for no operation; allowed is a path with %s in it", c.StatusPath, identityMark)
+		if c.StatusPath != "" && !strings.Contains(c.StatusPath, identityPlaceholder) {
+			f.add(joinPath(path, "statusPath"), CodeNotAllowed, "%q asks for no operation; allowed is a path with %s in it", c.StatusPath, identityPlaceholder)
 		}
-		routes.see(joinPath(path, "path"), c.Method+" "+c.Path)
+		routes.add(joinPath(path, "path"), c.Method+" "+c.Path)
 	}
 }
 
@@ -276,15 +277,15 @@
 	}
 }
 
-// required checks a value that must not be left out.
+// required checks that a value is set.
 func (f *faults) required(key, value string) {
 	if value == "" {
 		f.missing(key, "is missing")
 	}
 }
 
-// missing reports a setting that is not there, unless it is there and was
-// refused already.
+// missing reports a setting that is not set, unless the setting, a table around it or one
+// of its elements already has a fault.
 func (f *faults) missing(key, format string, a ...any) {
 	for _, known := range f.list {
 		if known.Key == key || strings.HasPrefix(key, known.Key+".") || strings.HasPrefix(known.Key, key+"[") {
@@ -294,20 +295,23 @@
 	f.add(key, CodeMissing, format, a...)
 }
 
-// unique finds values that are given twice.
+// unique reports values that are given twice.
 type unique struct {
 	faults *faults
-	what   string
-	seen   map[string]string
+	// kind is the name of the values in messages.
+	kind string
+	// seen maps each value to the key that has it.
+	seen map[string]string
 	// secret keeps the values out of the messages.
 	secret bool
 }
 
-func (f *faults) unique(what string) *unique {
-	return &unique{faults: f, what: what, seen: map[string]string{}}
+func (f *faults) unique(kind string) *unique {
+	return &unique{faults: f, kind: kind, seen: map[string]string{}}
 }
 
-func (u *unique) see(key, value string) {
+// add reports a fault if an earlier key has the same value.
+func (u *unique) add(key, value string) {
 	if value == "" {
 		return
 	}
@@ -317,7 +321,7 @@
 		return
 	}
 	if u.secret {
-		value = "this " + u.what
+		value = "this " + u.kind
 	}
-	u.faults.add(key, CodeDuplicate, "%s is given to %s already; each %s must be its own", value, first, u.what)
+	u.faults.add(key, CodeDuplicate, "%s is given to %s already; each %s must be its own", value, first, u.kind)
 }
--- a/internal/settings/dev.go
+++ b/internal/settings/dev.go
@@ -18,9 +18,9 @@
 	for i, server := range s.Dev.Servers {
 		path := elementPath("dev.servers", i)
 		f.required(joinPath(path, "namePrefix"), server.NamePrefix)
-		prefixes.see(joinPath(path, "namePrefix"), server.NamePrefix)
+		prefixes.add(joinPath(path, "namePrefix"), server.NamePrefix)
 		f.devServer(path, server)
-		f.devRole(path, server, s.Services)
+		f.devServerRole(path, server, s.Services)
 	}
 	f.devPools(s.Dev.Servers)
 }
@@ -36,12 +36,12 @@
 	}
 	adapters := f.unique("adapter")
 	for i, adapter := range s.Adapters {
-		adapters.see(elementPath(joinPath(path, "adapters"), i), adapter)
+		adapters.add(elementPath(joinPath(path, "adapters"), i), adapter)
 	}
 }
 
-// devRole checks what a server of its role needs.
-func (f *faults) devRole(path string, s DevServer, services []ServiceRoute) {
+// devServerRole checks the settings that depend on the role of a stand-in server.
+func (f *faults) devServerRole(path string, s DevServer, services []ServiceRoute) {
 	switch s.Role {
 	case oriolebend.Prefill, oriolebend.Decode:
 		f.required(joinPath(path, "model"), s.Model)
@@ -61,8 +61,8 @@
 	}
 }
 
-// knownService demands that a service which runs is declared in [[services]]
-// too: callers reach no other, and the server would stand idle.
+// knownService requires that the service of a stand-in server is declared under
+// [[services]]. Callers can't reach an undeclared service, and the server would be idle.
 func (f *faults) knownService(key, name string, services []ServiceRoute) {
 	if name == "" {
 		return
@@ -81,8 +81,8 @@
 	f.add(key, CodeUnknownName, "service %q is not declared under [[services]]; %s", name, allowed(name, names))
 }
 
-// devPools demands both pools for each model: a model with one of them alone
-// could accept requests and never answer one.
+// devPools requires both a prefill and a decode server for each model. With only one of
+// them, requests for the model could be accepted but never answered.
 func (f *faults) devPools(servers []DevServer) {
 	pools := map[string]map[oriolebend.PoolRole]bool{}
 	firsts := map[string]string{}
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -11,7 +11,7 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-// keysOf lists the path of every key of a type.
+// keysOf returns the paths of all keys of a type.
 func keysOf(path string, t reflect.Type) []string {
 	switch {
 	case t.Kind() == reflect.Slice && t.Elem().Kind() == reflect.Struct:
@@ -28,8 +28,9 @@
 	return keys
 }
 
-// The reference has one row for each key, and none for a key that is gone.
-func TestReferenceIsWhole(t *testing.T) {
+// TestReferenceIsComplete checks that docs/settings.md has a row for each key and no row
+// for a key that does not exist.
+func TestReferenceIsComplete(t *testing.T) {
 	i := is.New(t)
 	data, err := os.ReadFile("../../docs/settings.md")
 	i.NoErr(err)
@@ -46,5 +47,5 @@
 		}
 		delete(rows, key)
 	}
-	i.Equal(len(rows), 0) // rows of keys that are gone
+	i.Equal(len(rows), 0) // rows of keys that do not exist
 }
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -7,39 +7,39 @@
 	"strings"
 )
 
-// Code names what is wrong with one setting.
+// Code is the kind of a fault.
 type Code string
 
 const (
-	// CodeSyntax is text that is no TOML; what follows it was not read.
+	// CodeSyntax is text that is not valid TOML; the text after it was not read.
 	CodeSyntax Code = "syntax"
-	// CodeUnreadable is a file that can't be read.
+	// CodeUnreadable is a file that could not be read.
 	CodeUnreadable Code = "unreadable"
-	// CodeUnknownKey is a key that no setting has.
+	// CodeUnknownKey is a key that is not a setting.
 	CodeUnknownKey Code = "unknownKey"
-	// CodeWrongType is a value of another type than the setting's.
+	// CodeWrongType is a value whose type differs from the setting's type.
 	CodeWrongType Code = "wrongType"
-	// CodeBadUnit is a duration without a unit, or with one that is not known.
+	// CodeBadUnit is a duration without a unit or with an unknown unit.
 	CodeBadUnit Code = "badUnit"
-	// CodeNotAllowed is a value outside of what the setting allows.
+	// CodeNotAllowed is a value that the setting does not allow.
 	CodeNotAllowed Code = "notAllowed"
-	// CodeBadAddress is text that is no IP:port or URL.
+	// CodeBadAddress is text that is not a valid IP:port or URL.
 	CodeBadAddress Code = "badAddress"
-	// CodeMissing is a setting that the role needs and the file lacks.
+	// CodeMissing is a setting that the role needs and that is not set.
 	CodeMissing Code = "missing"
-	// CodeClash is two settings that can't both hold.
+	// CodeClash is a setting that contradicts another setting.
 	CodeClash Code = "clash"
-	// CodeDuplicate is a name that is given twice.
+	// CodeDuplicate is a value that must be unique and occurs twice.
 	CodeDuplicate Code = "duplicate"
-	// CodeUnknownName is a reference to a name that is defined nowhere.
+	// CodeUnknownName is a reference to an undefined name.
 	CodeUnknownName Code = "unknownName"
 )
 
 // Error is one fault of a settings file, a flag or an environment variable.
 type Error struct {
-	// Source is the file, or the flag or variable that set the key.
+	// Source is the file, or the flag and environment variable that set the key.
 	Source string
-	// Line counts from 1; it is 0 if the source is no file.
+	// Line counts from 1; it is 0 if the fault has no line.
 	Line int
 	// Key is the path of the setting, such as "caller.listen".
 	Key  string
@@ -64,12 +64,12 @@
 	return b.String()
 }
 
-// Errors holds every fault that was found, in the order of their lines.
+// Errors lists every fault, ordered by source and line.
 type Errors struct {
 	List []*Error
 }
 
-// Error implements error, with one fault a line.
+// Error implements error; it returns one line for each fault.
 func (e *Errors) Error() string {
 	lines := make([]string, len(e.List))
 	for i, fault := range e.List {
@@ -78,7 +78,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the faults one by one.
+// Unwrap returns the individual faults.
 func (e *Errors) Unwrap() []error {
 	list := make([]error, len(e.List))
 	for i, fault := range e.List {
@@ -87,14 +87,14 @@
 	return list
 }
 
-// faults collects errors, each at the place of its key.
+// faults collects errors, each with the source and line of its key.
 type faults struct {
 	origin *origin
 	list   []*Error
 }
 
 func (f *faults) add(key string, code Code, format string, a ...any) {
-	source, line := f.origin.place(key)
+	source, line := f.origin.locate(key)
 	f.list = append(f.list, &Error{
 		Source: source, Line: line, Key: key, Code: code, Detail: fmt.Sprintf(format, a...),
 	})
--- a/internal/settings/examples_test.go
+++ b/internal/settings/examples_test.go
@@ -9,7 +9,7 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-func TestExamplesAreWhole(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	examples := map[string]settings.Role{
 		"lintang.toml":              settings.RoleDev,
 		"association.toml":          settings.RoleDev,
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -8,20 +8,20 @@
 	"github.com/peterbourgon/ff/v4"
 )
 
-// EnvironmentPrefix begins the names of environment variables: node.name is
-// also ORIOLEBEND_NODE_NAME. Give it to ff.WithEnvVarPrefix.
+// EnvironmentPrefix is the prefix of the environment variables, for ff.WithEnvVarPrefix:
+// ORIOLEBEND_NODE_NAME sets node.name.
 const EnvironmentPrefix = "ORIOLEBEND"
 
-// Overrides are the settings that can also be given as flags or environment
-// variables. A flag goes before a variable, a variable before the file, and
-// the file before the documented default.
+// Overrides holds the settings that can also be given as flags or environment variables.
+// A flag takes precedence over a variable, a variable over the file, and the file over
+// the documented default.
 type Overrides struct {
 	// Path is the value of --settings; empty means the default settings.
-	Path  string
-	flags []*override
+	Path      string
+	overrides []*override
 }
 
-// override is one key that a flag named after it sets.
+// override is a key that can be set by the flag of the same name.
 type override struct {
 	key    string
 	usage  string
@@ -46,9 +46,9 @@
 	}
 }
 
-// Flags adds --settings and the overriding flags to a flag set. Each flag has
-// the name of its key. With no keys given all that can be overridden are
-// added; a key that can't be panics, as it is a mistake in the program.
+// Flags adds --settings and a flag for each of the given keys to a flag set; without keys
+// it adds a flag for every key that can be overridden. Each flag has the name of its key.
+// Flags panics if a key can't be overridden, because that is a programming error.
 func Flags(fs *ff.FlagSet, keys ...string) *Overrides {
 	o := &Overrides{}
 	fs.StringVar(&o.Path, 's', "settings", "", "settings `FILE` in TOML")
@@ -57,22 +57,22 @@
 			continue
 		}
 		f.flag = fs.StringVar(&f.value, 0, f.key, "", fmt.Sprintf("%s ($%s)", f.usage, EnvironmentName(f.key)))
-		o.flags = append(o.flags, f)
+		o.overrides = append(o.overrides, f)
 	}
-	if len(keys) > 0 && len(o.flags) != len(keys) {
+	if len(keys) > 0 && len(o.overrides) != len(keys) {
 		panic(fmt.Sprintf("settings: some of the keys %q can't be flags", keys))
 	}
 	return o
 }
 
-// EnvironmentName is the environment variable that sets a key.
+// EnvironmentName returns the name of the environment variable that sets a key.
 func EnvironmentName(key string) string {
 	return EnvironmentPrefix + "_" + strings.ToUpper(strings.NewReplacer(".", "_", "-", "_").Replace(key))
 }
 
-// Apply writes what flags and variables set over the settings.
+// Apply overwrites settings with the values of flags and environment variables.
 func (o *Overrides) Apply(s *Settings) {
-	for _, f := range o.flags {
+	for _, f := range o.overrides {
 		if !f.flag.IsSet() {
 			continue
 		}
@@ -84,9 +84,8 @@
 	}
 }
 
-// Load reads the settings file, or the default settings if none is named,
-// applies the overrides and checks the whole for a role. The error is an
-// *Errors with all faults.
+// Load reads the settings file, or the default settings if no file is named, applies the
+// overrides and checks the settings for a role. The error is an *Errors with all faults.
 func (o *Overrides) Load(role Role) (Settings, error) {
 	read := Default
 	if o.Path != "" {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -13,7 +13,7 @@
 //go:embed default.toml
 var defaultFile []byte
 
-// DefaultName is the source that faults of the default settings name.
+// DefaultName is the source named by faults in the default settings.
 const DefaultName = "default.toml"
 
 // Load reads and parses a settings file; see Parse.
@@ -29,15 +29,15 @@
 	return Parse(path, data)
 }
 
-// Default returns the settings of a small site on one machine, for dev.
+// Default returns the default settings of dev: a small site on one machine.
 func Default() (Settings, error) {
 	return Parse(DefaultName, defaultFile)
 }
 
-// Parse reads settings from the text of a file whose name is given for
-// messages. The error is an *Errors with all faults that hold for every role;
-// Check finds them again together with those of one role. What could be read
-// is returned beside an error.
+// Parse parses the text of a settings file; the name is used in messages only. The error
+// is an *Errors with the faults that apply to every role. Check reports them again,
+// together with the faults for one role. The settings that could be read are returned
+// even with an error.
 func Parse(name string, data []byte) (Settings, error) {
 	o := newOrigin(name)
 	o.index(data)
@@ -47,7 +47,7 @@
 	if err := toml.Unmarshal(data, &tree); err != nil {
 		f.syntax(err)
 	} else {
-		shape{faults: &f}.table("", tree, reflect.TypeFor[Settings]())
+		shapeChecker{faults: &f}.table("", tree, reflect.TypeFor[Settings]())
 		f.decode(tree, &s)
 	}
 	o.faults = f.list
@@ -63,9 +63,8 @@
 	}
 }
 
-// decode turns a tree of the right shape into settings. Strict decoding stands
-// behind the shape's own checks: were these to let a key through, it would
-// be refused here and not ignored.
+// decode decodes a tree that shapeChecker has accepted. Strict decoding is a second check:
+// an unknown key that shapeChecker missed is refused here instead of ignored.
 func (f *faults) decode(tree map[string]any, s *Settings) {
 	text, err := toml.Marshal(tree)
 	if err == nil {
--- a/internal/settings/origin.go
+++ b/internal/settings/origin.go
@@ -7,15 +7,15 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// origin remembers where each setting came from, so that faults which are
-// found after decoding still name their line.
+// origin records the source of each setting, so that faults that are found after decoding
+// can name their line.
 type origin struct {
 	name string
 	// lines maps the path of a key or table to its line.
 	lines map[string]int
 	// overrides maps the path of a key to the flag that set it.
 	overrides map[string]string
-	// faults are those that were found while reading.
+	// faults are the faults that were found while parsing.
 	faults []*Error
 }
 
@@ -23,9 +23,9 @@
 	return &origin{name: name, lines: map[string]int{}, overrides: map[string]string{}}
 }
 
-// place returns the source and line of a key, or of the nearest table around
-// it; a key whose tables are all missing is placed on line 1.
-func (o *origin) place(key string) (source string, line int) {
+// locate returns the source and line of a key, or of the innermost table around it that is
+// present; for a key whose tables are all missing it returns line 1.
+func (o *origin) locate(key string) (source string, line int) {
 	if o == nil {
 		return "settings", 0
 	}
@@ -40,7 +40,7 @@
 	return o.name, 1
 }
 
-// parentPath cuts the last key or index off a path.
+// parentPath returns a path without its last key or index.
 func parentPath(path string) string {
 	return path[:max(strings.LastIndexAny(path, ".["), 0)]
 }
@@ -56,8 +56,8 @@
 	return fmt.Sprintf("%s[%d]", path, i)
 }
 
-// index fills the lines from the text of a file. It stops silently where the
-// text is no TOML; the decoder reports that.
+// index records the line of every key of a file. It stops without an error at invalid
+// TOML; the decoder reports that.
 func (o *origin) index(data []byte) {
 	x := indexer{origin: o, counts: map[string]int{}}
 	x.parser.Reset(data)
@@ -84,8 +84,8 @@
 	line   int
 }
 
-// keys records each step of a dotted key and returns the whole path. A step
-// that is an array of tables means its last element.
+// keys records each part of a dotted key and returns the full path. A part that is an
+// array of tables refers to its last element.
 func (x *indexer) keys(path string, node *unstable.Node) string {
 	keys := node.Key()
 	for keys.Next() {
@@ -105,7 +105,7 @@
 	}
 }
 
-// element begins the next element of an array of tables.
+// element records the next element of an array of tables and returns its path.
 func (x *indexer) element(path string) string {
 	element := elementPath(path, x.counts[path])
 	x.counts[path]++
--- a/internal/settings/parse_test.go
+++ b/internal/settings/parse_test.go
@@ -24,16 +24,16 @@
 	i.Equal(one, faults.List[0])
 }
 
-func TestValuesArrive(t *testing.T) {
+func TestValuesAreDecoded(t *testing.T) {
 	i := is.New(t)
 	s, err := settings.Parse("f.toml", []byte("[policy]\nlease = \"1.5s\"\n[[organisations]]\nname = \"a\"\nshare = 2\n"))
 	i.NoErr(err)
 	i.Equal(s.Policy.Lease.Or(0), 1500*time.Millisecond)
 	i.Equal(s.Policy.KeepAnswers.Or(time.Hour), time.Hour)
-	i.Equal(s.Organisations[0].Share, 2.0) // a whole number where a fraction may stand
+	i.Equal(s.Organisations[0].Share, 2.0) // an integer is accepted for a float
 }
 
-// Flag goes before variable, variable before file.
+// TestPrecedence checks that a flag overrides a variable, and a variable the file.
 func TestPrecedence(t *testing.T) {
 	i := is.New(t)
 	path := filepath.Join(t.TempDir(), "f.toml")
@@ -46,14 +46,15 @@
 	args := []string{"--settings", path, "--node.name", "flag"}
 	i.NoErr(ff.Parse(fs, args, ff.WithEnvVarPrefix(settings.EnvironmentPrefix)))
 	s, err := o.Load(settings.RoleControl)
-	i.True(err != nil) // much is missing, but what is there was applied
+	i.True(err != nil) // many settings are missing, but the given ones were applied
 	i.Equal(s.Node.Name, "flag")
 	i.Equal(s.Log.Level, "debug")
 	i.Equal(s.Control.DataFolder, "/variable")
 	i.Equal(s.Node.Region, "file")
 }
 
-// A bad value from a flag names the flag and not a line of the file.
+// TestBadFlag checks that a fault in the value of a flag names the flag, not a line of
+// the file.
 func TestBadFlag(t *testing.T) {
 	i := is.New(t)
 	fs := ff.NewFlagSet("test")
@@ -71,8 +72,8 @@
 	i.True(len(s.Dev.Servers) > 0)
 }
 
-// Symptom: a damaged file ends the process with a stack trace. Cause: the
-// index of lines reads text that the decoder refuses.
+// FuzzParse guards against a panic on a damaged file. The line index parses text that the
+// decoder refuses.
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"default.toml", "../../examples/lintang.toml", "../../examples/production/control.toml"} {
 		data, err := os.ReadFile(name)
--- a/internal/settings/role.go
+++ b/internal/settings/role.go
@@ -20,11 +20,11 @@
 // Roles lists every role.
 var Roles = []Role{RoleEntry, RoleForwarder, RoleSidecar, RoleControl, RoleDev}
 
-// minTokenLength is how long a token outside of dev must be: shorter ones can
-// be guessed.
+// minTokenLength is the minimum length of a token outside of dev. Shorter tokens can be
+// guessed.
 const minTokenLength = 16
 
-// RoleOf tells for which role a file was most likely written.
+// RoleOf returns the role that a settings file was most likely written for.
 func RoleOf(s Settings) Role {
 	switch {
 	case len(s.Dev.Servers) > 0:
@@ -40,8 +40,8 @@
 	}
 }
 
-// Check finds all faults of the settings for one role, those that Parse found
-// included. The error is an *Errors.
+// Check checks the settings for one role. The error is an *Errors with all faults,
+// including those that Parse reported.
 func Check(role Role, s Settings) error {
 	f := faults{origin: s.origin}
 	if s.origin != nil {
@@ -58,7 +58,7 @@
 	case RoleControl:
 		f.controlRole(s)
 	case RoleDev:
-		f.devRoleItself(s)
+		f.devRole(s)
 	default:
 		names := make([]string, len(Roles))
 		for i, r := range Roles {
@@ -69,7 +69,7 @@
 	return f.err()
 }
 
-// process checks what every role outside of dev needs.
+// process checks the settings that every role except dev needs.
 func (f *faults) process(s Settings) {
 	f.required("node.name", s.Node.Name)
 	f.required("node.region", s.Node.Region)
@@ -84,11 +84,12 @@
 	if len(s.Control.Members) == 0 && len(s.Control.Seeds) == 0 {
 		f.missing("control.members", "is missing; list every control VM under [[control.members]]")
 	}
-	f.closed("caller.open", s.Caller.Open)
-	f.closed("operator.open", s.Operator.Open)
+	f.notOpen("caller.open", s.Caller.Open)
+	f.notOpen("operator.open", s.Operator.Open)
 }
 
-// listen demands an address with a port that peers and balancers can know.
+// listen requires an address with a fixed port, which peers and load balancers can be
+// configured with.
 func (f *faults) listen(key, value string) {
 	f.required(key, value)
 	if address, err := netip.ParseAddrPort(value); err == nil && address.Port() == 0 {
@@ -96,8 +97,8 @@
 	}
 }
 
-// closed keeps the doors without tokens to dev.
-func (f *faults) closed(key string, open bool) {
+// notOpen refuses access without a token, which only dev may allow.
+func (f *faults) notOpen(key string, open bool) {
 	if open {
 		f.add(key, CodeNotAllowed, "only dev may let callers in without a token")
 	}
@@ -156,9 +157,9 @@
 	f.ownMember(s)
 }
 
-// ownMember demands that a control VM is listed among the members under its
-// name and port: the others would send its messages elsewhere, and it would
-// wait for a quorum that never counts it.
+// ownMember requires that a control VM is listed among the members with its name, address
+// and failure domain. Otherwise the other control VMs would send messages for it to
+// another address, and it would wait for a quorum that never includes it.
 func (f *faults) ownMember(s Settings) {
 	if s.Node.Name == "" || len(s.Control.Members) == 0 {
 		return
@@ -183,8 +184,8 @@
 	}
 }
 
-// reaches reports whether what is sent to one address arrives at a listener
-// on the other. Malformed addresses are reported elsewhere.
+// reaches reports whether messages sent to address arrive at a listener on listen. It
+// returns true for malformed addresses, which are reported elsewhere.
 func reaches(address, listen string) bool {
 	to, errTo := netip.ParseAddrPort(address)
 	at, errAt := netip.ParseAddrPort(listen)
@@ -194,8 +195,9 @@
 	return to.Port() == at.Port() && (to.Addr() == at.Addr() || at.Addr().IsUnspecified())
 }
 
-// devRoleItself checks what dev needs beside its stand-ins.
-func (f *faults) devRoleItself(s Settings) {
+// devRole requires at least one stand-in. The faults of individual stand-ins are found by
+// dev.
+func (f *faults) devRole(s Settings) {
 	if len(s.Dev.Servers) == 0 {
 		f.missing("dev.servers", "is missing; describe the stand-ins under [[dev.servers]]")
 	}
--- a/internal/settings/script_test.go
+++ b/internal/settings/script_test.go
@@ -9,10 +9,9 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-// TestBadFiles reads cases from testdata/bad: each is a settings file and the
-// faults that are reported for it. "parse" checks what holds for every role;
-// "check role=R" adds what that role needs, and "only=KEY" shows the faults of
-// keys that begin so.
+// TestBadFiles runs the cases in testdata/bad: each is a settings file and the faults that
+// are reported for it. "parse" reports the faults for every role, "check role=R" adds those
+// for one role, and "only=KEY" limits the output to keys with that prefix.
 func TestBadFiles(t *testing.T) {
 	datadriven.Walk(t, "testdata/bad", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -28,7 +27,7 @@
 	})
 }
 
-// faultsOf writes each fault with its code.
+// faultsOf formats each fault with its code.
 func faultsOf(err error, only string) string {
 	if err == nil {
 		return "ok\n"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,12 +1,11 @@
-// Package settings reads and checks the TOML settings of every role. All
-// errors are found at once, each with its file and line, before a process
-// listens anywhere.
+// Package settings reads and checks the TOML settings of every role. It reports all
+// errors at once, each with its file and line, before a process opens a port.
 package settings
 
 import "github.com/oriolebend/oriolebend/pkg/oriolebend"
 
-// Settings is one process's settings file. Each role reads the tables it
-// needs; the others may be left out.
+// Settings is the content of a process's settings file. Each role reads the tables that
+// it needs; the other tables may be omitted.
 type Settings struct {
 	Node          Node           `toml:"node"`
 	Log           Log            `toml:"log"`
@@ -24,38 +23,38 @@
 	Services      []ServiceRoute `toml:"services"`
 	Dev           Dev            `toml:"dev"`
 
-	// origin tells where each setting came from; nil for settings that were
-	// not read from a file.
+	// origin records the source of each setting; it is nil for settings that were not
+	// read from a file.
 	origin *origin
 }
 
-// Node says which process this is and where it stands.
+// Node identifies this process and its location.
 type Node struct {
 	Name          string `toml:"name"`
 	Region        string `toml:"region"`
 	FailureDomain string `toml:"failureDomain"`
-	// MemoryMB is what the process may use; its garbage is collected more
-	// often as it comes near. Zero means no bound.
+	// MemoryMB is the memory limit of the process; garbage is collected more often as
+	// the memory in use approaches it. Zero means no limit.
 	MemoryMB int `toml:"memoryMB"`
-	// MaxHeldBytes bounds the bodies of requests and answers that the process holds for
-	// others, all together; zero means 0.3 of memoryMB, or 64 MiB without it.
+	// MaxHeldBytes bounds the total size of the bodies of requests and answers that the
+	// process holds for others; zero means 0.3 of memoryMB, or 64 MiB without memoryMB.
 	MaxHeldBytes int64 `toml:"maxHeldBytes"`
 }
 
 const (
-	// heldShare leaves the rest of the memory to the program, its connections, what it knows
-	// of the fleet, and what the collector has not yet freed.
+	// heldShare is the part of the memory for held bodies. The rest is for the program, its
+	// connections, its state of the fleet, and garbage that has not been collected yet.
 	heldShare        = 0.3
 	defaultHeldBytes = 64 << 20
 	// connectionShare is the part of the memory for callers' connections, connectionBytes
-	// what an idle one takes: its goroutines, buffers and socket.
+	// the size of an idle connection: its goroutines, buffers and socket.
 	connectionShare = 0.25
 	connectionBytes = 20 << 10
-	// mostConnections is under the 4,096 descriptors that small VMs allow.
-	mostConnections = 3000
+	// maxDefaultConnections is below the 4,096 file descriptors that small VMs allow.
+	maxDefaultConnections = 3000
 )
 
-// HeldBytes is how many bytes of bodies the process holds at most.
+// HeldBytes returns the bound on the bytes of bodies that the process holds.
 func (n Node) HeldBytes() int64 {
 	switch {
 	case n.MaxHeldBytes > 0:
@@ -66,17 +65,17 @@
 	return defaultHeldBytes
 }
 
-// Connections is how many connections of callers the process has room for.
+// Connections returns how many callers' connections fit into the memory of the process.
 func (n Node) Connections() int {
 	if n.MemoryMB == 0 {
-		return mostConnections
+		return maxDefaultConnections
 	}
-	return min(mostConnections, int(connectionShare*float64(n.bytes()))/connectionBytes)
+	return min(maxDefaultConnections, int(connectionShare*float64(n.bytes()))/connectionBytes)
 }
 
 func (n Node) bytes() int64 { return int64(n.MemoryMB) << 20 }
 
-// Log sets what is logged and how.
+// Log sets the level and format of the log.
 type Log struct {
 	// Level is "debug", "info", "warn" or "error"; empty means "info".
 	Level string `toml:"level"`
@@ -84,59 +83,60 @@
 	Format string `toml:"format"`
 }
 
-// TLS names the files of this process's certificate and of the authority
-// that signed those of its peers.
+// TLS names the files with this process's certificate and key, and with the certificate
+// of the authority that signs the certificates of its peers.
 type TLS struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
 	Authority   string `toml:"authority"`
 }
 
-// Peer sets where the system's own processes reach this one.
+// Peer sets the address for the system's other processes and how they are authenticated.
 type Peer struct {
-	// Listen is an IP:port for UDP.
+	// Listen is the UDP address, IP:port.
 	Listen string `toml:"listen"`
-	// Trust says by what peers are believed; empty means "certificates".
+	// Trust is how peers are authenticated; empty means "certificates".
 	Trust PeerTrust `toml:"trust"`
 }
 
-// PeerTrust says by what the system's own processes believe each other.
+// PeerTrust is how the system's processes authenticate each other.
 type PeerTrust string
 
 const (
-	// TrustCertificates believes whom the authority of the tls table signed.
+	// TrustCertificates accepts peers with a certificate signed by the authority of the
+	// tls table.
 	TrustCertificates PeerTrust = "certificates"
-	// TrustNetwork believes every process that can reach the port. It is for
-	// networks that only the system's own processes can reach and where no
-	// keys can be handed out: who gets into such a network can take part in
-	// every decision.
+	// TrustNetwork accepts every process that can reach the port. It is for networks
+	// that only the system's own processes can reach and where no keys can be
+	// distributed. Anyone who gains access to such a network can take part in every
+	// decision.
 	TrustNetwork PeerTrust = "network"
 )
 
-// Forward sets the HTTP side towards callers of routes.
+// Forward sets the HTTP server for callers of routes.
 type Forward struct {
 	Listen string `toml:"listen"`
-	// MaxConnections bounds the callers' connections; zero means as many as node.memoryMB has
-	// room for, 3,000 at most.
+	// MaxConnections bounds the callers' connections; zero means as many as fit into
+	// node.memoryMB, but at most 3,000.
 	MaxConnections int `toml:"maxConnections"`
-	// StopDelay is how long a stopping process fails its balancer check before
-	// it closes idle connections; zero means 3s.
+	// StopDelay is how long a stopping process fails the load balancer's health check
+	// before it closes idle connections; zero means 3s.
 	StopDelay Duration `toml:"stopDelay"`
-	// StopWithin bounds a graceful stop; what is in progress then is cut. Zero
-	// means 30s.
+	// StopWithin bounds a graceful stop; requests still in progress are then cut off.
+	// Zero means 30s.
 	StopWithin Duration `toml:"stopWithin"`
-	// RetryShare and RetrySlack bound what all processes together send to a
-	// service again within RetryWindow: that share of the requests, and the
-	// slack besides. Zero means 0.2, 50 and 10s.
+	// RetryShare and RetrySlack bound the retries that all processes together send to a
+	// service within RetryWindow: RetryShare of the requests plus RetrySlack. Zero means
+	// 0.2, 50 and 10s.
 	RetryShare  float64  `toml:"retryShare"`
 	RetrySlack  float64  `toml:"retrySlack"`
 	RetryWindow Duration `toml:"retryWindow"`
 }
 
-// Caller sets the HTTP side towards callers.
+// Caller sets the HTTP server for callers of an entry.
 type Caller struct {
 	Listen string `toml:"listen"`
-	// MaxBodyBytes bounds a request's body; zero means 8 MiB.
+	// MaxBodyBytes bounds the body of a request; zero means 8 MiB.
 	MaxBodyBytes int64 `toml:"maxBodyBytes"`
 	// MaxHeldBytes bounds the bodies of all requests in progress; zero means
 	// node.maxHeldBytes.
@@ -145,55 +145,56 @@
 	MaxPromptTokens int `toml:"maxPromptTokens"`
 	// MaxOutputTokens bounds an output; zero means 4,096.
 	MaxOutputTokens int `toml:"maxOutputTokens"`
-	// HeaderTimeout and BodyTimeout end slow callers; zero means 5s and 30s.
+	// HeaderTimeout and BodyTimeout bound how long a caller may take to send the header
+	// and the body; zero means 5s and 30s.
 	HeaderTimeout Duration `toml:"headerTimeout"`
 	BodyTimeout   Duration `toml:"bodyTimeout"`
-	// StopDelay is how long /readyz fails before a stopping entry closes its
-	// port, so that the balancer looks away first; zero means 3s.
+	// StopDelay is how long /readyz fails before a stopping entry closes its port, so
+	// that the load balancer stops sending requests first; zero means 3s.
 	StopDelay Duration `toml:"stopDelay"`
 	// MaxConnections bounds the callers' connections; zero means 4,096.
 	MaxConnections int `toml:"maxConnections"`
-	// Open lets callers in without a token; only dev sets it.
+	// Open admits callers without a token; only dev may set it.
 	Open bool `toml:"open"`
 }
 
-// Operator sets the HTTP side towards operators, on control VMs.
+// Operator sets the HTTP server for operators on control VMs.
 type Operator struct {
 	Listen string   `toml:"listen"`
 	Tokens []string `toml:"tokens"`
-	// Open lets operators in without a token; only dev sets it.
+	// Open admits operators without a token; only dev may set it.
 	Open bool `toml:"open"`
 }
 
-// Metrics sets where metrics and health are served.
+// Metrics sets the address that serves metrics and health checks.
 type Metrics struct {
 	Listen string `toml:"listen"`
 }
 
-// Control names the control VMs and, on one of them, its own part.
+// Control names the control VMs and, on a control VM, holds its own settings.
 type Control struct {
 	// Members lists every control VM.
 	Members []Member `toml:"members"`
-	// DataFolder holds the log and snapshots; only control VMs set it.
+	// DataFolder is the folder for the log and snapshots; only control VMs set it.
 	DataFolder string `toml:"dataFolder"`
-	// Seeds are addresses of some control VMs, IP:port, in place of Members
-	// where nobody knows them all beforehand: the others join through them.
-	// Each control VM is then named by its IP.
+	// Seeds are the addresses, IP:port, of some control VMs. They replace Members where
+	// not all control VMs are known in advance: the others join through the seeds. Each
+	// control VM is then named by its IP.
 	Seeds []string `toml:"seeds"`
-	// SeedPort is the peer port of every control VM, if Seeds carry another
-	// port of theirs; zero means that they carry this one.
+	// SeedPort is the peer port of every control VM, if the addresses in Seeds carry a
+	// different port; zero means that they carry the peer port.
 	SeedPort int `toml:"seedPort"`
-	// Found is set on the first start of the whole system only: the seeds then
-	// found the group.
+	// Found makes the seeds found the group. It is set only on the first start of the
+	// whole system.
 	Found bool `toml:"found"`
-	// MinFreeBytes is how much room the disk must have for changes to be
-	// taken; zero means 64 MiB.
+	// MinFreeBytes is the free disk space below which changes are refused; zero means
+	// 64 MiB.
 	MinFreeBytes int64 `toml:"minFreeBytes"`
-	// LogBytes is how much log leads to a snapshot; zero means 64 MiB.
+	// LogBytes is the size of the log at which a snapshot is taken; zero means 64 MiB.
 	LogBytes int64 `toml:"logBytes"`
-	// QuotaOvershoot and QuotaSlack are by how much the quota of an organisation may be
-	// exceeded within QuotaWindow: by that share, and by the slack besides, in the unit of
-	// the quota. Without QuotaWindow they are 0.1, nothing and 8s.
+	// QuotaOvershoot and QuotaSlack bound by how much the quota of an organisation may be
+	// exceeded within QuotaWindow: by the share QuotaOvershoot plus QuotaSlack, in the unit
+	// of the quota. Without QuotaWindow they are 0.1, 0 and 8s.
 	QuotaOvershoot float64  `toml:"quotaOvershoot"`
 	QuotaSlack     float64  `toml:"quotaSlack"`
 	QuotaWindow    Duration `toml:"quotaWindow"`
@@ -204,12 +205,13 @@
 	Name          string `toml:"name"`
 	Address       string `toml:"address"`
 	FailureDomain string `toml:"failureDomain"`
-	// OperatorAddress is where operators reach it, IP:port; another control VM
-	// redirects orders there. Empty means that it tells them to try the next.
+	// OperatorAddress is the address, IP:port, of the operator API of this control VM;
+	// other control VMs redirect orders to it. If it is empty, they tell operators to try
+	// the next control VM.
 	OperatorAddress string `toml:"operatorAddress"`
 }
 
-// Sidecar sets what stands behind a gate: an engine or a plain service.
+// Sidecar sets the backend behind a gate: an engine or a plain service.
 type Sidecar struct {
 	// Server is the name of the backend server.
 	Server string `toml:"server"`
@@ -221,22 +223,20 @@
 	// ChecksFencing is true if the engine refuses orders that carry an old
 	// fencing number.
 	ChecksFencing bool `toml:"checksFencing"`
-	// Concurrency bounds the calls of a plain service in progress; zero means
-	// 64.
+	// Concurrency bounds the calls in progress at a plain service; zero means 64.
 	Concurrency int `toml:"concurrency"`
 }
 
-// Policy sets latency targets and limits of routing.
+// Policy sets latency targets and routing limits.
 type Policy struct {
 	// Route is "reserve", "random", "roundRobin", "leastLoad" or "affinity";
 	// empty means "reserve".
 	Route string `toml:"route"`
-	// FirstWithin is the target of the time to the first token; zero means
-	// 1.2s.
+	// FirstWithin is the target for the time to the first token; zero means 1.2s.
 	FirstWithin Duration `toml:"firstWithin"`
-	// BetweenWithin is the target of the time between tokens; zero means 41ms.
+	// BetweenWithin is the target for the time between tokens; zero means 41ms.
 	BetweenWithin Duration `toml:"betweenWithin"`
-	// Lease is how long a reservation lives unrenewed; zero means 3s.
+	// Lease is how long a reservation lasts without renewal; zero means 3s.
 	Lease Duration `toml:"lease"`
 	// KeepRecords is how long a settled record is kept; zero means 24h.
 	KeepRecords Duration `toml:"keepRecords"`
@@ -248,20 +248,20 @@
 type Organisation struct {
 	Name   string   `toml:"name"`
 	Tokens []string `toml:"tokens"`
-	// Share weighs the organisation in queues; zero means 1.
+	// Share is the weight of the organisation in queues; zero means 1.
 	Share float64 `toml:"share"`
-	// Operations lists what the organisation may ask for; empty means all.
+	// Operations lists the operations that the organisation may request; empty means all.
 	Operations []string `toml:"operations"`
-	// Urgencies lists what the organisation may ask for; empty means both.
+	// Urgencies lists the urgencies that the organisation may request; empty means both.
 	Urgencies []oriolebend.Urgency `toml:"urgencies"`
 }
 
-// Operation sets how requests of one name are treated. Callers name it in the
-// Oriolebend-Operation header; unnamed requests are "completion".
+// Operation sets how the requests of one operation are treated. Callers name the
+// operation in the Oriolebend-Operation header; requests without it are "completion".
 type Operation struct {
 	Name    string             `toml:"name"`
 	Urgency oriolebend.Urgency `toml:"urgency"`
-	// KeepRunning lets a request go on after its caller left.
+	// KeepRunning lets a request continue after its caller disconnected.
 	KeepRunning bool     `toml:"keepRunning"`
 	FirstWithin Duration `toml:"firstWithin"`
 }
@@ -272,16 +272,16 @@
 	Calls []CallRoute `toml:"calls"`
 }
 
-// CallRoute sets how calls of one method and path prefix are treated. Calls
-// that match none may run at most once.
+// CallRoute sets how calls with one method and path prefix are treated. Calls that match
+// no CallRoute may run at most once.
 type CallRoute struct {
 	Method string `toml:"method"`
 	Path   string `toml:"path"`
 	// Repeatable is true if the call may be run again after a failure.
 	Repeatable bool               `toml:"repeatable"`
 	Urgency    oriolebend.Urgency `toml:"urgency"`
-	// StatusPath is the call that tells the outcome of an earlier one by its
-	// identity; "{identity}" in it is replaced.
+	// StatusPath is the path of the call that returns the outcome of an earlier call.
+	// "{identity}" in the path is replaced by the identity of the earlier call.
 	StatusPath string `toml:"statusPath"`
 }
 
@@ -292,7 +292,7 @@
 	Servers  []DevServer `toml:"servers"`
 }
 
-// DevServer describes stand-in backend servers that are alike.
+// DevServer describes a set of identical stand-in backend servers.
 type DevServer struct {
 	// NamePrefix is followed by a number from 1.
 	NamePrefix     string              `toml:"namePrefix"`
@@ -303,14 +303,14 @@
 	Version        string              `toml:"version"`
 	Adapters       []string            `toml:"adapters"`
 	Service        string              `toml:"service"`
-	// PrefillTokens is how many prompt tokens a second a prefill computes;
-	// zero means 20,000.
+	// PrefillTokens is how many prompt tokens a prefill computes per second; zero means
+	// 20,000.
 	PrefillTokens float64 `toml:"prefillTokens"`
 	// DecodeStep is the time between output tokens; zero means 25ms.
 	DecodeStep Duration `toml:"decodeStep"`
 	// KVTokens is the size of the KV memory in tokens; zero means 160,000.
 	KVTokens int `toml:"kvTokens"`
-	// LinkBytes is the link's rate in bytes a second; zero means 2e9.
+	// LinkBytes is the bandwidth of the link in bytes per second; zero means 2e9.
 	LinkBytes float64 `toml:"linkBytes"`
 	// IgnoresFencing makes the engine accept outdated orders.
 	IgnoresFencing bool `toml:"ignoresFencing"`
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -11,16 +11,15 @@
 
 var durationType = reflect.TypeFor[Duration]()
 
-// shape compares decoded TOML with the types of the settings. It reports
-// every unknown key and wrong type, and removes them from the tree, so that
-// the rest can still be decoded and checked: the library's decoder stops at
-// the first fault.
-type shape struct {
+// shapeChecker compares decoded TOML with the types of the settings. It reports every
+// unknown key and wrong type and removes them from the tree, so that the rest can still
+// be decoded and checked. The library's decoder would stop at the first fault.
+type shapeChecker struct {
 	faults *faults
 }
 
 // table checks a table against a struct type.
-func (s shape) table(path string, tree map[string]any, t reflect.Type) {
+func (s shapeChecker) table(path string, tree map[string]any, t reflect.Type) {
 	fields := fieldsOf(t)
 	for _, key := range slices.Sorted(maps.Keys(tree)) {
 		at := joinPath(path, key)
@@ -39,8 +38,9 @@
 	}
 }
 
-// value checks a value against a type; it returns false if it doesn't fit.
-func (s shape) value(path string, value any, t reflect.Type) (any, bool) {
+// value checks a value against a type. It returns the value, converted if necessary, or
+// false if the value does not have the type.
+func (s shapeChecker) value(path string, value any, t reflect.Type) (any, bool) {
 	if t == durationType {
 		return value, s.duration(path, value)
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-func (s shape) float(path string, value any) (any, bool) {
+func (s shapeChecker) float(path string, value any) (any, bool) {
 	switch number := value.(type) {
 	case float64:
 		return number, true
@@ -79,21 +79,21 @@
 	}
 }
 
-func (s shape) slice(path string, value any, t reflect.Type) (any, bool) {
+func (s shapeChecker) slice(path string, value any, t reflect.Type) (any, bool) {
 	list, ok := value.([]any)
 	if !ok {
 		return nil, s.wrongType(path, value, "a list")
 	}
 	kept := make([]any, 0, len(list))
 	for i, element := range list {
-		if fitting, ok := s.value(elementPath(path, i), element, t); ok {
-			kept = append(kept, fitting)
+		if converted, ok := s.value(elementPath(path, i), element, t); ok {
+			kept = append(kept, converted)
 		}
 	}
 	return kept, len(kept) == len(list)
 }
 
-func (s shape) duration(path string, value any) bool {
+func (s shapeChecker) duration(path string, value any) bool {
 	text, ok := value.(string)
 	if !ok {
 		return s.wrongType(path, value, `a duration with its unit as text, such as "1.2s" or "41ms"`)
@@ -105,7 +105,7 @@
 	return true
 }
 
-func (s shape) wrongType(path string, value any, want string) bool {
+func (s shapeChecker) wrongType(path string, value any, want string) bool {
 	s.faults.add(path, CodeWrongType, "got %s; allowed is %s", describe(value), want)
 	return false
 }
--- a/internal/settings/suggest.go
+++ b/internal/settings/suggest.go
@@ -5,34 +5,34 @@
 	"strings"
 )
 
-// nearMiss is the largest number of edits at which a name is suggested; short
-// names allow fewer, or every other short name would be a suggestion.
-const nearMiss = 2
+// maxSuggestionDistance is the largest edit distance at which a name is suggested. For
+// short names the limit is lower, because otherwise every other short name would match.
+const maxSuggestionDistance = 2
 
-// allowed says which names may stand in place of one that is not known, and
-// which of them was probably meant.
-func allowed(got string, names []string) string {
+// allowed lists the allowed names in place of an unknown one, and the name that was
+// probably meant.
+func allowed(unknown string, names []string) string {
 	list := "allowed are " + strings.Join(names, ", ")
-	if near := suggest(got, names); near != "" {
+	if near := suggest(unknown, names); near != "" {
 		return fmt.Sprintf("did you mean %q? %s", near, list)
 	}
 	return list
 }
 
-// suggest returns the nearest name, or "" if none is near.
-func suggest(got string, names []string) string {
-	best, bound := "", min(nearMiss, (len(got)+1)/2)+1
+// suggest returns the most similar name, or "" if none is similar enough.
+func suggest(unknown string, names []string) string {
+	best, bound := "", min(maxSuggestionDistance, (len(unknown)+1)/2)+1
 	for _, name := range names {
-		if d := distance(strings.ToLower(got), strings.ToLower(name)); d < bound {
+		if d := editDistance(strings.ToLower(unknown), strings.ToLower(name)); d < bound {
 			best, bound = name, d
 		}
 	}
 	return best
 }
 
-// distance counts the insertions, deletions and replacements of a byte that
+// editDistance returns the number of insertions, deletions and replacements of a byte that
 // turn a into b.
-func distance(a, b string) int {
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
