--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -71,12 +71,12 @@
 }
 
 func (m *Metrics) registerCounters() {
-	for event, definition := range reasonCounters {
+	for name, definition := range reasonCounters {
 		vec := m.counter(definition.Name, definition.Help, "reason")
 		for _, reason := range oriolebend.Reasons() {
 			vec.WithLabelValues(string(reason))
 		}
-		m.byReason[event] = vec
+		m.byReason[name] = vec
 	}
 	m.events = m.counter("events_total", "Events that need no action, by kind; see docs/OPERATING.md.", "event")
 	for _, event := range events {
@@ -89,7 +89,7 @@
 }
 
 func (m *Metrics) registerMeasures() {
-	for measure, definition := range measures {
+	for name, definition := range measures {
 		vec := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: definition.Name, Help: definition.Help, Buckets: definition.Buckets,
 		}, []string{"urgency"})
@@ -97,7 +97,7 @@
 		for _, urgency := range urgencies {
 			vec.WithLabelValues(string(urgency))
 		}
-		m.measures[measure] = vec
+		m.measures[name] = vec
 	}
 }
 
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -171,8 +171,8 @@
 		f.required(joinPath(path, "failureDomain"), m.FailureDomain)
 		f.address(joinPath(path, "address"), m.Address)
 		f.address(joinPath(path, "operatorAddress"), m.OperatorAddress)
-		names.add(joinPath(path, "name"), m.Name)
-		addresses.add(joinPath(path, "address"), m.Address)
+		names.check(joinPath(path, "name"), m.Name)
+		addresses.check(joinPath(path, "address"), m.Address)
 	}
 	if len(members) > maxMembers {
 		f.add("control.members", CodeNotAllowed, "%d control VMs; allowed are 1 to %d", len(members), maxMembers)
@@ -204,10 +204,10 @@
 	for i, o := range s.Organisations {
 		path := elementPath("organisations", i)
 		f.required(joinPath(path, "name"), o.Name)
-		names.add(joinPath(path, "name"), o.Name)
+		names.check(joinPath(path, "name"), o.Name)
 		atLeast(f, joinPath(path, "share"), o.Share, 0)
 		for j, token := range o.Tokens {
-			tokens.add(elementPath(joinPath(path, "tokens"), j), token)
+			tokens.check(elementPath(joinPath(path, "tokens"), j), token)
 		}
 		for j, name := range o.Operations {
 			f.enum(elementPath(joinPath(path, "operations"), j), name, operations)
@@ -239,7 +239,7 @@
 	for i, o := range list {
 		path := elementPath("operations", i)
 		f.required(joinPath(path, "name"), o.Name)
-		names.add(joinPath(path, "name"), o.Name)
+		names.check(joinPath(path, "name"), o.Name)
 		f.enum(joinPath(path, "urgency"), string(o.Urgency), urgencies)
 		atLeast(f, joinPath(path, "firstWithin"), o.FirstWithin, 0)
 	}
@@ -250,7 +250,7 @@
 	for i, s := range list {
 		path := elementPath("services", i)
 		f.required(joinPath(path, "name"), s.Name)
-		names.add(joinPath(path, "name"), s.Name)
+		names.check(joinPath(path, "name"), s.Name)
 		f.calls(joinPath(path, "calls"), s.Calls)
 	}
 }
@@ -267,7 +267,7 @@
 		if c.StatusPath != "" && !strings.Contains(c.StatusPath, identityPlaceholder) {
 			f.add(joinPath(path, "statusPath"), CodeNotAllowed, "%q asks for no operation; allowed is a path with %s in it", c.StatusPath, identityPlaceholder)
 		}
-		routes.add(joinPath(path, "path"), c.Method+" "+c.Path)
+		routes.check(joinPath(path, "path"), c.Method+" "+c.Path)
 	}
 }
 
@@ -310,8 +310,8 @@
 	return &unique{faults: f, kind: kind, seen: map[string]string{}}
 }
 
-// add reports a fault if an earlier key has the same value.
-func (u *unique) add(key, value string) {
+// check reports a fault if an earlier key has the same value.
+func (u *unique) check(key, value string) {
 	if value == "" {
 		return
 	}
--- a/internal/settings/dev.go
+++ b/internal/settings/dev.go
@@ -18,7 +18,7 @@
 	for i, server := range s.Dev.Servers {
 		path := elementPath("dev.servers", i)
 		f.required(joinPath(path, "namePrefix"), server.NamePrefix)
-		prefixes.add(joinPath(path, "namePrefix"), server.NamePrefix)
+		prefixes.check(joinPath(path, "namePrefix"), server.NamePrefix)
 		f.devServer(path, server)
 		f.devServerRole(path, server, s.Services)
 	}
@@ -36,7 +36,7 @@
 	}
 	adapters := f.unique("adapter")
 	for i, adapter := range s.Adapters {
-		adapters.add(elementPath(joinPath(path, "adapters"), i), adapter)
+		adapters.check(elementPath(joinPath(path, "adapters"), i), adapter)
 	}
 }
 
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -17,8 +17,8 @@
 // the documented default.
 type Overrides struct {
 	// Path is the value of --settings; empty means the default settings.
-	Path      string
-	overrides []*override
+	Path string
+	list []*override
 }
 
 // override is a key that can be set by the flag of the same name.
@@ -57,9 +57,9 @@
 			continue
 		}
 		f.flag = fs.StringVar(&f.value, 0, f.key, "", fmt.Sprintf("%s ($%s)", f.usage, EnvironmentName(f.key)))
-		o.overrides = append(o.overrides, f)
+		o.list = append(o.list, f)
 	}
-	if len(keys) > 0 && len(o.overrides) != len(keys) {
+	if len(keys) > 0 && len(o.list) != len(keys) {
 		panic(fmt.Sprintf("settings: some of the keys %q can't be flags", keys))
 	}
 	return o
@@ -72,7 +72,7 @@
 
 // Apply overwrites settings with the values of flags and environment variables.
 func (o *Overrides) Apply(s *Settings) {
-	for _, f := range o.overrides {
+	for _, f := range o.list {
 		if !f.flag.IsSet() {
 			continue
 		}
