--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -11,8 +11,8 @@
 
 const pageFile = "../../docs/CAPACITY.md"
 
-// A figure in the page that no longer follows from the slopes misleads who
-// plans by it.
+// TestPageFollowsFromTheSlopes checks the figures of the page. A figure that does not follow
+// from the slopes would mislead capacity planning.
 func TestPageFollowsFromTheSlopes(t *testing.T) {
 	is := is.New(t)
 	data, err := Load()
@@ -71,13 +71,13 @@
 	}
 }
 
-func TestSlopesAndSumsFitTogether(t *testing.T) {
+func TestSlopesMatchTables(t *testing.T) {
 	is := is.New(t)
 	data, err := Load()
 	is.NoErr(err)
 	for _, s := range data.Slopes {
 		_, known := data.Commands[s.Command]
-		is.True(known) // each slope has a command to measure it again
+		is.True(known) // each slope has a command that repeats its measurement
 	}
 	without, with := data, data
 	without.Slopes = data.Slopes[1:]
--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// control is the table of a control VM, leading or not.
+// control returns the table of the costs of the leading control VM or of another one.
 func (s *sums) control(leads bool) Table {
 	c := &costs{table: Table{Name: "controlFollower", Head: roleHead}}
 	if leads {
@@ -24,7 +24,7 @@
 	for _, m := range memory {
 		heap += m.value
 	}
-	c.group("memory", size, 0, append(memory, cost{"room that the collector takes", "the heap once more", heap * (collector - 1), "GOGC's default"})...)
+	c.group("memory", size, 0, append(memory, cost{"room that the collector takes", "the heap once more", heap * (heapGrowth - 1), "GOGC's default"})...)
 
 	cpu := []cost{
 		{"ticks, agreement, confirmations", "controlRest's fixed part / 3", s.line("controlRest").Fixed / benchControls, "one confirmation a second, for all followers together"},
@@ -69,32 +69,35 @@
 	return c.table
 }
 
-// The benchmark tells what three control VMs spend together on a request. Its
-// split between the leader and the two others is taken, not measured.
+// The benchmark measures the processor time that three control VMs together spend on a
+// request. Its split between the leader and the two others is an assumption.
 const (
 	leaderShare   = 0.5
 	followerShare = 0.25
-	// writesPerRequest are a claim and an outcome.
+	// writesPerRequest counts a claim and an outcome.
 	writesPerRequest = 2
-	// inFlight is how many log entries the leader has under way at a time.
+	// inFlight is how many log entries the leader replicates concurrently.
 	inFlight = 4
 )
 
-// entriesPerRequest is how many log entries a request takes, when the writes
-// that come during a round trip between regions share inFlight of them.
+// entriesPerRequest returns how many log entries a request takes if the writes that arrive
+// during a round trip between regions share inFlight entries.
 func (s *sums) entriesPerRequest() float64 {
 	group := max(1, writesPerRequest*s.Size.Requests*s.Choice.RegionRoundTrip/inFlight)
 	return writesPerRequest / group
 }
 
+// claimControl returns the processor time of the control VMs for the claim and outcome of
+// a request, in seconds.
 func (s *sums) claimControl() float64 { return s.at("claimControl", s.entriesPerRequest()) }
 
-// announcing is what announcing its server adds to a follower.
+// announcing returns the additional cost of a follower that announces a server: the slope
+// of sidecars less that of entries.
 func (s *sums) announcing(sidecars, entries string) float64 {
 	return max(0, s.each(sidecars)-s.each(entries))
 }
 
-// records compares the homes that request records may have.
+// records returns the table that compares alternative places to store request records.
 func (s *sums) records() Table {
 	t := Table{Name: "records", Head: []string{"", "one log (built)", "a log for each key range", "homes among the entries"}}
 	kept := s.recordsKept()
@@ -115,7 +118,8 @@
 	return t
 }
 
-// kv is what the prompts' KV cache means for links and placement.
+// kv returns the table of the load of KV transfers on links, and of its consequences for
+// placement.
 func (s *sums) kv() Table {
 	t := Table{Name: "kv", Head: []string{"figure", "sum", "value"}}
 	add := func(what, sum, value string) { t.Rows = append(t.Rows, []string{what, sum, value}) }
@@ -140,6 +144,7 @@
 	return t
 }
 
+// gigabits formats bytes per second as Gbit/s or Tbit/s.
 func gigabits(bytes float64) string {
 	if bits := bytes * 8; bits >= 1e12 {
 		return fmt.Sprintf("%.3g Tbit/s", bits/1e12)
--- a/internal/capacity/daemon.go
+++ b/internal/capacity/daemon.go
@@ -2,29 +2,32 @@
 
 import "fmt"
 
-// cost is one row of a role's table.
+// cost is one row of a role's table: a cost, its formula and value, and the mechanism that
+// causes it.
 type cost struct {
-	what, from string
-	value      float64
-	carrier    string
+	what, formula string
+	value         float64
+	mechanism     string
 }
 
-// costs builds a role's table: rows with sums under them.
+// costs builds the table of a role: groups of rows, each followed by its sum.
 type costs struct {
 	table Table
 }
 
-// group adds rows and their sum, with the budget beside it unless it is zero.
+// group adds rows and their sum, and compares the sum with the budget unless the budget is
+// zero. It returns the sum.
 func (c *costs) group(name string, format func(float64) string, budget float64, rows ...cost) float64 {
 	total := 0.0
 	for _, r := range rows {
 		total += r.value
-		c.table.Rows = append(c.table.Rows, []string{r.what, r.from, format(r.value), "", r.carrier})
+		c.table.Rows = append(c.table.Rows, []string{r.what, r.formula, format(r.value), "", r.mechanism})
 	}
 	c.sum(name, format, total, budget)
 	return total
 }
 
+// sum adds a row with a total and compares it with the budget unless the budget is zero.
 func (c *costs) sum(name string, format func(float64) string, total, budget float64) {
 	verdict := "none named"
 	if budget > 0 {
@@ -33,6 +36,7 @@
 	c.table.Rows = append(c.table.Rows, []string{"**" + name + "**", "", "**" + format(total) + "**", verdict, ""})
 }
 
+// entry returns the table of the costs of an entry.
 func (s *sums) entry() Table {
 	c := &costs{table: Table{Name: "entry", Head: roleHead}}
 	n := s.requestsPerEntry()
@@ -48,7 +52,7 @@
 	}
 	c.group("memory", size, s.Budget.Memory, append(live,
 		cost{"the process itself", "entryBase", s.one("entryBase"), "binary, runtime, pools"},
-		cost{"room that the collector takes", "the heap once more", heap * (collector - 1), "GOGC's default; GOMEMLIMIT bounds it"})...)
+		cost{"room that the collector takes", "the heap once more", heap * (heapGrowth - 1), "GOGC's default; GOMEMLIMIT bounds it"})...)
 
 	rest := c.group("bytes, without requests", rate, s.Budget.Bytes,
 		cost{"state confirmed, revision reported", "entryRestBytes", s.one("entryRestBytes"), "one watch of one control VM"},
@@ -80,6 +84,7 @@
 	return c.table
 }
 
+// sidecar returns the table of the costs of a sidecar.
 func (s *sums) sidecar() Table {
 	c := &costs{table: Table{Name: "sidecar", Head: roleHead}}
 	n := s.sessionsPerGate()
@@ -94,7 +99,7 @@
 	}
 	c.group("memory", size, s.Budget.Memory, append(live,
 		cost{"the process itself", "sidecarBase", s.one("sidecarBase"), "binary, runtime"},
-		cost{"room that the collector takes", "the heap once more", heap * (collector - 1), "GOGC's default"})...)
+		cost{"room that the collector takes", "the heap once more", heap * (heapGrowth - 1), "GOGC's default"})...)
 	rest := c.group("bytes, without requests", rate, s.Budget.Bytes,
 		cost{"state, reports, membership renewed", "sidecarRestBytes", s.one("sidecarRestBytes"), "watch of one VM, renewal at the leader each 1.5 s"},
 		cost{"changes", "changes × changeBytes", s.changesPerSecond() * s.one("changeBytes"), "each told once"},
--- a/internal/capacity/data.go
+++ b/internal/capacity/data.go
@@ -1,6 +1,6 @@
-// Package capacity works out what each role costs at the size that the project
-// is designed for, from slopes measured on one machine. The tables of
-// docs/CAPACITY.md are its output; a test holds them to the data file.
+// Package capacity computes the cost of each role at the size that the project is
+// designed for, from slopes measured on one machine. Its output are the tables of
+// docs/CAPACITY.md; a test checks that they follow from the data file.
 package capacity
 
 import (
@@ -15,97 +15,97 @@
 //go:embed slopes.toml
 var file []byte
 
-// Data is what the sums start from.
+// Data is the input of the tables.
 type Data struct {
 	Size   Size   `toml:"size"`
 	Budget Budget `toml:"budget"`
 	Choice Choice `toml:"choice"`
-	// Commands are what a reader runs to measure again, by a short name.
+	// Commands maps a short name to the command that repeats a measurement.
 	Commands map[string]string `toml:"commands"`
 	Slopes   []Slope           `toml:"slopes"`
-	// Sweeps are by the name of their table on the page.
+	// Sweeps maps the name of a table on the page to its sweep.
 	Sweeps map[string]Sweep `toml:"sweeps"`
-	// Played are by the name of their table on the page.
+	// Played maps the name of a table on the page to its deployment.
 	Played map[string]Played `toml:"played"`
 }
 
-// Size is the fleet that the users named.
+// Size is the size and load of the fleet that the users gave.
 type Size struct {
 	Entries        float64 `toml:"entries"`
 	Servers        float64 `toml:"servers"`
 	Accelerators   float64 `toml:"accelerators"`
-	Requests       float64 `toml:"requests"`   // a second
-	Tokens         float64 `toml:"tokens"`     // a second
-	KVBytes        float64 `toml:"kvBytes"`    // a second
+	Requests       float64 `toml:"requests"`   // per second
+	Tokens         float64 `toml:"tokens"`     // per second
+	KVBytes        float64 `toml:"kvBytes"`    // per second
 	FirstToken     float64 `toml:"firstToken"` // seconds
 	BetweenTokens  float64 `toml:"betweenTokens"`
 	Organisations  float64 `toml:"organisations"`
 	Models         float64 `toml:"models"`
 	Regions        float64 `toml:"regions"`
 	FailureDomains float64 `toml:"failureDomains"`
-	Changes        float64 `toml:"changes"`   // a day
+	Changes        float64 `toml:"changes"`   // per day
 	InForce        float64 `toml:"inForce"`   // seconds
-	Failures       float64 `toml:"failures"`  // a day
-	Restarts       float64 `toml:"restarts"`  // a day
+	Failures       float64 `toml:"failures"`  // per day
+	Restarts       float64 `toml:"restarts"`  // per day
 	Unreached      float64 `toml:"unreached"` // seconds that a region is cut off
 }
 
-// Budget is what a daemon may spend for control.
+// Budget is what a daemon may spend on control work.
 type Budget struct {
-	Core       float64 `toml:"core"` // of one
+	Core       float64 `toml:"core"` // share of one core
 	Memory     float64 `toml:"memory"`
-	Bytes      float64 `toml:"bytes"` // a second
+	Bytes      float64 `toml:"bytes"` // per second
 	ControlVMs float64 `toml:"controlVMs"`
 }
 
-// Choice is what we took where the users named nothing; none of it was
-// measured.
+// Choice holds assumptions where the users gave no figure. None of them was measured.
 type Choice struct {
-	// Voters of the ControlVMs agree; all serve followers.
+	// Voters is how many of the ControlVMs vote; all ControlVMs serve followers.
 	Voters     float64 `toml:"voters"`
 	ControlVMs float64 `toml:"controlVMs"`
-	// Probes is the number of gates that an entry asks per request.
+	// Probes is how many gates an entry requests a reservation from for each request.
 	Probes float64 `toml:"probes"`
 	// OnceShare is the share of requests that may run at most once.
 	OnceShare float64 `toml:"onceShare"`
-	// RegionRoundTrip is between two regions, in seconds.
+	// RegionRoundTrip is the round-trip time between two regions, in seconds.
 	RegionRoundTrip float64 `toml:"regionRoundTrip"`
-	// LinkUse is the share of a link that is planned for.
+	// LinkUse is the planned utilisation of a link.
 	LinkUse float64 `toml:"linkUse"`
-	// KeepOnce and KeepRepeatable are how long settled records stay, in
-	// seconds.
+	// KeepOnce is how long settled records of at-most-once requests are kept, in
+	// seconds; KeepRepeatable applies to all other requests.
 	KeepOnce       float64 `toml:"keepOnce"`
 	KeepRepeatable float64 `toml:"keepRepeatable"`
-	// Wave is the share of entries restarted at a time, and EntryStop how long
-	// an entry takes to stop, in seconds.
+	// Wave is the share of entries that are restarted at a time, EntryStop how long an
+	// entry takes to stop, in seconds.
 	Wave      float64 `toml:"wave"`
 	EntryStop float64 `toml:"entryStop"`
-	// LeaseFor is the membership lease, in seconds.
+	// LeaseFor is the duration of the membership lease, in seconds.
 	LeaseFor float64 `toml:"leaseFor"`
-	// RenewEvery is how often a sidecar renews it, in seconds.
+	// RenewEvery is the interval at which a sidecar renews its lease, in seconds.
 	RenewEvery float64 `toml:"renewEvery"`
-	// WeightBytes is the size of a version's weights, WeightRate what the
-	// weight store gives one load, in bytes a second, and WeightLoads the
-	// loads at a time.
+	// WeightBytes is the size of a version's weights, WeightRate the rate of the weight
+	// store for one load, in bytes per second, and WeightLoads the number of concurrent
+	// loads.
 	WeightBytes float64 `toml:"weightBytes"`
 	WeightRate  float64 `toml:"weightRate"`
 	WeightLoads float64 `toml:"weightLoads"`
 }
 
-// Load reads the data file that is built in.
+// Load parses the embedded data file.
 func Load() (Data, error) { return Parse(file) }
 
-// Parse reads a data file; an unknown key is an error.
+// Parse parses a data file; an unknown key is an error.
 func Parse(text []byte) (Data, error) {
 	var d Data
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(&d); err != nil {
-		return d, fmt.Errorf("read the slopes: %w", err)
+		return d, fmt.Errorf("parse the slopes: %w", err)
 	}
 	return d, nil
 }
 
-// MissingError names slopes that a sum needs and the data file lacks.
+// MissingError lists the slopes that a table needs and that the data file does not
+// define.
 type MissingError struct{ Names []string }
 
 // Error implements error.
@@ -113,10 +113,10 @@
 	return "missing slopes: " + strings.Join(e.Names, ", ")
 }
 
-// UnusedError names slopes that no sum uses, such as one that was renamed.
+// UnusedError lists the slopes that no table uses, such as a renamed one.
 type UnusedError struct{ Names []string }
 
 // Error implements error.
 func (e *UnusedError) Error() string {
-	return "slopes that no sum uses: " + strings.Join(e.Names, ", ")
+	return "slopes that no table uses: " + strings.Join(e.Names, ", ")
 }
--- a/internal/capacity/events.go
+++ b/internal/capacity/events.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// events is what happens now and then: how much moves, how fast, at what cost.
+// events returns the table of occasional events: the data that they move, their duration
+// and their cost.
 func (s *sums) events() Table {
 	t := Table{Name: "events", Head: []string{"event", "what it moves", "how fast", "what it costs"}}
 	add := func(cells ...string) { t.Rows = append(t.Rows, cells) }
@@ -33,6 +34,7 @@
 	return t
 }
 
+// domainLost adds the rows for the loss of a failure domain.
 func (s *sums) domainLost(add func(...string)) {
 	share := 1 / s.Size.FailureDomains
 	streams := s.inProgress() * share
@@ -50,6 +52,7 @@
 		"owners' leases end after 10 s", "told `unknown` unless the server's status call resolves them; none runs twice")
 }
 
+// regionCut adds the rows for a region that is cut off and reconnected.
 func (s *sums) regionCut(add func(...string), start float64) {
 	share := 1 / s.Size.Regions
 	followers := s.followers() * share
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// TableError is a page without the marks of a table.
+// TableError reports a page without the markers of a table.
 type TableError struct{ Table string }
 
 // Error implements error.
 func (e *TableError) Error() string {
-	return fmt.Sprintf("the page has no <!-- table %s --> with an <!-- end --> behind it", e.Table)
+	return fmt.Sprintf("the page has no <!-- table %s --> followed by <!-- end -->", e.Table)
 }
 
-// measured is the table of slopes.
+// measured returns the table of slopes.
 func (d Data) measured() Table {
 	t := Table{Name: "slopes", Head: []string{"slope", "measured", "of", "points", "fitted line", "by"}}
 	for _, s := range d.Slopes {
@@ -40,7 +40,7 @@
 	return t
 }
 
-// commandTable is the table of commands.
+// commandTable returns the table of commands.
 func (d Data) commandTable() Table {
 	t := Table{Name: "commands", Head: []string{"by", "command"}}
 	for _, name := range slices.Sorted(maps.Keys(d.Commands)) {
@@ -49,7 +49,7 @@
 	return t
 }
 
-// markdown is a table as the page shows it.
+// markdown formats the table in Markdown.
 func (t Table) markdown() string {
 	var b strings.Builder
 	row := func(cells []string) { fmt.Fprintf(&b, "| %s |\n", strings.Join(cells, " | ")) }
@@ -65,7 +65,7 @@
 	return b.String()
 }
 
-// Rewrite returns a page with its tables worked out anew. Each stands between
+// Rewrite returns the page with its tables recomputed. Each table is between
 // <!-- table NAME --> and <!-- end -->.
 func Rewrite(page string, d Data) (string, error) {
 	tables, err := Tables(d)
@@ -73,13 +73,13 @@
 		return "", err
 	}
 	for _, t := range tables {
-		mark := fmt.Sprintf("<!-- table %s -->\n", t.Name)
-		before, rest, found := strings.Cut(page, mark)
+		marker := fmt.Sprintf("<!-- table %s -->\n", t.Name)
+		before, rest, found := strings.Cut(page, marker)
 		_, after, ended := strings.Cut(rest, "<!-- end -->")
 		if !found || !ended {
 			return "", &TableError{Table: t.Name}
 		}
-		page = before + mark + t.markdown() + "<!-- end -->" + after
+		page = before + marker + t.markdown() + "<!-- end -->" + after
 	}
 	return page, nil
 }
--- a/internal/capacity/played.go
+++ b/internal/capacity/played.go
@@ -8,58 +8,59 @@
 	"strings"
 )
 
-// Played is a deployment that was played at its full size, beside what a sweep of another one
-// leads to at that size.
+// Played holds measurements of a deployment that was run at its full size. The page compares
+// them with the prediction of a sweep of another deployment for that size.
 type Played struct {
 	Site string `toml:"site"`
-	// Runs are the numbers of the plays in journal/.
+	// Runs are the numbers of the runs in journal/.
 	Runs []string `toml:"runs"`
 	VMs  float64  `toml:"vms"`
-	// Sweep names the sweep that predicts it.
+	// Sweep is the name of the sweep that predicts the costs.
 	Sweep string       `toml:"sweep"`
 	Costs []PlayedCost `toml:"costs"`
 }
 
-// PlayedCost is what one measure came to.
+// PlayedCost is the value of one measure.
 type PlayedCost struct {
-	// Role and What are those of the sweep's measure.
+	// Role and What identify the measure of the sweep.
 	Role string `toml:"role"`
 	What string `toml:"what"`
-	// Measured is that of the busiest process, or the longest time.
+	// Measured is the value of the busiest process, or the longest time.
 	Measured float64 `toml:"measured"`
-	// Why tells what the prediction leaves out.
+	// Why explains what the prediction does not include.
 	Why string `toml:"why"`
 }
 
-// PredictionError is a measure that no sweep predicts.
+// PredictionError reports a measure that the sweep does not contain.
 type PredictionError struct{ Sweep, What string }
 
 // Error implements error.
 func (e *PredictionError) Error() string {
-	return fmt.Sprintf("capacity: the sweep %q has no measure %q", e.Sweep, e.What)
+	return fmt.Sprintf("sweep %q has no measure %q", e.Sweep, e.What)
 }
 
-// measureName is how the page calls a measure of a role.
+// measureName returns the name of a role's measure on the page.
 func measureName(role, what string) string { return strings.TrimPrefix(role+": "+what, ": ") }
 
-// carry is the last value of a measure, carried on to another size by its power, which is not
-// let below zero.
-func (w Sweep) carry(c SweepCosts, to float64) float64 {
+// extrapolate extends the last value of a measure to another size by its power. A negative
+// power counts as zero.
+func (w Sweep) extrapolate(c SweepCosts, to float64) float64 {
 	last := len(w.VMs) - 1
 	return c.Busiest[last] * math.Pow(to/w.VMs[last], max(0, Power(w.VMs, c.Busiest)))
 }
 
-// predict is what a sweep leads to for a measure at a size.
+// predict returns the value that a sweep predicts for a measure at a size, or false if the
+// sweep does not contain the measure.
 func (w Sweep) predict(role, what string, size float64) (float64, bool) {
 	for _, c := range w.Costs {
 		if c.Role == role && c.What == what {
-			return w.carry(c, size), true
+			return w.extrapolate(c, size), true
 		}
 	}
 	return 0, false
 }
 
-// table shows what was measured beside what was predicted.
+// table compares the measured values with the predictions.
 func (p Played) table(title string, sweeps map[string]Sweep) (Table, error) {
 	t := Table{Name: title, Head: []string{
 		fmt.Sprintf("measure (%s, %s VMs, runs %s)", p.Site, number(p.VMs), strings.Join(p.Runs, ", ")),
@@ -79,7 +80,8 @@
 	return t, nil
 }
 
-// played are the tables of all deployments played at their size, in the order of their names.
+// played returns the tables of all deployments that were run at their full size, ordered by
+// name.
 func (d Data) played() ([]Table, error) {
 	var tables []Table
 	for _, title := range slices.Sorted(maps.Keys(d.Played)) {
--- a/internal/capacity/played_test.go
+++ b/internal/capacity/played_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a figure on the page that stands beside a prediction which nothing gave.
-func TestPlayedIsHeldAgainstItsSweep(t *testing.T) {
+// TestPlayedIsComparedWithItsSweep guards against a measured value that is compared with a
+// prediction for a measure that the sweep does not contain.
+func TestPlayedIsComparedWithItsSweep(t *testing.T) {
 	is := is.New(t)
 	sweeps := map[string]Sweep{"s": {
 		Site: "other", VMs: []float64{10, 100}, Costs: []SweepCosts{{Role: "forwarder", What: "memory", Busiest: []float64{1, 10}}},
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -2,38 +2,38 @@
 
 import "fmt"
 
-// Slope is one measured cost, or how it grows with a size.
+// Slope is a measured cost: a constant, or values at several sizes.
 type Slope struct {
-	// Name is what the sums call it.
+	// Name is the name by which the tables refer to the slope.
 	Name string `toml:"name"`
-	// What says what was measured, in a sentence for the page.
+	// What describes the measured cost in a sentence for the page.
 	What string `toml:"what"`
-	// Unit is that of the points' second number: µs, ms, s, B, kB or MB.
+	// Unit is the unit of the second number of the points: µs, ms, s, B, kB or MB.
 	Unit string `toml:"unit"`
-	// Of names what the first number of the points counts; empty if there is
-	// one point only.
+	// Of describes what the first number of the points counts; it is empty if there is
+	// only one point.
 	Of string `toml:"of"`
-	// Command is the row of the data file's commands that gives the points.
+	// Command is the short name of the command that measures the points.
 	Command string `toml:"command"`
-	// Flat is true for what does not grow with the size: its mean counts.
+	// Flat is true if the cost does not grow with the size; its value is then the mean.
 	Flat bool `toml:"flat"`
-	// Points are the sizes with what was measured there.
+	// Points are pairs of a size and the value that was measured at it.
 	Points [][2]float64 `toml:"points"`
 }
 
-// Line is fixed + each × size, in seconds or bytes.
+// Line is the function Fixed + Each × size, in seconds or bytes.
 type Line struct {
 	Fixed float64
 	Each  float64
 }
 
-// At is the line's value at a size.
+// At returns the value of the line at a size.
 func (l Line) At(size float64) float64 { return l.Fixed + l.Each*size }
 
-// units are the factors to seconds and bytes.
+// units maps each unit to its factor to seconds or bytes.
 var units = map[string]float64{"µs": 1e-6, "ms": 1e-3, "s": 1, "B": 1, "kB": 1e3, "MB": 1e6}
 
-// UnitError is a slope with a unit that is not known.
+// UnitError reports a slope with an unknown unit.
 type UnitError struct{ Slope, Unit string }
 
 // Error implements error.
@@ -41,16 +41,17 @@
 	return fmt.Sprintf("slope %s: unknown unit %q; allowed are µs, ms, s, B, kB, MB", e.Slope, e.Unit)
 }
 
-// PointsError is a slope without points, or with several at one size only.
+// PointsError reports a slope without points, or with several points that all have the
+// same size.
 type PointsError struct{ Slope string }
 
 // Error implements error.
 func (e *PointsError) Error() string {
-	return fmt.Sprintf("slope %s: points at one size or two are needed", e.Slope)
+	return fmt.Sprintf("slope %s: one point, or points at two different sizes, are needed", e.Slope)
 }
 
-// Fit is the line of least squares through the points, in seconds or bytes; a
-// single point is a constant, and so is the mean of a flat slope.
+// Fit returns the least-squares line through the points, in seconds or bytes. A single
+// point and a flat slope give a constant.
 func (s Slope) Fit() (Line, error) {
 	factor, ok := units[s.Unit]
 	if !ok {
--- a/internal/capacity/sums.go
+++ b/internal/capacity/sums.go
@@ -9,13 +9,13 @@
 
 const (
 	secondsPerDay = 86400
-	// idleKept is how long a connection without sessions is kept.
-	idleKept = 300.0
+	// connectionIdleSeconds is how long a connection without sessions is kept open.
+	connectionIdleSeconds = 300.0
 	// benchControls is the number of control VMs in the benchmarks.
 	benchControls = 3
-	// collector is what Go's collector may let the heap grow to, as a multiple
-	// of what is live.
-	collector = 2
+	// heapGrowth is the size that the heap may reach before Go's garbage collector runs, as
+	// a multiple of the live heap, with the default of GOGC.
+	heapGrowth = 2
 )
 
 // Table is one table of the page.
@@ -25,7 +25,7 @@
 	Rows [][]string
 }
 
-// sums works the tables out.
+// sums computes the tables and records which slopes they use.
 type sums struct {
 	Data
 	lines   map[string]Line
@@ -33,7 +33,7 @@
 	missing []string
 }
 
-// Tables works out every table of the page.
+// Tables computes every table of the page.
 func Tables(d Data) ([]Table, error) {
 	s := &sums{Data: d, lines: map[string]Line{}, used: map[string]bool{}}
 	for _, slope := range d.Slopes {
@@ -73,7 +73,7 @@
 	return line
 }
 
-// unused names the slopes that no sum has used.
+// unused returns the names of the slopes that no table has used.
 func (s *sums) unused() []string {
 	var names []string
 	for _, slope := range s.Slopes {
@@ -84,16 +84,16 @@
 	return names
 }
 
-// at is a slope's value at a size, in seconds or bytes.
+// at returns the value of a slope at a size, in seconds or bytes.
 func (s *sums) at(name string, size float64) float64 { return s.line(name).At(size) }
 
-// each is what one more of its size adds to a slope.
+// each returns how much a slope grows for each unit of its size.
 func (s *sums) each(name string) float64 { return s.line(name).Each }
 
-// one is a slope that is a constant.
+// one returns the value of a slope at size 1, which is the value of a constant slope.
 func (s *sums) one(name string) float64 { return s.line(name).At(1) }
 
-// The demand on one process, which several tables need.
+// Demand on one process, which several tables use.
 
 func (s *sums) followers() float64          { return s.Size.Entries + s.Size.Servers }
 func (s *sums) requestsPerEntry() float64   { return s.Size.Requests / s.Size.Entries }
@@ -107,39 +107,40 @@
 func (s *sums) inProgress() float64         { return s.Size.Requests * s.life() }
 func (s *sums) inProgressPerEntry() float64 { return s.inProgress() / s.Size.Entries }
 
-// life is how long a request is in progress.
+// life returns how long a request is in progress, in seconds.
 func (s *sums) life() float64 {
 	return s.Size.FirstToken + s.tokensPerRequest()*s.Size.BetweenTokens
 }
 
-// gatesOpen is how many gates an entry has a connection to: pairs that talked
-// within the time that an idle connection is kept, with requests spread evenly.
+// gatesOpen returns how many gates an entry has a connection to: those that it exchanged
+// messages with within connectionIdleSeconds, if requests are spread evenly.
 func (s *sums) gatesOpen() float64 {
 	rate := s.requestsPerEntry() * s.Choice.Probes / s.Size.Servers
-	return s.Size.Servers * (1 - math.Exp(-rate*idleKept))
+	return s.Size.Servers * (1 - math.Exp(-rate*connectionIdleSeconds))
 }
 
-// entriesOpen is how many entries a gate has a connection to.
+// entriesOpen returns how many entries a gate has a connection to.
 func (s *sums) entriesOpen() float64 {
 	return s.gatesOpen() * s.Size.Entries / s.Size.Servers
 }
 
-// stateSize is the number of resources and members in view: models with three
-// versions and two pools each, servers declared and announced.
+// stateSize returns the number of resources and members: models with three versions and
+// two pools each, and servers both declared and announced.
 func (s *sums) stateSize() float64 {
 	return s.Size.Models*(1+3+2) + 2*s.Size.Servers
 }
 
-// startBytes is what a follower's start takes.
+// startBytes returns the bytes that the start of a follower transfers.
 func (s *sums) startBytes() float64 { return s.one("wholeStateBytes") + s.one("handshakeBytes") }
 
-// recordsKept is the number of settled records.
+// recordsKept returns the number of settled records that are kept.
 func (s *sums) recordsKept() float64 {
 	once := s.Choice.OnceShare * s.Choice.KeepOnce
 	repeatable := (1 - s.Choice.OnceShare) * s.Choice.KeepRepeatable
 	return s.Size.Requests * (once + repeatable)
 }
 
+// demand returns the table of the demand on one process.
 func (s *sums) demand() Table {
 	t := Table{Name: "demand", Head: []string{"demand", "sum", "value"}}
 	add := func(what, sum, value string) { t.Rows = append(t.Rows, []string{what, sum, value}) }
@@ -160,7 +161,7 @@
 
 var roleHead = []string{"cost", "worked out from", "at this size", "budget", "mechanism that carries it"}
 
-// budgetOf is a share of a budget, in words.
+// budgetOf formats a budget and whether the value fits into it.
 func budgetOf(value, budget float64, format func(float64) string) string {
 	verdict := "fits"
 	if value > budget {
@@ -169,7 +170,7 @@
 	return fmt.Sprintf("%s: %s", format(budget), verdict)
 }
 
-// Formats of the page.
+// Number formats of the page.
 
 func number(v float64) string {
 	switch {
@@ -197,7 +198,7 @@
 
 func rate(v float64) string { return size(v) + "/s" }
 
-// core is processor time a second, as a share of one core.
+// core formats processor time per second as a share of one core.
 func core(v float64) string { return fmt.Sprintf("%.2g%% of a core", 100*v) }
 
 func seconds(v float64) string {
--- a/internal/capacity/sweep.go
+++ b/internal/capacity/sweep.go
@@ -8,46 +8,46 @@
 	"strings"
 )
 
-// Sweep is one day played at several numbers of VMs, with everything else in
-// proportion. Unlike a slope it holds whole processes under load.
+// Sweep holds measurements of one day of load at several numbers of VMs, with everything
+// else in proportion. Unlike a slope, it measures whole processes under load.
 type Sweep struct {
-	// Site and Run say which sweep it is; Run is its number in journal/.
+	// Site and Run identify the sweep; Run is its number in journal/.
 	Site string `toml:"site"`
 	Run  string `toml:"run"`
-	// VMs are the sizes, without the backend servers' own VMs, and Servers the backend
-	// servers at each.
+	// VMs are the sizes, without the VMs of the backend servers; Servers are the numbers of
+	// backend servers at each size.
 	VMs     []float64 `toml:"vms"`
 	Servers []float64 `toml:"servers"`
-	// At is the size that is worked out.
+	// At is the size for which values are predicted.
 	At    float64      `toml:"at"`
 	Costs []SweepCosts `toml:"costs"`
 }
 
-// SweepCosts is what one measure came to at each size.
+// SweepCosts holds the values of one measure at each size.
 type SweepCosts struct {
-	// Role is whose measure it is, empty for that of the whole site.
+	// Role is the measured role, empty for a measure of the whole site.
 	Role string `toml:"role"`
 	What string `toml:"what"`
-	// Before is what it came to before the last change that matters to it, empty if it
-	// is not known.
+	// Before holds the values before the last change that affects the measure, empty if
+	// they are not known.
 	Before []float64 `toml:"before"`
-	// Busiest is that of the busiest process, or the longest time.
+	// Busiest holds the values of the busiest process, or the longest times.
 	Busiest []float64 `toml:"busiest"`
-	// Carried is the mechanism that carries it.
+	// Carried is the mechanism that causes the cost.
 	Carried string `toml:"carried"`
 }
 
-// SweepError is a measure without a value for each size.
+// SweepError reports a measure that does not have one value for each size.
 type SweepError struct{ What string }
 
 // Error implements error.
 func (e *SweepError) Error() string {
-	return fmt.Sprintf("sweep: %s has not one value for each size", e.What)
+	return fmt.Sprintf("sweep: %s must have one value for each size", e.What)
 }
 
-// Power is by which power of the size values grow: the slope of least squares through
-// the points' logarithms. Values that are zero count as none; with fewer than two
-// points left there is no growth to see.
+// Power returns the power of the size with which the values grow: the slope of the
+// least-squares line through the logarithms of the points. It ignores values that are zero
+// or less, and returns 0 if fewer than two points remain.
 func Power(sizes, values []float64) float64 {
 	var x, y []float64
 	for i, v := range values {
@@ -59,12 +59,12 @@
 		return 0
 	}
 	meanX, meanY := mean(x), mean(y)
-	var with, square float64
+	var covariance, variance float64
 	for i := range x {
-		with += (x[i] - meanX) * (y[i] - meanY)
-		square += (x[i] - meanX) * (x[i] - meanX)
+		covariance += (x[i] - meanX) * (y[i] - meanY)
+		variance += (x[i] - meanX) * (x[i] - meanX)
 	}
-	return with / square
+	return covariance / variance
 }
 
 func mean(values []float64) float64 {
@@ -75,8 +75,7 @@
 	return sum / float64(len(values))
 }
 
-// table shows a sweep, and what it leads to at the size that is worked out: the last
-// value, carried on by the power, which is not let below zero.
+// table returns the table of a sweep with the prediction of each measure for the size At.
 func (w Sweep) table(name string) (Table, error) {
 	t := Table{Name: name, Head: []string{fmt.Sprintf("measure (%s, run %s)", w.Site, w.Run)}}
 	if len(w.Servers) != len(w.VMs) {
@@ -95,13 +94,13 @@
 			row = append(row, number(v))
 		}
 		power := Power(w.VMs, c.Busiest)
-		row = append(row, fmt.Sprintf("%.2f", power), number(w.carry(c, w.At)), figures(c.Before), c.Carried)
+		row = append(row, fmt.Sprintf("%.2f", power), number(w.extrapolate(c, w.At)), figures(c.Before), c.Carried)
 		t.Rows = append(t.Rows, row)
 	}
 	return t, nil
 }
 
-// sweeps are the tables of all sweeps, in the order of their names.
+// sweeps returns the tables of all sweeps, ordered by name.
 func (d Data) sweeps() ([]Table, error) {
 	var tables []Table
 	for _, name := range slices.Sorted(maps.Keys(d.Sweeps)) {
@@ -114,7 +113,7 @@
 	return tables, nil
 }
 
-// figures lists values as the page shows them.
+// figures formats a list of values.
 func figures(values []float64) string {
 	var list []string
 	for _, v := range values {
--- a/internal/capacity/sweep_test.go
+++ b/internal/capacity/sweep_test.go
@@ -15,11 +15,12 @@
 	is.True(near(Power(sizes, []float64{60, 200, 600}), 1))
 	is.True(near(Power(sizes, []float64{9, 100, 900}), 2))
 	is.True(near(Power(sizes, []float64{5, 5, 5}), 0))
-	is.True(near(Power(sizes, []float64{0, 10, 30}), 1)) // what is nothing at the least size
+	is.True(near(Power(sizes, []float64{0, 10, 30}), 1)) // a value of zero is ignored
 	is.True(near(Power(sizes, []float64{0, 0, 30}), 0))
 }
 
-// A measure that lacks a size would be shown under the wrong one.
+// TestSweepNeedsAValueForEachSize guards against values in the wrong column: a measure
+// without a value for one size must be refused.
 func TestSweepNeedsAValueForEachSize(t *testing.T) {
 	is := is.New(t)
 	w := Sweep{VMs: []float64{30, 100, 300}, Servers: []float64{300, 1000, 3000}, At: 320, Costs: []SweepCosts{{What: "short", Busiest: []float64{1, 2}}}}
--- a/internal/tools/capacity/main.go
+++ b/internal/tools/capacity/main.go
@@ -1,6 +1,7 @@
-// Command capacity works the tables of docs/CAPACITY.md out anew from
+// Command capacity recomputes the tables of docs/CAPACITY.md from
 // internal/capacity/slopes.toml. Run it from the root of the repository:
-// go run ./internal/tools/capacity
+//
+//	go run ./internal/tools/capacity
 package main
 
 import (
@@ -22,7 +23,7 @@
 	}
 }
 
-// write rewrites the page's tables.
+// write recomputes the tables and writes the page.
 func write() error {
 	data, err := capacity.Load()
 	if err != nil {
--- a/internal/tools/samples/main.go
+++ b/internal/tools/samples/main.go
@@ -1,5 +1,7 @@
-// Command samples writes the sample requests under examples/requests. Run it
-// from the root of the repository: go run ./internal/tools/samples
+// Command samples writes the sample requests in examples/requests. Run it from the root of
+// the repository:
+//
+//	go run ./internal/tools/samples
 package main
 
 import (
@@ -22,7 +24,7 @@
 	}
 }
 
-// write writes every file anew.
+// write encodes and writes every sample file.
 func write() error {
 	for name, body := range sample.Files() {
 		text, err := sample.Encode(body)
