--- a/internal/capacity/data.go
+++ b/internal/capacity/data.go
@@ -26,7 +26,7 @@
 	// Sweeps maps the name of a table on the page to its sweep.
 	Sweeps map[string]Sweep `toml:"sweeps"`
 	// Played maps the name of a table on the page to its deployment.
-	Played map[string]Played `toml:"played"`
+	Played map[string]FullSizeRun `toml:"played"`
 }
 
 // Size is the size and load of the fleet that the users gave.
--- a/internal/capacity/played.go
+++ b/internal/capacity/played.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// Played holds measurements of a deployment that was run at its full size. The page compares
+// FullSizeRun holds measurements of a deployment that was run at its full size. The page compares
 // them with the prediction of a sweep of another deployment for that size.
-type Played struct {
+type FullSizeRun struct {
 	Site string `toml:"site"`
 	// Runs are the numbers of the runs in journal/.
 	Runs []string `toml:"runs"`
@@ -61,7 +61,7 @@
 }
 
 // table compares the measured values with the predictions.
-func (p Played) table(title string, sweeps map[string]Sweep) (Table, error) {
+func (p FullSizeRun) table(title string, sweeps map[string]Sweep) (Table, error) {
 	t := Table{Name: title, Head: []string{
 		fmt.Sprintf("measure (%s, %s VMs, runs %s)", p.Site, number(p.VMs), strings.Join(p.Runs, ", ")),
 		"from the sweep of " + sweeps[p.Sweep].Site, "measured", "factor", "why",
