--- a/internal/capacity/played.go
+++ b/internal/capacity/played.go
@@ -16,12 +16,12 @@
 	Runs []string `toml:"runs"`
 	VMs  float64  `toml:"vms"`
 	// Sweep is the name of the sweep that predicts the costs.
-	Sweep string       `toml:"sweep"`
-	Costs []PlayedCost `toml:"costs"`
+	Sweep string         `toml:"sweep"`
+	Costs []FullSizeCost `toml:"costs"`
 }
 
-// PlayedCost is the value of one measure.
-type PlayedCost struct {
+// FullSizeCost is the value of one measure.
+type FullSizeCost struct {
 	// Role and What identify the measure of the sweep.
 	Role string `toml:"role"`
 	What string `toml:"what"`
--- a/internal/capacity/played_test.go
+++ b/internal/capacity/played_test.go
@@ -14,7 +14,7 @@
 	sweeps := map[string]Sweep{"s": {
 		Site: "other", VMs: []float64{10, 100}, Costs: []SweepCosts{{Role: "forwarder", What: "memory", Busiest: []float64{1, 10}}},
 	}}
-	p := FullSizeRun{Site: "fleet", VMs: 200, Sweep: "s", Costs: []PlayedCost{{Role: "forwarder", What: "memory", Measured: 30}}}
+	p := FullSizeRun{Site: "fleet", VMs: 200, Sweep: "s", Costs: []FullSizeCost{{Role: "forwarder", What: "memory", Measured: 30}}}
 	table, err := p.table("played", sweeps)
 	is.NoErr(err)
 	is.Equal(table.Rows, [][]string{{"forwarder: memory", "20", "30", "1.50", ""}})
