--- a/internal/capacity/data.go
+++ b/internal/capacity/data.go
@@ -25,8 +25,8 @@
 	Slopes   []Slope           `toml:"slopes"`
 	// Sweeps maps the name of a table on the page to its sweep.
 	Sweeps map[string]Sweep `toml:"sweeps"`
-	// Played maps the name of a table on the page to its deployment.
-	Played map[string]FullSizeRun `toml:"played"`
+	// FullSizeRuns maps the name of a table on the page to its deployment.
+	FullSizeRuns map[string]FullSizeRun `toml:"played"`
 }
 
 // Size is the size and load of the fleet that the users gave.
--- a/internal/capacity/played.go
+++ b/internal/capacity/played.go
@@ -84,8 +84,8 @@
 // name.
 func (d Data) played() ([]Table, error) {
 	var tables []Table
-	for _, title := range slices.Sorted(maps.Keys(d.Played)) {
-		t, err := d.Played[title].table(title, d.Sweeps)
+	for _, title := range slices.Sorted(maps.Keys(d.FullSizeRuns)) {
+		t, err := d.FullSizeRuns[title].table(title, d.Sweeps)
 		if err != nil {
 			return nil, err
 		}
