--- a/internal/capacity/played.go
+++ b/internal/capacity/played.go
@@ -23,8 +23,8 @@
 // FullSizeCost is the value of one measure.
 type FullSizeCost struct {
 	// Role and What identify the measure of the sweep.
-	Role string `toml:"role"`
-	What string `toml:"what"`
+	Role    string `toml:"role"`
+	Measure string `toml:"what"`
 	// Measured is the value of the busiest process, or the longest time.
 	Measured float64 `toml:"measured"`
 	// Why explains what the prediction does not include.
@@ -67,15 +67,15 @@
 		"from the sweep of " + sweeps[p.Sweep].Site, "measured", "factor", "why",
 	}}
 	for _, c := range p.Costs {
-		predicted, ok := sweeps[p.Sweep].predict(c.Role, c.What, p.VMs)
+		predicted, ok := sweeps[p.Sweep].predict(c.Role, c.Measure, p.VMs)
 		if !ok {
-			return Table{}, &PredictionError{Sweep: p.Sweep, What: measureName(c.Role, c.What)}
+			return Table{}, &PredictionError{Sweep: p.Sweep, What: measureName(c.Role, c.Measure)}
 		}
 		factor := "-"
 		if predicted > 0 {
 			factor = fmt.Sprintf("%.2f", c.Measured/predicted)
 		}
-		t.Rows = append(t.Rows, []string{measureName(c.Role, c.What), number(predicted), number(c.Measured), factor, c.Why})
+		t.Rows = append(t.Rows, []string{measureName(c.Role, c.Measure), number(predicted), number(c.Measured), factor, c.Why})
 	}
 	return t, nil
 }
--- a/internal/capacity/played_test.go
+++ b/internal/capacity/played_test.go
@@ -14,11 +14,11 @@
 	sweeps := map[string]Sweep{"s": {
 		Site: "other", VMs: []float64{10, 100}, Costs: []SweepCosts{{Role: "forwarder", What: "memory", Busiest: []float64{1, 10}}},
 	}}
-	p := FullSizeRun{Site: "fleet", VMs: 200, Sweep: "s", Costs: []FullSizeCost{{Role: "forwarder", What: "memory", Measured: 30}}}
+	p := FullSizeRun{Site: "fleet", VMs: 200, Sweep: "s", Costs: []FullSizeCost{{Role: "forwarder", Measure: "memory", Measured: 30}}}
 	table, err := p.table("played", sweeps)
 	is.NoErr(err)
 	is.Equal(table.Rows, [][]string{{"forwarder: memory", "20", "30", "1.50", ""}})
-	p.Costs[0].What = "unknown"
+	p.Costs[0].Measure = "unknown"
 	_, err = p.table("played", sweeps)
 	var typed *PredictionError
 	is.True(errors.As(err, &typed))
