--- a/internal/capacity/played.go
+++ b/internal/capacity/played.go
@@ -53,7 +53,7 @@
 // sweep does not contain the measure.
 func (w Sweep) predict(role, what string, size float64) (float64, bool) {
 	for _, c := range w.Costs {
-		if c.Role == role && c.What == what {
+		if c.Role == role && c.Measure == what {
 			return w.extrapolate(c, size), true
 		}
 	}
--- a/internal/capacity/played_test.go
+++ b/internal/capacity/played_test.go
@@ -12,7 +12,7 @@
 func TestPlayedIsComparedWithItsSweep(t *testing.T) {
 	is := is.New(t)
 	sweeps := map[string]Sweep{"s": {
-		Site: "other", VMs: []float64{10, 100}, Costs: []SweepCosts{{Role: "forwarder", What: "memory", Busiest: []float64{1, 10}}},
+		Site: "other", VMs: []float64{10, 100}, Costs: []SweepCosts{{Role: "forwarder", Measure: "memory", Busiest: []float64{1, 10}}},
 	}}
 	p := FullSizeRun{Site: "fleet", VMs: 200, Sweep: "s", Costs: []FullSizeCost{{Role: "forwarder", Measure: "memory", Measured: 30}}}
 	table, err := p.table("played", sweeps)
--- a/internal/capacity/sweep.go
+++ b/internal/capacity/sweep.go
@@ -26,8 +26,8 @@
 // SweepCosts holds the values of one measure at each size.
 type SweepCosts struct {
 	// Role is the measured role, empty for a measure of the whole site.
-	Role string `toml:"role"`
-	What string `toml:"what"`
+	Role    string `toml:"role"`
+	Measure string `toml:"what"`
 	// Before holds the values before the last change that affects the measure, empty if
 	// they are not known.
 	Before []float64 `toml:"before"`
@@ -87,9 +87,9 @@
 	t.Head = append(t.Head, "power", "at "+number(w.At), "before", "mechanism that carries it")
 	for _, c := range w.Costs {
 		if len(c.Busiest) != len(w.VMs) || len(c.Before) != 0 && len(c.Before) != len(w.VMs) {
-			return Table{}, &SweepError{What: c.What}
+			return Table{}, &SweepError{What: c.Measure}
 		}
-		row := []string{measureName(c.Role, c.What)}
+		row := []string{measureName(c.Role, c.Measure)}
 		for _, v := range c.Busiest {
 			row = append(row, number(v))
 		}
--- a/internal/capacity/sweep_test.go
+++ b/internal/capacity/sweep_test.go
@@ -23,7 +23,7 @@
 // without a value for one size must be refused.
 func TestSweepNeedsAValueForEachSize(t *testing.T) {
 	is := is.New(t)
-	w := Sweep{VMs: []float64{30, 100, 300}, Servers: []float64{300, 1000, 3000}, At: 320, Costs: []SweepCosts{{What: "short", Busiest: []float64{1, 2}}}}
+	w := Sweep{VMs: []float64{30, 100, 300}, Servers: []float64{300, 1000, 3000}, At: 320, Costs: []SweepCosts{{Measure: "short", Busiest: []float64{1, 2}}}}
 	_, err := w.table("sweep")
 	var typed *SweepError
 	is.True(errors.As(err, &typed))
