--- a/internal/capacity/sweep.go
+++ b/internal/capacity/sweep.go
@@ -33,8 +33,8 @@
 	Before []float64 `toml:"before"`
 	// Busiest holds the values of the busiest process, or the longest times.
 	Busiest []float64 `toml:"busiest"`
-	// Carried is the mechanism that causes the cost.
-	Carried string `toml:"carried"`
+	// Mechanism is the mechanism that causes the cost.
+	Mechanism string `toml:"carried"`
 }
 
 // SweepError reports a measure that does not have one value for each size.
@@ -94,7 +94,7 @@
 			row = append(row, number(v))
 		}
 		power := Power(w.VMs, c.Busiest)
-		row = append(row, fmt.Sprintf("%.2f", power), number(w.extrapolate(c, w.At)), figures(c.Before), c.Carried)
+		row = append(row, fmt.Sprintf("%.2f", power), number(w.extrapolate(c, w.At)), figures(c.Before), c.Mechanism)
 		t.Rows = append(t.Rows, row)
 	}
 	return t, nil
