--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -6,8 +6,8 @@
 type Slope struct {
 	// Name is the name by which the tables refer to the slope.
 	Name string `toml:"name"`
-	// What describes the measured cost in a sentence for the page.
-	What string `toml:"what"`
+	// Description describes the measured cost in a sentence for the page.
+	Description string `toml:"what"`
 	// Unit is the unit of the second number of the points: µs, ms, s, B, kB or MB.
 	Unit string `toml:"unit"`
 	// Of describes what the first number of the points counts; it is empty if there is
