--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -35,7 +35,7 @@
 				fitted = fmt.Sprintf("%.3g %s, mean", line.Fixed/factor, s.Unit)
 			}
 		}
-		t.Rows = append(t.Rows, []string{s.Name, s.Description, s.Of, strings.Join(points, ", "), fitted, s.Command})
+		t.Rows = append(t.Rows, []string{s.Name, s.Description, s.SizeName, strings.Join(points, ", "), fitted, s.Command})
 	}
 	return t
 }
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -10,9 +10,9 @@
 	Description string `toml:"what"`
 	// Unit is the unit of the second number of the points: µs, ms, s, B, kB or MB.
 	Unit string `toml:"unit"`
-	// Of describes what the first number of the points counts; it is empty if there is
+	// SizeName describes what the first number of the points counts; it is empty if there is
 	// only one point.
-	Of string `toml:"of"`
+	SizeName string `toml:"of"`
 	// Command is the short name of the command that measures the points.
 	Command string `toml:"command"`
 	// Flat is true if the cost does not grow with the size; its value is then the mean.
