--- a/internal/capacity/data.go
+++ b/internal/capacity/data.go
@@ -17,9 +17,9 @@
 
 // Data is the input of the tables.
 type Data struct {
-	Size   Size   `toml:"size"`
-	Budget Budget `toml:"budget"`
-	Choice Choice `toml:"choice"`
+	Size   Size        `toml:"size"`
+	Budget Budget      `toml:"budget"`
+	Choice Assumptions `toml:"choice"`
 	// Commands maps a short name to the command that repeats a measurement.
 	Commands map[string]string `toml:"commands"`
 	Slopes   []Slope           `toml:"slopes"`
@@ -58,8 +58,8 @@
 	ControlVMs float64 `toml:"controlVMs"`
 }
 
-// Choice holds assumptions where the users gave no figure. None of them was measured.
-type Choice struct {
+// Assumptions holds assumptions where the users gave no figure. None of them was measured.
+type Assumptions struct {
 	// Voters is how many of the ControlVMs vote; all ControlVMs serve followers.
 	Voters     float64 `toml:"voters"`
 	ControlVMs float64 `toml:"controlVMs"`
