--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -10,7 +10,7 @@
 	}
 	followers := s.followersPerVM()
 	records := s.recordsKept()
-	answersOf := s.Choice.ControlVMs - 1
+	answersOf := s.Assumptions.ControlVMs - 1
 
 	memory := []cost{
 		{"the process, declared state", "controlHeap's fixed part / 3", s.line("controlHeap").Fixed / benchControls, "operator.Store over the replicated log"},
@@ -30,7 +30,7 @@
 		{"ticks, agreement, confirmations", "controlRest's fixed part / 3", s.line("controlRest").Fixed / benchControls, "one confirmation a second, for all followers together"},
 		{"followers at rest", fmt.Sprintf("%s × controlRest", number(followers)), followers * s.each("controlRest"), "watch server"},
 		{"changes", fmt.Sprintf("changes × %s × changeControl", number(followers)), s.changesPerSecond() * followers * s.one("changeControl"), "change feed: only what changed since the follower's revision"},
-		{"restarts", "restarts / VMs × startControl", s.Size.Restarts / secondsPerDay / s.Choice.ControlVMs * s.one("startControl"), "whole state"},
+		{"restarts", "restarts / VMs × startControl", s.Size.Restarts / secondsPerDay / s.Assumptions.ControlVMs * s.one("startControl"), "whole state"},
 		{"records agreed on and applied", fmt.Sprintf("requests × claimControl at %s log entries a request × a quarter", number(s.entriesPerRequest())), s.Size.Requests * s.claimControl() * followerShare, "one log; one entry carries what waits, up to 512"},
 	}
 	if leads {
@@ -83,7 +83,7 @@
 // entriesPerRequest returns how many log entries a request takes if the writes that arrive
 // during a round trip between regions share inFlight entries.
 func (s *sums) entriesPerRequest() float64 {
-	group := max(1, writesPerRequest*s.Size.Requests*s.Choice.RegionRoundTrip/inFlight)
+	group := max(1, writesPerRequest*s.Size.Requests*s.Assumptions.RegionRoundTrip/inFlight)
 	return writesPerRequest / group
 }
 
@@ -103,16 +103,16 @@
 	kept := s.recordsKept()
 	const logs = 8
 	perLog := kept / logs
-	held := perLog * logs * 3 / s.Choice.ControlVMs
+	held := perLog * logs * 3 / s.Assumptions.ControlVMs
 	home := kept * 3 / s.Size.Entries
 	row := func(what string, cells ...string) { t.Rows = append(t.Rows, append([]string{what}, cells...)) }
 	row("records held on a process", number(kept), fmt.Sprintf("%s (8 logs, 3 replicas each)", number(held)), fmt.Sprintf("%s (3 copies)", number(home)))
 	row("memory for them", size(kept*s.one("recordMemory")), size(held*s.one("recordMemory")), size(home*s.one("recordMemory")))
 	row("log stops for a snapshot", seconds(kept*s.one("recordCopy")), seconds(perLog*s.one("recordCopy")), "no log")
 	row("restore after a restart", seconds(kept*s.one("recordRestore")), seconds(held*s.one("recordRestore")), seconds(home*s.one("recordRestore")))
-	row("processor to apply, each VM", core(s.Size.Requests*s.one("recordApply")), core(s.Size.Requests*s.one("recordApply")*3/s.Choice.ControlVMs), core(s.Size.Requests*s.one("recordApply")*3/s.Size.Entries))
-	row("delay of a claim across regions", seconds(2*s.Choice.RegionRoundTrip+s.one("claimAlone")), "the same", seconds(s.Choice.RegionRoundTrip+s.one("claimAlone"))+" or, all copies in the region, less")
-	row("of the time to the first token", fmt.Sprintf("%.2g%%", 100*(2*s.Choice.RegionRoundTrip+s.one("claimAlone"))/s.Size.FirstToken), "the same", fmt.Sprintf("%.2g%%", 100*(s.Choice.RegionRoundTrip+s.one("claimAlone"))/s.Size.FirstToken))
+	row("processor to apply, each VM", core(s.Size.Requests*s.one("recordApply")), core(s.Size.Requests*s.one("recordApply")*3/s.Assumptions.ControlVMs), core(s.Size.Requests*s.one("recordApply")*3/s.Size.Entries))
+	row("delay of a claim across regions", seconds(2*s.Assumptions.RegionRoundTrip+s.one("claimAlone")), "the same", seconds(s.Assumptions.RegionRoundTrip+s.one("claimAlone"))+" or, all copies in the region, less")
+	row("of the time to the first token", fmt.Sprintf("%.2g%%", 100*(2*s.Assumptions.RegionRoundTrip+s.one("claimAlone"))/s.Size.FirstToken), "the same", fmt.Sprintf("%.2g%%", 100*(s.Assumptions.RegionRoundTrip+s.one("claimAlone"))/s.Size.FirstToken))
 	row("a region cut off", "refuses all it can't claim", "refuses what it can't claim; with a log for each region only other regions' keys", "goes on if all copies are in it")
 	row("two VMs lost, the second after a repair", "nothing lost", "nothing lost", "lost if the repair had not caught up: no disk")
 	return t
@@ -128,10 +128,10 @@
 	domain := s.Size.KVBytes / s.Size.FailureDomains
 	others := (s.Size.FailureDomains - 1) / s.Size.FailureDomains
 	regions := (s.Size.Regions - 1) / s.Size.Regions
-	link := server / s.Choice.LinkUse
+	link := server / s.Assumptions.LinkUse
 	add("KV cache of a request", "KV / requests", size(s.kvPerRequest()))
 	add("out of a prefill server, into a decode server, at the mean", "KV / (servers / 2)", rate(server)+" = "+gigabits(server))
-	add("link that a server needs", fmt.Sprintf("at %.0f%% use", 100*s.Choice.LinkUse), rate(link)+" = "+gigabits(link))
+	add("link that a server needs", fmt.Sprintf("at %.0f%% use", 100*s.Assumptions.LinkUse), rate(link)+" = "+gigabits(link))
 	add("transfer of the mean request on it", "KV of a request / link", seconds(s.kvPerRequest()/link)+fmt.Sprintf(", %.0f%% of the first token's time", 100*s.kvPerRequest()/link/s.Size.FirstToken))
 	add("on the stand-ins' 2 GB/s", "KV of a request / 2 GB/s", seconds(s.kvPerRequest()/2e9)+fmt.Sprintf(", %.0f%%; used to %.0f%%", 100*s.kvPerRequest()/2e9/s.Size.FirstToken, 100*server/2e9))
 	add("out of a failure domain if decode servers were picked at random", fmt.Sprintf("KV / 12 × %.3g", others), rate(domain*others)+" = "+gigabits(domain*others))
--- a/internal/capacity/daemon.go
+++ b/internal/capacity/daemon.go
@@ -61,7 +61,7 @@
 	)
 	asked := c.group("bytes for requests", rate, s.Budget.Bytes-rest,
 		cost{"claims and outcomes", "requests × claimBytes", n * s.one("claimBytes"), "control.Client: one stream, tickets"},
-		cost{"reservations", fmt.Sprintf("requests × %s × sessionBytes", number(s.Choice.Probes)), n * s.Choice.Probes * s.one("sessionBytes"), "probe that is also a reservation"},
+		cost{"reservations", fmt.Sprintf("requests × %s × sessionBytes", number(s.Assumptions.Probes)), n * s.Assumptions.Probes * s.one("sessionBytes"), "probe that is also a reservation"},
 	)
 	c.sum("bytes in all", rate, rest+asked, s.Budget.Bytes)
 
@@ -72,7 +72,7 @@
 	busy := c.group("processor for requests' control", core, s.Budget.Core-quiet,
 		cost{"decisions", "requests × decision at 1,100 servers", n * s.at("decision", s.Size.Servers), "entry reducer: rendezvous hashing, no scan"},
 		cost{"claims and outcomes", "requests × claimEntry", n * s.one("claimEntry"), "control.Client"},
-		cost{"reservations", fmt.Sprintf("requests × %s × half a session", number(s.Choice.Probes)), n * s.Choice.Probes * s.one("session") / 2, "QUIC stream a session"},
+		cost{"reservations", fmt.Sprintf("requests × %s × half a session", number(s.Assumptions.Probes)), n * s.Assumptions.Probes * s.one("session") / 2, "QUIC stream a session"},
 	)
 	c.sum("processor for control in all", core, quiet+busy, s.Budget.Core)
 	c.group("processor for serving", core, 0,
--- a/internal/capacity/data.go
+++ b/internal/capacity/data.go
@@ -17,9 +17,9 @@
 
 // Data is the input of the tables.
 type Data struct {
-	Size   Size        `toml:"size"`
-	Budget Budget      `toml:"budget"`
-	Choice Assumptions `toml:"choice"`
+	Size        Size        `toml:"size"`
+	Budget      Budget      `toml:"budget"`
+	Assumptions Assumptions `toml:"choice"`
 	// Commands maps a short name to the command that repeats a measurement.
 	Commands map[string]string `toml:"commands"`
 	Slopes   []Slope           `toml:"slopes"`
--- a/internal/capacity/events.go
+++ b/internal/capacity/events.go
@@ -18,14 +18,14 @@
 		fmt.Sprintf("claims wait that long: %s requests", number(s.Size.Requests*s.one("silentAccepted"))))
 	add("one restart of a daemon (110 a day)", fmt.Sprintf("the whole state, %s", size(start)), "in force once fetched",
 		fmt.Sprintf("%s of processor; in a day %s and %s over all control VMs", seconds(s.one("startControl")), seconds(s.Size.Restarts*s.one("startControl")), size(s.Size.Restarts*start)))
-	wave := s.Size.Entries * s.Choice.Wave
-	waves := 1 / s.Choice.Wave
+	wave := s.Size.Entries * s.Assumptions.Wave
+	waves := 1 / s.Assumptions.Wave
 	handshakes := s.gatesOpen()
 	add("rolling restart of all entries", fmt.Sprintf("%s waves of %s; each entry fetches %s and makes %s connections", number(waves), number(wave), size(start), number(handshakes)),
-		fmt.Sprintf("%s if each stops in %s", seconds(waves*s.Choice.EntryStop), seconds(s.Choice.EntryStop)),
+		fmt.Sprintf("%s if each stops in %s", seconds(waves*s.Assumptions.EntryStop), seconds(s.Assumptions.EntryStop)),
 		fmt.Sprintf("control: %s of processor and %s in all, a wave %s on each VM; an entry: %s of processor and %s for its connections, spread over their first minutes; other entries carry %.0f%% more",
-			seconds(s.Size.Entries*s.one("startControl")), size(s.Size.Entries*start), seconds(wave*s.one("startControl")/s.Choice.ControlVMs),
-			seconds(handshakes*s.one("handshake")/2), size(handshakes*s.one("handshakeBytes")), 100*s.Choice.Wave/(1-s.Choice.Wave)))
+			seconds(s.Size.Entries*s.one("startControl")), size(s.Size.Entries*start), seconds(wave*s.one("startControl")/s.Assumptions.ControlVMs),
+			seconds(handshakes*s.one("handshake")/2), size(handshakes*s.one("handshakeBytes")), 100*s.Assumptions.Wave/(1-s.Assumptions.Wave)))
 	add("all followers start at once", fmt.Sprintf("the whole state to %s followers", number(s.followers())),
 		fmt.Sprintf("at least %s on each control VM with one core", seconds(s.followersPerVM()*s.one("startControl"))),
 		fmt.Sprintf("%s of processor on each, %s of it in encoding the state for each follower anew; %s in all", seconds(s.followersPerVM()*s.one("startControl")), seconds(s.followersPerVM()*s.one("wholeState")), size(s.followers()*start)))
@@ -41,14 +41,14 @@
 	notice := 3.0
 	add("a failure domain lost at the peak", fmt.Sprintf("%s entries, %s servers, %s followers, at most one control VM",
 		number(s.entriesPerDomain()), number(s.serversPerDomain()), number(s.entriesPerDomain()+s.serversPerDomain())),
-		fmt.Sprintf("streams notice within %s (silence of a peer); servers leave the membership after a lease, %s", seconds(notice), seconds(s.Choice.LeaseFor)),
+		fmt.Sprintf("streams notice within %s (silence of a peer); servers leave the membership after a lease, %s", seconds(notice), seconds(s.Assumptions.LeaseFor)),
 		fmt.Sprintf("%s requests lose their decode or prefill server and %s their entry (both: %s); begun again, the prefills are %s of the fleet's whole prefill work and %s of KV; what is left carries %.0f%% more; requests sent towards lost gates until noticed: at most %s",
-			number(streams), number(streams), number(streams*share), seconds(streams/s.Size.Requests/(1-share)), size(streams*s.kvPerRequest()), 100*share/(1-share), number(s.Size.Requests*share*s.Choice.Probes*notice)))
-	load := s.Choice.WeightBytes / s.Choice.WeightRate
-	add("its models brought to other servers, if operators declare it", fmt.Sprintf("weights of %s servers, %s each", number(s.serversPerDomain()), size(s.Choice.WeightBytes)),
-		fmt.Sprintf("%s for one, %s for all with %s loads at a time", seconds(load), seconds(load*s.serversPerDomain()/s.Choice.WeightLoads), number(s.Choice.WeightLoads)),
+			number(streams), number(streams), number(streams*share), seconds(streams/s.Size.Requests/(1-share)), size(streams*s.kvPerRequest()), 100*share/(1-share), number(s.Size.Requests*share*s.Assumptions.Probes*notice)))
+	load := s.Assumptions.WeightBytes / s.Assumptions.WeightRate
+	add("its models brought to other servers, if operators declare it", fmt.Sprintf("weights of %s servers, %s each", number(s.serversPerDomain()), size(s.Assumptions.WeightBytes)),
+		fmt.Sprintf("%s for one, %s for all with %s loads at a time", seconds(load), seconds(load*s.serversPerDomain()/s.Assumptions.WeightLoads), number(s.Assumptions.WeightLoads)),
 		"the weight store's rate; the pools' spare room carries the loss meanwhile")
-	add("the same, in what was to run once", fmt.Sprintf("%.0f%% of requests, those with their server or entry there", 100*s.Choice.OnceShare),
+	add("the same, in what was to run once", fmt.Sprintf("%.0f%% of requests, those with their server or entry there", 100*s.Assumptions.OnceShare),
 		"owners' leases end after 10 s", "told `unknown` unless the server's status call resolves them; none runs twice")
 }
 
--- a/internal/capacity/sums.go
+++ b/internal/capacity/sums.go
@@ -95,12 +95,14 @@
 
 // Demand on one process, which several tables use.
 
-func (s *sums) followers() float64          { return s.Size.Entries + s.Size.Servers }
-func (s *sums) requestsPerEntry() float64   { return s.Size.Requests / s.Size.Entries }
-func (s *sums) tokensPerRequest() float64   { return s.Size.Tokens / s.Size.Requests }
-func (s *sums) changesPerSecond() float64   { return s.Size.Changes / secondsPerDay }
-func (s *sums) sessionsPerGate() float64    { return s.Choice.Probes * s.Size.Requests / s.Size.Servers }
-func (s *sums) followersPerVM() float64     { return s.followers() / s.Choice.ControlVMs }
+func (s *sums) followers() float64        { return s.Size.Entries + s.Size.Servers }
+func (s *sums) requestsPerEntry() float64 { return s.Size.Requests / s.Size.Entries }
+func (s *sums) tokensPerRequest() float64 { return s.Size.Tokens / s.Size.Requests }
+func (s *sums) changesPerSecond() float64 { return s.Size.Changes / secondsPerDay }
+func (s *sums) sessionsPerGate() float64 {
+	return s.Assumptions.Probes * s.Size.Requests / s.Size.Servers
+}
+func (s *sums) followersPerVM() float64     { return s.followers() / s.Assumptions.ControlVMs }
 func (s *sums) serversPerDomain() float64   { return s.Size.Servers / s.Size.FailureDomains }
 func (s *sums) entriesPerDomain() float64   { return s.Size.Entries / s.Size.FailureDomains }
 func (s *sums) kvPerRequest() float64       { return s.Size.KVBytes / s.Size.Requests }
@@ -115,7 +117,7 @@
 // gatesOpen returns how many gates an entry has a connection to: those that it exchanged
 // messages with within connectionIdleSeconds, if requests are spread evenly.
 func (s *sums) gatesOpen() float64 {
-	rate := s.requestsPerEntry() * s.Choice.Probes / s.Size.Servers
+	rate := s.requestsPerEntry() * s.Assumptions.Probes / s.Size.Servers
 	return s.Size.Servers * (1 - math.Exp(-rate*connectionIdleSeconds))
 }
 
@@ -135,8 +137,8 @@
 
 // recordsKept returns the number of settled records that are kept.
 func (s *sums) recordsKept() float64 {
-	once := s.Choice.OnceShare * s.Choice.KeepOnce
-	repeatable := (1 - s.Choice.OnceShare) * s.Choice.KeepRepeatable
+	once := s.Assumptions.OnceShare * s.Assumptions.KeepOnce
+	repeatable := (1 - s.Assumptions.OnceShare) * s.Assumptions.KeepRepeatable
 	return s.Size.Requests * (once + repeatable)
 }
 
@@ -145,13 +147,13 @@
 	t := Table{Name: "demand", Head: []string{"demand", "sum", "value"}}
 	add := func(what, sum, value string) { t.Rows = append(t.Rows, []string{what, sum, value}) }
 	add("followers of the declared state", "entries + sidecars", number(s.followers()))
-	add("followers of a control VM", fmt.Sprintf("over %s VMs", number(s.Choice.ControlVMs)), number(s.followersPerVM()))
+	add("followers of a control VM", fmt.Sprintf("over %s VMs", number(s.Assumptions.ControlVMs)), number(s.followersPerVM()))
 	add("requests of an entry", "requests / entries", number(s.requestsPerEntry())+"/s")
 	add("output of a request", "tokens / requests", number(s.tokensPerRequest())+" tokens")
 	add("life of a request", "first token + output × time between tokens", seconds(s.life()))
 	add("requests in progress", "requests × life", number(s.inProgress()))
 	add("requests in progress at an entry", "/ entries", number(s.inProgressPerEntry()))
-	add("reservations asked of a gate", fmt.Sprintf("%s probes a request / servers", number(s.Choice.Probes)), number(s.sessionsPerGate())+"/s")
+	add("reservations asked of a gate", fmt.Sprintf("%s probes a request / servers", number(s.Assumptions.Probes)), number(s.sessionsPerGate())+"/s")
 	add("gates that an entry has a connection to", "those met within 5 min, requests spread evenly", number(s.gatesOpen()))
 	add("changes", "4,000 a day", number(s.changesPerSecond()*60)+"/min")
 	add("resources and members in view", "34 × (model, 3 versions, 2 pools), servers declared and announced", number(s.stateSize()))
