--- a/internal/capacity/played.go
+++ b/internal/capacity/full_size_run.go
@@ -22,7 +22,7 @@
 
 // FullSizeCost is the value of one measure.
 type FullSizeCost struct {
-	// Role and What identify the measure of the sweep.
+	// Role and Measure identify the measure of the sweep.
 	Role    string `toml:"role"`
 	Measure string `toml:"what"`
 	// Measured is the value of the busiest process, or the longest time.
@@ -40,7 +40,7 @@
 }
 
 // measureName returns the name of a role's measure on the page.
-func measureName(role, what string) string { return strings.TrimPrefix(role+": "+what, ": ") }
+func measureName(role, measure string) string { return strings.TrimPrefix(role+": "+measure, ": ") }
 
 // extrapolate extends the last value of a measure to another size by its power. A negative
 // power counts as zero.
@@ -51,9 +51,9 @@
 
 // predict returns the value that a sweep predicts for a measure at a size, or false if the
 // sweep does not contain the measure.
-func (w Sweep) predict(role, what string, size float64) (float64, bool) {
+func (w Sweep) predict(role, measure string, size float64) (float64, bool) {
 	for _, c := range w.Costs {
-		if c.Role == role && c.Measure == what {
+		if c.Role == role && c.Measure == measure {
 			return w.extrapolate(c, size), true
 		}
 	}
@@ -61,15 +61,15 @@
 }
 
 // table compares the measured values with the predictions.
-func (p FullSizeRun) table(title string, sweeps map[string]Sweep) (Table, error) {
+func (r FullSizeRun) table(title string, sweeps map[string]Sweep) (Table, error) {
 	t := Table{Name: title, Head: []string{
-		fmt.Sprintf("measure (%s, %s VMs, runs %s)", p.Site, number(p.VMs), strings.Join(p.Runs, ", ")),
-		"from the sweep of " + sweeps[p.Sweep].Site, "measured", "factor", "why",
+		fmt.Sprintf("measure (%s, %s VMs, runs %s)", r.Site, number(r.VMs), strings.Join(r.Runs, ", ")),
+		"from the sweep of " + sweeps[r.Sweep].Site, "measured", "factor", "why",
 	}}
-	for _, c := range p.Costs {
-		predicted, ok := sweeps[p.Sweep].predict(c.Role, c.Measure, p.VMs)
+	for _, c := range r.Costs {
+		predicted, ok := sweeps[r.Sweep].predict(c.Role, c.Measure, r.VMs)
 		if !ok {
-			return Table{}, &PredictionError{Sweep: p.Sweep, What: measureName(c.Role, c.Measure)}
+			return Table{}, &PredictionError{Sweep: r.Sweep, What: measureName(c.Role, c.Measure)}
 		}
 		factor := "-"
 		if predicted > 0 {
@@ -80,9 +80,9 @@
 	return t, nil
 }
 
-// played returns the tables of all deployments that were run at their full size, ordered by
-// name.
-func (d Data) played() ([]Table, error) {
+// fullSizeTables returns the tables of all deployments that were run at their full size,
+// ordered by name.
+func (d Data) fullSizeTables() ([]Table, error) {
 	var tables []Table
 	for _, title := range slices.Sorted(maps.Keys(d.FullSizeRuns)) {
 		t, err := d.FullSizeRuns[title].table(title, d.Sweeps)
--- a/internal/capacity/played_test.go
+++ b/internal/capacity/full_size_run_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestPlayedIsComparedWithItsSweep guards against a measured value that is compared with a
+// TestFullSizeRunIsComparedWithItsSweep guards against a measured value that is compared with a
 // prediction for a measure that the sweep does not contain.
-func TestPlayedIsComparedWithItsSweep(t *testing.T) {
+func TestFullSizeRunIsComparedWithItsSweep(t *testing.T) {
 	is := is.New(t)
 	sweeps := map[string]Sweep{"s": {
 		Site: "other", VMs: []float64{10, 100}, Costs: []SweepCosts{{Role: "forwarder", Measure: "memory", Busiest: []float64{1, 10}}},
--- a/internal/capacity/sums.go
+++ b/internal/capacity/sums.go
@@ -53,15 +53,15 @@
 	if unused := s.unused(); len(unused) > 0 {
 		return nil, &UnusedError{Names: unused}
 	}
-	sweeps, err := d.sweeps()
+	sweeps, err := d.sweepTables()
 	if err != nil {
 		return nil, err
 	}
-	played, err := d.played()
+	fullSize, err := d.fullSizeTables()
 	if err != nil {
 		return nil, err
 	}
-	return slices.Concat(tables, sweeps, played, []Table{d.commandTable(), d.measured()}), nil
+	return slices.Concat(tables, sweeps, fullSize, []Table{d.commandTable(), d.measured()}), nil
 }
 
 func (s *sums) line(name string) Line {
--- a/internal/capacity/sweep.go
+++ b/internal/capacity/sweep.go
@@ -100,8 +100,8 @@
 	return t, nil
 }
 
-// sweeps returns the tables of all sweeps, ordered by name.
-func (d Data) sweeps() ([]Table, error) {
+// sweepTables returns the tables of all sweeps, ordered by name.
+func (d Data) sweepTables() ([]Table, error) {
 	var tables []Table
 	for _, name := range slices.Sorted(maps.Keys(d.Sweeps)) {
 		t, err := d.Sweeps[name].table(name)
