--- a/internal/capacity/full_size_run.go
+++ b/internal/capacity/full_size_run.go
@@ -32,11 +32,11 @@
 }
 
 // PredictionError reports a measure that the sweep does not contain.
-type PredictionError struct{ Sweep, What string }
+type PredictionError struct{ Sweep, Measure string }
 
 // Error implements error.
 func (e *PredictionError) Error() string {
-	return fmt.Sprintf("sweep %q has no measure %q", e.Sweep, e.What)
+	return fmt.Sprintf("sweep %q has no measure %q", e.Sweep, e.Measure)
 }
 
 // measureName returns the name of a role's measure on the page.
@@ -69,7 +69,7 @@
 	for _, c := range r.Costs {
 		predicted, ok := sweeps[r.Sweep].predict(c.Role, c.Measure, r.VMs)
 		if !ok {
-			return Table{}, &PredictionError{Sweep: r.Sweep, What: measureName(c.Role, c.Measure)}
+			return Table{}, &PredictionError{Sweep: r.Sweep, Measure: measureName(c.Role, c.Measure)}
 		}
 		factor := "-"
 		if predicted > 0 {
--- a/internal/capacity/full_size_run_test.go
+++ b/internal/capacity/full_size_run_test.go
@@ -22,5 +22,5 @@
 	_, err = p.table("played", sweeps)
 	var typed *PredictionError
 	is.True(errors.As(err, &typed))
-	is.Equal(typed.What, "forwarder: unknown")
+	is.Equal(typed.Measure, "forwarder: unknown")
 }
