--- a/internal/capacity/sweep.go
+++ b/internal/capacity/sweep.go
@@ -38,11 +38,11 @@
 }
 
 // SweepError reports a measure that does not have one value for each size.
-type SweepError struct{ What string }
+type SweepError struct{ Measure string }
 
 // Error implements error.
 func (e *SweepError) Error() string {
-	return fmt.Sprintf("sweep: %s must have one value for each size", e.What)
+	return fmt.Sprintf("sweep: %s must have one value for each size", e.Measure)
 }
 
 // Power returns the power of the size with which the values grow: the slope of the
@@ -79,7 +79,7 @@
 func (w Sweep) table(name string) (Table, error) {
 	t := Table{Name: name, Head: []string{fmt.Sprintf("measure (%s, run %s)", w.Site, w.Run)}}
 	if len(w.Servers) != len(w.VMs) {
-		return Table{}, &SweepError{What: "servers"}
+		return Table{}, &SweepError{Measure: "servers"}
 	}
 	for i, size := range w.VMs {
 		t.Head = append(t.Head, fmt.Sprintf("%s VMs, %s servers", number(size), number(w.Servers[i])))
@@ -87,7 +87,7 @@
 	t.Head = append(t.Head, "power", "at "+number(w.At), "before", "mechanism that carries it")
 	for _, c := range w.Costs {
 		if len(c.Busiest) != len(w.VMs) || len(c.Before) != 0 && len(c.Before) != len(w.VMs) {
-			return Table{}, &SweepError{What: c.Measure}
+			return Table{}, &SweepError{Measure: c.Measure}
 		}
 		row := []string{measureName(c.Role, c.Measure)}
 		for _, v := range c.Busiest {
--- a/internal/capacity/sweep_test.go
+++ b/internal/capacity/sweep_test.go
@@ -27,5 +27,5 @@
 	_, err := w.table("sweep")
 	var typed *SweepError
 	is.True(errors.As(err, &typed))
-	is.Equal(typed.What, "short")
+	is.Equal(typed.Measure, "short")
 }
