--- a/internal/operator/authorize.go
+++ b/internal/operator/authorize.go
@@ -11,14 +11,14 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// whoKey is where the name of the operator stands in a request's context.
+// whoKey is the key of the operator's name in a request's context.
 const whoKey = "who"
 
-// anonymous is an operator without a name.
+// anonymous is the name of an operator who gave none.
 const anonymous = "anonymous"
 
-// operatorsByHash maps the hash of each token to its operator's name. Looking
-// up a hash takes the same time whatever part of a guessed token is right.
+// operatorsByHash maps the hash of each token to its operator's name. The time to
+// look up a hash does not depend on how much of a guessed token is right.
 func operatorsByHash(tokens []string) map[[32]byte]string {
 	operators := make(map[[32]byte]string, len(tokens))
 	for _, token := range tokens {
@@ -35,6 +35,8 @@
 	return operators
 }
 
+// authorize refuses requests without a valid token and stores the name of the operator
+// in the context.
 func (a *api) authorize(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		who, ok := a.operator(c.Request())
@@ -50,11 +52,13 @@
 	}
 }
 
+// operator returns the name of the operator who sent a request, and whether the request
+// is authorized.
 func (a *api) operator(r *http.Request) (string, bool) {
-	secret, given := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-	if given {
-		// A wrong token is refused even where none is needed: the audit would
-		// name somebody else than its sender takes himself for.
+	secret, present := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
+	if present {
+		// A wrong token is refused even if no token is needed. Otherwise the audit
+		// would record another name than the one the sender expects.
 		name, known := a.operators[sha256.Sum256([]byte(secret))]
 		return name, known
 	}
@@ -75,8 +79,9 @@
 	}
 }
 
-// stampAge tells with each answer how old this VM's knowledge may be.
-func (a *api) stampAge(next echo.HandlerFunc) echo.HandlerFunc {
+// setAgeHeader sets a header on each answer that says how old the state of this VM may
+// be.
+func (a *api) setAgeHeader(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		if a.Confirmed != nil {
 			if age, known := a.Confirmed(); known {
--- a/internal/operator/drain.go
+++ b/internal/operator/drain.go
@@ -9,16 +9,17 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// drain declares a server leaving, stopping with ?stop=true, or serving again
-// with ?undo=true, and keeps the rest of what is declared for it. It refuses to
-// take a pool under its minimum unless ?force=true.
+// drain declares that a server is leaving, that it is stopping with ?stop=true, or
+// that it is serving again with ?undo=true. The other declared fields of the server
+// stay unchanged. Unless ?force=true, drain refuses to leave a pool with fewer
+// serving servers than its minimum.
 func (a *api) drain(c *echo.Context) error {
 	key := oriolebend.ResourceKey{Kind: oriolebend.KindServer, Name: c.Param("name")}
 	order, err := a.newOrder(c, oriolebend.ActionApply, key)
 	if err != nil {
 		return err
 	}
-	if first, found := a.answered(order); found {
+	if first, found := a.firstAnswer(order); found {
 		return a.answer(c, first)
 	}
 	if err := a.prepareDrain(c, &order); err != nil {
@@ -29,21 +30,21 @@
 	}
 	result, err := a.propose(c.Request().Context(), order)
 	if err != nil {
-		return a.refused(c, err, order.OrderID)
+		return a.refuseOrRedirect(c, err, order.OrderID)
 	}
 	if result.Outcome == oriolebend.ChangeOrderReused {
-		// The first try of this order was applied after it was looked for.
-		if first, found := a.answered(order); found {
+		// An earlier attempt of this order was applied after the lookup above.
+		if first, found := a.firstAnswer(order); found {
 			result = first
 		}
 	}
 	return a.answer(c, result)
 }
 
-// answered looks up the first answer to an order. A drain is not the same
-// order twice by its content: the first changed the revision that the second
-// builds on.
-func (a *api) answered(order declared.Order) (oriolebend.ChangeResult, bool) {
+// firstAnswer returns the answer that an earlier attempt of an order got. Resending
+// a drain does not produce an equal order, since the first attempt changed the
+// revision that the second expects.
+func (a *api) firstAnswer(order declared.Order) (oriolebend.ChangeResult, bool) {
 	var result oriolebend.ChangeResult
 	var found bool
 	a.Store.Read(func(d *declared.State) { result, found = d.Answered(order.Who, order.OrderID) })
@@ -60,7 +61,7 @@
 	if _, member := view.Servers[order.Name]; !member && !isDeclared {
 		return refuse(oriolebend.ReasonUnknownRequest, "no server "+order.Name+" is declared or announced")
 	}
-	spec.State = drainedState(c)
+	spec.State = requestedState(c)
 	if order.Expect == nil {
 		order.Expect = &held.Revision
 	}
@@ -68,10 +69,10 @@
 	if c.QueryParam("force") == "true" || spec.State == oriolebend.ServerServing {
 		return nil
 	}
-	return underMinimum(view, order.Name)
+	return checkPoolMinimum(view, order.Name)
 }
 
-func drainedState(c *echo.Context) oriolebend.ServerState {
+func requestedState(c *echo.Context) oriolebend.ServerState {
 	switch {
 	case c.QueryParam("undo") == "true":
 		return oriolebend.ServerServing
@@ -81,10 +82,11 @@
 	return oriolebend.ServerLeaving
 }
 
-// underMinimum refuses a drain that a pool can't bear. It draws on the state
-// here and is no lock: operators who drain two servers at once are both told
-// what they do, and the second sees the first in ?current=true reads.
-func underMinimum(view declared.View, name string) error {
+// checkPoolMinimum refuses a drain that would leave a pool with fewer serving servers
+// than its minimum. It reads the state of this VM and takes no lock: if operators
+// drain two servers at the same time, both orders may pass and each operator gets the
+// result of their own order. The second sees the first order in ?current=true reads.
+func checkPoolMinimum(view declared.View, name string) error {
 	server, member := view.Servers[name]
 	if !member || server.State != oriolebend.ServerServing {
 		return nil
@@ -94,20 +96,20 @@
 	if pool == nil {
 		return nil
 	}
-	rest := 0
+	remaining := 0
 	for other, s := range view.Servers {
 		target := view.TargetIn(s, pools[other])
 		stays := s.State == oriolebend.ServerServing && target.State == oriolebend.ServerServing
 		if other != name && pools[other] == pools[name] && stays {
-			rest++
+			remaining++
 		}
 	}
-	if rest >= pool.MinServers {
+	if remaining >= pool.MinServers {
 		return nil
 	}
 	r := refuse(oriolebend.ReasonInvalidResource, fmt.Sprintf(
 		"pool %s would keep %d serving servers of its minimum of %d; ?force=true drains all the same",
-		pools[name], rest, pool.MinServers))
+		pools[name], remaining, pool.MinServers))
 	r.status = statusOf(oriolebend.ReasonRevisionRace)
 	return r
 }
--- a/internal/operator/group.go
+++ b/internal/operator/group.go
@@ -10,16 +10,16 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Group is the group of control VMs, as operators change it. Errors are
+// Group lets operators read and change the group of control VMs. Errors are
 // *oriolebend.Problem values.
 type Group interface {
-	// Group returns this VM's view.
+	// Group returns this VM's view of the group.
 	Group() oriolebend.Group
-	// AddMember adds a VM, which votes once it has caught up.
+	// AddMember adds a VM. It votes once it has caught up with the log.
 	AddMember(ctx context.Context, m message.Member) error
 	// RemoveMember removes a VM.
 	RemoveMember(ctx context.Context, name string) error
-	// Transfer has this VM, if it leads, hand over to another.
+	// Transfer has this VM, if it leads, transfer its leadership to another.
 	Transfer(ctx context.Context) error
 }
 
@@ -33,7 +33,7 @@
 	e.POST("/v1/group/transfer", a.transfer)
 }
 
-func (a *api) group(c *echo.Context) error { return a.done(c, "read", a.Group.Group()) }
+func (a *api) group(c *echo.Context) error { return a.writeOK(c, "read", a.Group.Group()) }
 
 func (a *api) addMember(c *echo.Context) error {
 	var m oriolebend.GroupMember
@@ -55,15 +55,15 @@
 
 func (a *api) transfer(c *echo.Context) error { return a.changeGroup(c, a.Group.Transfer) }
 
-// changeGroup carries a change out at the leader; others redirect to it. All
-// changes may be asked for again.
+// changeGroup executes a change if this VM leads, otherwise it redirects to the
+// leader. Every change may be repeated.
 func (a *api) changeGroup(c *echo.Context, change func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), a.WriteWithin)
 	defer cancel()
 	if err := change(ctx); err != nil {
-		return a.refused(c, err, "")
+		return a.refuseOrRedirect(c, err, "")
 	}
 	who, _ := c.Get(whoKey).(string)
-	a.Logger.Info("group of control VMs", "operation", operation(c), "member", c.Param("name"), "who", who)
-	return a.done(c, "changed", a.Group.Group())
+	a.Logger.Info("group of control VMs changed", "operation", operation(c), "member", c.Param("name"), "who", who)
+	return a.writeOK(c, "changed", a.Group.Group())
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,6 @@
-// Package operator speaks HTTP to operators, on the control VMs: they read,
-// change and watch the declared resources, and see what is reached.
+// Package operator implements the HTTP API that control VMs offer to operators.
+// It reads, changes and watches the declared resources, and reports how far the
+// system has reached the declared state.
 package operator
 
 import (
@@ -15,49 +16,55 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/reached"
 )
 
-// Config sets what the handler stands on.
+// Config holds the settings and the dependencies of the handler.
 type Config struct {
 	// Node is the name of this control VM.
 	Node string
-	// Log is the agreed log, and Store the state that it is applied to.
+	// Log is the replicated log. Store holds the state that it is applied to.
 	Log   control.Log
 	Store *Store
-	// Group is the group of control VMs; nil leaves its routes out.
+	// Group is the group of control VMs; nil means that the API has no routes
+	// for it.
 	Group Group
-	// Routing is the declared routing; nil leaves its routes out.
+	// Routing is the declared routing; nil means that the API has no routes for
+	// it.
 	Routing Routing
-	// Reports returns what each follower has in force; nil means none.
+	// Reports returns the revision that each follower has in force; nil means
+	// that there are no reports.
 	Reports func() []reached.Report
-	// Announcements returns the latest announcement of each server, on the
-	// leader; nil means that they are not known here.
+	// Announcements returns the latest announcement of each server. Only the
+	// leader has them. Nil means that this VM does not know them.
 	Announcements func() map[string]message.Announce
-	// Confirmed tells how long ago this VM knew from a quorum that it has all
-	// changes, and whether it ever did; nil leaves that out of answers.
+	// Confirmed returns how long ago a quorum last confirmed that this VM has
+	// all changes, and whether that ever happened. With nil, answers do not
+	// contain that age.
 	Confirmed func() (time.Duration, bool)
 	// OperatorURL returns the base URL of another control VM's operator API,
-	// such as "http://10.0.0.2:7470", for redirects to the leader; nil or an
-	// empty URL means that orders are refused here unless this VM leads.
+	// such as "http://10.0.0.2:7470", for redirects to the leader. With nil or
+	// an empty URL, this VM refuses orders unless it leads.
 	OperatorURL func(node string) string
-	// Tokens let operators in, each written "name=secret"; the name is kept in
-	// the audit. One without a name is kept under a hash of it.
+	// Tokens are the tokens that operators authenticate with, each written as
+	// "name=secret". The audit records the name. For a token without a name it
+	// records a name made from the hash of the token.
 	Tokens []string
-	// Open lets operators in without a token, under the name they give
-	// themselves in Oriolebend-Who.
+	// Open permits requests without a token. The operator's name is then taken
+	// from the header Oriolebend-Who.
 	Open bool
-	// MaxBodyBytes bounds a request's body; zero means 1 MiB.
+	// MaxBodyBytes limits the body of a request; zero means 1 MiB.
 	MaxBodyBytes int64
-	// WriteWithin bounds how long an order waits for the log; zero means 10s.
+	// WriteWithin is how long an order may wait for the log; zero means 10s.
 	WriteWithin time.Duration
-	// BookmarkEvery is how often a quiet watch says that it lives; zero means
-	// 5s.
+	// BookmarkEvery is how often a watch without changes sends a bookmark, which
+	// shows that the watch still works; zero means 5s.
 	BookmarkEvery time.Duration
-	// Registry takes the counters; nil means that they are not shown.
+	// Registry is where the counters are registered; nil means that they are not
+	// exported.
 	Registry prometheus.Registerer
-	// Logger takes faults of the handler itself; nil means the default one.
+	// Logger logs internal errors of the handler; nil means the default logger.
 	Logger *slog.Logger
 }
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	defaultMaxBodyBytes  = 1 << 20
 	defaultWriteWithin   = 10 * time.Second
@@ -80,7 +87,7 @@
 	return c
 }
 
-// api is the handler's state.
+// api holds the state of the handler.
 type api struct {
 	Config
 	operators map[[32]byte]string
@@ -100,13 +107,13 @@
 	}
 	e := echo.NewWithConfig(echo.Config{Logger: a.Logger, HTTPErrorHandler: a.answerError})
 	a.routes(e)
-	a.zero(e.Router().Routes())
+	a.initCounters(e.Router().Routes())
 	return e
 }
 
-// zero makes each refusal's series exist from the start, so that a rate over
-// its first rise is right.
-func (a *api) zero(routes echo.Routes) {
+// initCounters creates the series of every refusal at the start. Otherwise a rate
+// would not count the first increment of a series.
+func (a *api) initCounters(routes echo.Routes) {
 	for _, r := range routes {
 		a.outcomes.WithLabelValues(r.Method+" "+r.Path, outcomeOK)
 		for reason := range statuses {
@@ -116,7 +123,7 @@
 }
 
 func (a *api) routes(e *echo.Echo) {
-	e.Use(a.limitBody, a.authorize, a.stampAge)
+	e.Use(a.limitBody, a.authorize, a.setAgeHeader)
 	e.GET("/v1/resources", a.list)
 	e.GET("/v1/resources/:kind", a.list)
 	e.GET("/v1/resources/:kind/:name", a.get)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -24,18 +24,18 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// fakeLog is a log of one member: what is proposed is applied at once.
+// fakeLog is a log with one member. It applies each proposal at once.
 type fakeLog struct {
 	mutex  sync.Mutex
 	store  *Store
 	index  uint64
 	leader string
 	self   string
-	// fault, if set, says how the next proposals fail; applied tells whether
-	// the command was carried out all the same.
-	fault   error
+	// failure, if set, is the error of the next proposals. applied is true if
+	// their commands are applied nevertheless.
+	failure error
 	applied bool
-	// stall makes proposals wait until their context ends.
+	// stall makes proposals block until their context ends.
 	stall bool
 }
 
@@ -49,13 +49,13 @@
 	if l.leader != l.self {
 		return nil, &oriolebend.Problem{Reason: oriolebend.ReasonNotLeader, Ran: oriolebend.RanNo}
 	}
-	if l.fault != nil && !l.applied {
-		return nil, l.fault
+	if l.failure != nil && !l.applied {
+		return nil, l.failure
 	}
 	l.index++
 	reply := l.store.Apply(l.index, command)
-	if l.fault != nil {
-		return nil, l.fault
+	if l.failure != nil {
+		return nil, l.failure
 	}
 	return reply, nil
 }
@@ -69,7 +69,7 @@
 
 func (l *fakeLog) Leader() (name, address string) { return l.leader, "" }
 
-// node is a control VM's operator API over a fake log.
+// node is the operator API of a control VM on a fake log.
 type node struct {
 	log    *fakeLog
 	store  *Store
@@ -115,7 +115,8 @@
 	return response.StatusCode, response.Header, string(data)
 }
 
-// TestScripts runs testdata: requests of two operators and what they get.
+// TestScripts runs the scripts in testdata: requests of two operators and the answers
+// that they get.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		reports := []reached.Report{
@@ -155,22 +156,23 @@
 	d.ScanArgs(t, "path", &path)
 	token := map[string]string{"ana": "secret-a", "budi": "secret-b"}[who]
 	status, _, body := n.do(t, d.Cmd, "/v1/"+path, token, id, d.Input)
-	if id == "" { // the server made one up
+	if id == "" { // the server generates an order id
 		body = orderID.ReplaceAllString(body, `"orderID":"made up"`)
 	}
-	return fmt.Sprintf("%d %s\n", status, withoutTimes(t, body))
+	return fmt.Sprintf("%d %s\n", status, stripVariable(t, body))
 }
 
 var orderID = regexp.MustCompile(`"orderID":"[0-9a-f-]{36}"`)
 
-// withoutTimes takes out of a body what differs from run to run.
-func withoutTimes(t *testing.T, body string) string {
+// stripVariable removes the fields of a body that differ between runs, and fields that
+// the scripts do not compare.
+func stripVariable(t *testing.T, body string) string {
 	if body == "" {
 		return ""
 	}
 	var value any
 	is.New(t).NoErr(json.Unmarshal([]byte(body), &value))
-	strip(value)
+	stripFields(value)
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
 	encoder.SetEscapeHTML(false)
@@ -178,7 +180,7 @@
 	return strings.TrimSpace(out.String())
 }
 
-func strip(value any) {
+func stripFields(value any) {
 	switch v := value.(type) {
 	case map[string]any:
 		for _, key := range []string{"at", "heardAgo", "type", "title", "server"} {
@@ -188,16 +190,16 @@
 			v["detail"], _, _ = strings.Cut(detail, ", on 20")
 		}
 		for _, inner := range v {
-			strip(inner)
+			stripFields(inner)
 		}
 	case []any:
 		for _, inner := range v {
-			strip(inner)
+			stripFields(inner)
 		}
 	}
 }
 
-// TestFaults is the contract of writes under faults of the log and the caller.
+// TestFaults checks the answers to writes when the log fails or the request is wrong.
 func TestFaults(t *testing.T) {
 	problem := func(reason oriolebend.Reason, ran oriolebend.Ran) error {
 		return &oriolebend.Problem{Reason: reason, Ran: ran}
@@ -229,12 +231,12 @@
 		},
 		{
 			name: "no quorum", token: "secret-a", body: model, status: 503, reason: "controlAway", ran: "no", retryAfter: true,
-			prepare: func(n *node) { n.log.fault = problem(oriolebend.ReasonControlAway, oriolebend.RanNo) },
+			prepare: func(n *node) { n.log.failure = problem(oriolebend.ReasonControlAway, oriolebend.RanNo) },
 		},
 		{
 			name: "deposed in between", token: "secret-a", body: model, status: 503, reason: "notLeader", ran: "unknown", retryAfter: true,
 			prepare: func(n *node) {
-				n.log.fault = problem(oriolebend.ReasonNotLeader, oriolebend.RanUnknown)
+				n.log.failure = problem(oriolebend.ReasonNotLeader, oriolebend.RanUnknown)
 				n.log.applied = true
 			},
 		},
@@ -268,7 +270,7 @@
 	}
 }
 
-// TestWatchResumes reads a watch, breaks it off and resumes it.
+// TestWatchResumes reads a watch, cancels it and resumes it after the last event.
 func TestWatchResumes(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t, nil)
@@ -301,7 +303,7 @@
 	is.Equal(bookmark.Revision, uint64(5))
 	is.Equal(time.Duration(*bookmark.Age), time.Second)
 	status, _, _ := n.do(t, "GET", "/v1/watch?from=99", "secret-a", "", "")
-	is.Equal(status, 503) // this control VM is behind the watcher
+	is.Equal(status, 503) // the watcher has seen a later revision than that of this control VM
 }
 
 func (n *node) watch(t *testing.T, from uint64) (<-chan oriolebend.WatchEvent, func()) {
--- a/internal/operator/problem.go
+++ b/internal/operator/problem.go
@@ -13,7 +13,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// refusal is a problem with the HTTP status and the result that go with it.
+// refusal is a problem with its HTTP status, and the id and the result of the order
+// if there is one.
 type refusal struct {
 	oriolebend.Problem
 	status  int
@@ -27,7 +28,8 @@
 // Unwrap returns the problem.
 func (r *refusal) Unwrap() error { return &r.Problem }
 
-// statuses are the HTTP statuses of reasons; others are 500.
+// statuses maps reasons to HTTP statuses. A reason that is not listed has status
+// 500.
 var statuses = map[oriolebend.Reason]int{
 	oriolebend.ReasonMalformed:       http.StatusBadRequest,
 	oriolebend.ReasonTooLarge:        http.StatusRequestEntityTooLarge,
@@ -46,10 +48,10 @@
 	oriolebend.ReasonOutcomeLost:     http.StatusGatewayTimeout,
 }
 
-// defaultRetryAfter is told with a 503 that names no time of its own.
+// defaultRetryAfter is the Retry-After of a 503 whose problem has none.
 const defaultRetryAfter = time.Second
 
-// answerError answers a failed request with a problem document.
+// answerError sends a problem document for a failed request.
 func (a *api) answerError(c *echo.Context, err error) {
 	r := a.asRefusal(err)
 	a.outcomes.WithLabelValues(operation(c), string(r.Reason)).Inc()
@@ -70,15 +72,15 @@
 	}
 	body, err := json.Marshal(document)
 	if err != nil {
-		a.Logger.Error("problem document", "error", err)
+		a.Logger.Error("problem document not encoded", "error", err)
 		return
 	}
 	if err := c.Blob(r.status, "application/problem+json", body); err != nil {
-		a.Logger.Debug("operator left before its answer", "error", err)
+		a.Logger.Debug("operator disconnected before the answer was sent", "error", err)
 	}
 }
 
-// asRefusal turns any error of a handler into a refusal.
+// asRefusal converts any error of a handler to a refusal.
 func (a *api) asRefusal(err error) *refusal {
 	var r *refusal
 	if errors.As(err, &r) {
@@ -119,7 +121,7 @@
 	}
 }
 
-// operation names the route of a request for counters.
+// operation returns the method and the route of a request, for counters.
 func operation(c *echo.Context) string {
 	if path := c.Path(); path != "" {
 		return c.Request().Method + " " + path
@@ -127,8 +129,8 @@
 	return "none"
 }
 
-// done counts a request that was answered well and answers it.
-func (a *api) done(c *echo.Context, outcome string, body any) error {
+// writeOK counts a successful request under an outcome and sends its answer.
+func (a *api) writeOK(c *echo.Context, outcome string, body any) error {
 	a.outcomes.WithLabelValues(operation(c), outcome).Inc()
 	return c.JSON(http.StatusOK, body)
 }
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -12,22 +12,23 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// outcomeOK counts reads that were answered.
+// outcomeOK is the outcome under which successful requests are counted, except
+// changes of resources and requests about the group.
 const outcomeOK = "ok"
 
-// listAnswer is the body of lists.
+// listAnswer is the body of an answer that holds a list.
 type listAnswer[T any] struct {
-	// Revision is what the list was true for.
+	// Revision is the revision of the state that the list was read from.
 	Revision uint64 `json:"revision"`
 	Items    []T    `json:"items"`
 }
 
-// read returns the state as it is here. With ?current=true it is first made
-// sure that this VM leads, so that no accepted change is missing.
+// read returns the declared state of this VM. With ?current=true it first confirms
+// that this VM leads, so that no accepted change is missing.
 func (a *api) read(c *echo.Context) (declared.View, error) {
 	if c.QueryParam("current") == "true" {
 		if err := a.Log.Confirm(c.Request().Context()); err != nil {
-			return declared.View{}, a.refused(c, err, "")
+			return declared.View{}, a.refuseOrRedirect(c, err, "")
 		}
 	}
 	view := a.Store.View()
@@ -42,7 +43,7 @@
 	}
 	answer := listAnswer[oriolebend.Resource]{Revision: view.Revision, Items: []oriolebend.Resource{}}
 	answer.Items = append(answer.Items, view.List(oriolebend.ResourceKind(c.Param("kind")))...)
-	return a.done(c, outcomeOK, answer)
+	return a.writeOK(c, outcomeOK, answer)
 }
 
 func keyOf(c *echo.Context) oriolebend.ResourceKey {
@@ -58,15 +59,15 @@
 	if !found {
 		return notFound(keyOf(c))
 	}
-	return a.done(c, outcomeOK, r)
+	return a.writeOK(c, outcomeOK, r)
 }
 
 func notFound(key oriolebend.ResourceKey) error {
 	return refuse(oriolebend.ReasonUnknownRequest, key.String()+" is not declared")
 }
 
-// known gathers what a status is drawn from.
-func (a *api) known(c *echo.Context) (reached.Known, error) {
+// statusInput collects the state that a status is computed from.
+func (a *api) statusInput(c *echo.Context) (reached.Known, error) {
 	view, err := a.read(c)
 	if err != nil {
 		return reached.Known{}, err
@@ -82,27 +83,27 @@
 }
 
 func (a *api) status(c *echo.Context) error {
-	k, err := a.known(c)
+	k, err := a.statusInput(c)
 	if err != nil {
 		return err
 	}
 	status := k.Status()
 	status.Control = a.Node
 	status.Leader, _ = a.Log.Leader()
-	return a.done(c, outcomeOK, status)
+	return a.writeOK(c, outcomeOK, status)
 }
 
 func (a *api) servers(c *echo.Context) error {
-	k, err := a.known(c)
+	k, err := a.statusInput(c)
 	if err != nil {
 		return err
 	}
 	answer := listAnswer[oriolebend.ServerStatus]{Revision: k.View.Revision, Items: k.Servers()}
-	return a.done(c, outcomeOK, answer)
+	return a.writeOK(c, outcomeOK, answer)
 }
 
 func (a *api) explain(c *echo.Context) error {
-	k, err := a.known(c)
+	k, err := a.statusInput(c)
 	if err != nil {
 		return err
 	}
@@ -110,7 +111,7 @@
 	if !found {
 		return notFound(keyOf(c))
 	}
-	return a.done(c, outcomeOK, explanation)
+	return a.writeOK(c, outcomeOK, explanation)
 }
 
 func (a *api) audit(c *echo.Context) error {
@@ -123,10 +124,10 @@
 		answer.Revision = d.Revision()
 		answer.Items = append(answer.Items, d.Audit(after)...)
 	})
-	return a.done(c, outcomeOK, answer)
+	return a.writeOK(c, outcomeOK, answer)
 }
 
-// numberParam reads a query parameter; zero if it is absent.
+// numberParam returns the number in a query parameter, zero if it is absent.
 func numberParam(c *echo.Context, name string) (uint64, error) {
 	text := c.QueryParam(name)
 	if text == "" {
@@ -139,10 +140,11 @@
 	return number, nil
 }
 
-// refused turns an error of the log into an answer. If another VM leads, the
-// operator's program is sent there with a 307, which keeps method and body: the
-// leader checks the token itself, and no hop between hides a lost answer.
-func (a *api) refused(c *echo.Context, err error, orderID string) error {
+// refuseOrRedirect converts an error of the log to an answer. If another VM leads, a
+// 307 redirects the operator's client there, which keeps method and body. With a
+// redirect the leader checks the token itself, and there is no intermediate hop that
+// could hide a lost answer.
+func (a *api) refuseOrRedirect(c *echo.Context, err error, orderID string) error {
 	r := a.asRefusal(err)
 	r.orderID = orderID
 	if r.Reason != oriolebend.ReasonNotLeader || r.Ran != oriolebend.RanNo || a.OperatorURL == nil {
--- a/internal/operator/routing.go
+++ b/internal/operator/routing.go
@@ -16,14 +16,17 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Routing is the declared routing and the backend servers that announce
-// themselves. Errors are *oriolebend.Problem values.
+// Routing gives access to the declared routing and to the backend servers that
+// announced themselves. Errors are *oriolebend.Problem values.
 type Routing interface {
-	// Declare has a routing agreed on, with the document to be read back.
+	// Declare proposes a routing to the log, with the document that readers of
+	// the routing receive.
 	Declare(ctx context.Context, r oriolebend.Routing, document []byte) (routing.Replaced, error)
-	// Routing returns the one in force, confirmed as the newest.
+	// Routing returns the routing in force after a quorum confirmed that it is the
+	// newest.
 	Routing(ctx context.Context) (routing.InForce, error)
-	// Announce and Withdraw take what a backend server says of itself.
+	// Announce applies an announcement of a backend server. Withdraw removes a
+	// server; incarnation is zero if the server did not report it.
 	Announce(ctx context.Context, server message.BackendServer) error
 	Withdraw(ctx context.Context, instance string, incarnation uint64) error
 	// Backends lists the servers that announced themselves to this VM.
@@ -46,7 +49,7 @@
 	defer cancel()
 	current, err := a.Routing.Routing(ctx)
 	if err != nil {
-		return a.refused(c, err, "")
+		return a.refuseOrRedirect(c, err, "")
 	}
 	if current.Version == 0 {
 		return refuse(oriolebend.ReasonUnknownRequest, "no routing was declared yet")
@@ -54,8 +57,8 @@
 	return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, current.Document)
 }
 
-// declareRouting replaces the routing. An unknown field is an error: it would
-// otherwise be read back and never obeyed.
+// declareRouting replaces the routing. An unknown field is an error: otherwise it
+// would be returned to readers but have no effect.
 func (a *api) declareRouting(c *echo.Context) error {
 	document, err := io.ReadAll(c.Request().Body)
 	if err != nil {
@@ -71,7 +74,7 @@
 		return refuse(oriolebend.ReasonInvalidResource, err.Error())
 	}
 	if declared.NeedsKeys() {
-		// Keys are kept and shown as digests, which can be declared again.
+		// Keys are stored and shown as digests, which can be declared again.
 		if document, err = json.Marshal(declared); err != nil {
 			return refuse(oriolebend.ReasonMalformed, "the body can't be kept: "+err.Error())
 		}
@@ -80,11 +83,11 @@
 	defer cancel()
 	replaced, err := a.Routing.Declare(ctx, declared, document)
 	if err != nil {
-		return a.refused(c, err, "")
+		return a.refuseOrRedirect(c, err, "")
 	}
 	who, _ := c.Get(whoKey).(string)
 	a.Logger.Info("routing declared", "version", declared.Version, "inForce", replaced.Version, "who", who)
-	return a.done(c, outcomeOK, oriolebend.RoutingResult{Version: replaced.Version, Changed: replaced.Changed})
+	return a.writeOK(c, outcomeOK, oriolebend.RoutingResult{Version: replaced.Version, Changed: replaced.Changed})
 }
 
 func (a *api) backends(c *echo.Context) error {
@@ -96,10 +99,10 @@
 			SlowFor: oriolebend.Duration(s.SlowFor), Silent: s.Silent,
 		})
 	}
-	return a.done(c, outcomeOK, list)
+	return a.writeOK(c, outcomeOK, list)
 }
 
-// phases are those that a backend server may announce.
+// phases lists the phases that a backend server may announce.
 var phases = []message.ServerPhase{message.PhaseReady, message.PhaseDraining, message.PhaseGone}
 
 func (a *api) announce(c *echo.Context) error {
@@ -118,10 +121,10 @@
 		Instance: c.Param("instance"), Service: b.Service, Address: b.Address, FailureDomain: b.FailureDomain,
 		Slots: b.Slots, Role: b.Role, Phase: phase, Sequence: b.Sequence, Incarnation: b.Incarnation,
 	})
-	return a.told(c, err)
+	return a.acknowledge(c, err)
 }
 
-// withdraw takes the last word of a backend server; the query may name the start
+// withdraw removes a backend server that leaves. The query may name the incarnation
 // that leaves.
 func (a *api) withdraw(c *echo.Context) error {
 	incarnation := uint64(0)
@@ -131,12 +134,13 @@
 			return refuse(oriolebend.ReasonMalformed, "incarnation is not a whole number: "+text)
 		}
 	}
-	return a.told(c, a.Routing.Withdraw(c.Request().Context(), c.Param("instance"), incarnation))
+	return a.acknowledge(c, a.Routing.Withdraw(c.Request().Context(), c.Param("instance"), incarnation))
 }
 
-func (a *api) told(c *echo.Context, err error) error {
+// acknowledge answers an announcement or a withdrawal, which failed if err is not nil.
+func (a *api) acknowledge(c *echo.Context, err error) error {
 	if err != nil {
-		return a.refused(c, err, "")
+		return a.refuseOrRedirect(c, err, "")
 	}
-	return a.done(c, outcomeOK, struct{}{})
+	return a.writeOK(c, outcomeOK, struct{}{})
 }
--- a/internal/operator/store.go
+++ b/internal/operator/store.go
@@ -7,16 +7,16 @@
 	"github.com/oriolebend/oriolebend/internal/reducer/declared"
 )
 
-// Store holds the replicated state machine of a control VM for use by several
-// goroutines: the log applies to it, readers look into it and wait for changes
-// of the declared part. It implements control.Machine.
+// Store guards the replicated state machine of a control VM, so that several
+// goroutines can use it: the log applies commands, readers read the declared part
+// and wait for its changes. It implements control.Machine.
 type Store struct {
 	mutex   sync.RWMutex
 	state   *control.State
 	changed chan struct{}
 }
 
-// NewStore returns a store that holds the empty state.
+// NewStore returns a store with an empty state.
 func NewStore() *Store {
 	return &Store{state: control.NewState(), changed: make(chan struct{})}
 }
@@ -28,7 +28,7 @@
 	before := s.state.Declared.Revision()
 	reply := s.state.Apply(index, command)
 	if s.state.Declared.Revision() != before {
-		s.wake()
+		s.notifyReaders()
 	}
 	return reply
 }
@@ -44,21 +44,22 @@
 func (s *Store) Restore(snapshot []byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	defer s.wake()
+	defer s.notifyReaders()
 	return s.state.Restore(snapshot)
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Read calls a function with the declared state, which must not be changed
-// nor kept. It returns a channel that is closed with the next change.
-func (s *Store) Read(look func(*declared.State)) <-chan struct{} {
+// Read calls a function with the declared state. The function must neither change
+// the state nor use it after it returns. Read returns a channel that is closed at
+// the next change.
+func (s *Store) Read(read func(*declared.State)) <-chan struct{} {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	look(s.state.Declared)
+	read(s.state.Declared)
 	return s.changed
 }
 
--- a/internal/operator/watch.go
+++ b/internal/operator/watch.go
@@ -12,16 +12,16 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// watch streams changes after ?from=, one JSON object a line. A watcher that
-// was cut off resumes from the revision of the last line it read.
+// watch streams the changes after ?from=, one JSON object a line. A client whose
+// connection broke resumes from the revision of the last line that it read.
 func (a *api) watch(c *echo.Context) error {
 	from, err := numberParam(c, "from")
 	if err != nil {
 		return err
 	}
-	changes, whole, next, err := a.since(from)
+	changes, complete, next, err := a.changesSince(from)
 	if err != nil {
-		return a.refused(c, err, "")
+		return a.refuseOrRedirect(c, err, "")
 	}
 	a.outcomes.WithLabelValues(operation(c), outcomeOK).Inc()
 	header := c.Response().Header()
@@ -30,58 +30,59 @@
 	c.Response().WriteHeader(http.StatusOK)
 	w := &watcher{api: a, encoder: json.NewEncoder(c.Response()), flush: http.NewResponseController(c.Response())}
 	for {
-		if err := w.send(changes, whole, next.revision); err != nil {
-			return nil // the watcher left; it has its status line already
+		if err := w.send(changes, complete, next.revision); err != nil {
+			return nil // the client disconnected; the status line was sent already
 		}
 		if !w.wait(c.Request().Context(), next) {
 			return nil
 		}
-		// This state never goes back while it is watched, but a snapshot that
-		// replaces it may.
-		changes, whole, next, err = a.since(next.revision)
+		// The revision never decreases by applied commands, but it may when a
+		// snapshot replaces the state.
+		changes, complete, next, err = a.changesSince(next.revision)
 		if err != nil {
 			return nil
 		}
-		whole = whole && next.revision > 0 // nothing at all is sent once
+		complete = complete && next.revision > 0 // an empty state is sent only once
 	}
 }
 
-// position is how far a watcher is, and what tells it of more.
+// position is the revision up to which a watcher has received changes, and the channel
+// that is closed at the next change.
 type position struct {
 	revision uint64
 	changed  <-chan struct{}
 }
 
-// since reads the changes after a revision; whole is true if they are all
-// there is.
-func (a *api) since(from uint64) (changes []declared.Change, whole bool, next position, err error) {
+// changesSince returns the changes after a revision. If complete is true, they are
+// the complete state instead.
+func (a *api) changesSince(from uint64) (changes []declared.Change, complete bool, next position, err error) {
 	next.changed = a.Store.Read(func(d *declared.State) {
 		var known bool
 		next.revision = d.Revision()
 		changes, known, err = d.Since(from)
-		whole = from == 0 || !known
-		if err == nil && whole {
+		complete = from == 0 || !known
+		if err == nil && complete {
 			changes = d.Everything()
 		}
 	})
-	if err != nil { // this VM is behind what the watcher has seen
+	if err != nil { // the watcher has seen a later revision than that of this VM
 		err = &oriolebend.Problem{
 			Reason: oriolebend.ReasonNotLeader, Ran: oriolebend.RanNo,
 			Detail: err.Error() + ": this control VM is behind", Cause: err,
 		}
 	}
-	return changes, whole, next, err
+	return changes, complete, next, err
 }
 
-// watcher writes one watch.
+// watcher writes the answer to one watch request.
 type watcher struct {
 	api     *api
 	encoder *json.Encoder
 	flush   *http.ResponseController
 }
 
-func (w *watcher) send(changes []declared.Change, whole bool, revision uint64) error {
-	if whole {
+func (w *watcher) send(changes []declared.Change, complete bool, revision uint64) error {
+	if complete {
 		if err := w.encoder.Encode(oriolebend.WatchEvent{Snapshot: true}); err != nil {
 			return err
 		}
@@ -95,8 +96,8 @@
 	bookmark := oriolebend.WatchEvent{Revision: revision, Bookmark: true}
 	if w.api.Confirmed != nil {
 		if age, known := w.api.Confirmed(); known {
-			held := oriolebend.Duration(age)
-			bookmark.Age = &held
+			encodedAge := oriolebend.Duration(age)
+			bookmark.Age = &encodedAge
 		}
 	}
 	if err := w.encoder.Encode(bookmark); err != nil {
@@ -105,8 +106,8 @@
 	return w.flush.Flush()
 }
 
-// wait returns true when there is more to send: changes, or a bookmark that
-// shows that the watch lives.
+// wait waits until there is something to send: changes, or a bookmark that shows that
+// the watch still works. It returns false if the request ended.
 func (w *watcher) wait(ctx context.Context, next position) bool {
 	timer := time.NewTimer(w.api.BookmarkEvery)
 	defer timer.Stop()
--- a/internal/operator/write.go
+++ b/internal/operator/write.go
@@ -18,10 +18,11 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// maxOrderIDBytes bounds an order id, since answers are kept under it.
+// maxOrderIDBytes limits the length of an order id, since answers are stored under
+// it.
 const maxOrderIDBytes = 128
 
-// putBody is the body of a PUT: a resource as GET gives it, or only its spec.
+// putBody is the body of a PUT: a resource as GET returns it, or only its spec.
 type putBody struct {
 	Kind     oriolebend.ResourceKind `json:"kind"`
 	Name     string                  `json:"name"`
@@ -46,7 +47,7 @@
 		return a.invalid(order, err)
 	}
 	order.Resource = &resource
-	return a.carryOut(c, order)
+	return a.execute(c, order)
 }
 
 func readBody(c *echo.Context, key oriolebend.ResourceKey) (putBody, error) {
@@ -67,7 +68,8 @@
 	return body, nil
 }
 
-// invalid answers a resource that fails its checks with all that is wrong.
+// invalid returns the refusal of a resource that fails its checks, with all
+// problems that were found.
 func (a *api) invalid(o declared.Order, err error) error {
 	var fields *oriolebend.InvalidError
 	if !errors.As(err, &fields) {
@@ -85,10 +87,10 @@
 	if err != nil {
 		return err
 	}
-	return a.carryOut(c, order)
+	return a.execute(c, order)
 }
 
-// newOrder reads what all orders have in common.
+// newOrder reads the parts of a request that all orders have in common.
 func (a *api) newOrder(c *echo.Context, action oriolebend.ChangeAction, key oriolebend.ResourceKey) (declared.Order, error) {
 	order := declared.Order{Action: action, Kind: key.Kind, Name: key.Name}
 	order.Who, _ = c.Get(whoKey).(string)
@@ -111,14 +113,15 @@
 	return order, nil
 }
 
-// carryOut proposes an order, or tries it if a dry run was asked for.
-func (a *api) carryOut(c *echo.Context, order declared.Order) error {
+// execute proposes an order to the log. For a dry run it only determines the
+// result.
+func (a *api) execute(c *echo.Context, order declared.Order) error {
 	if c.QueryParam("dryRun") == "true" {
 		return a.answer(c, a.dryRun(order))
 	}
 	result, err := a.propose(c.Request().Context(), order)
 	if err != nil {
-		return a.refused(c, err, order.OrderID)
+		return a.refuseOrRedirect(c, err, order.OrderID)
 	}
 	return a.answer(c, result)
 }
@@ -129,8 +132,9 @@
 	return result
 }
 
-// propose has the log carry an order out. An operator who leaves, or whose
-// connection breaks, does not end it: half an order is worse than a whole one.
+// propose proposes an order to the log. It continues when the operator cancels the
+// request or the connection breaks, since a half-executed order is worse than a
+// complete one.
 func (a *api) propose(ctx context.Context, order declared.Order) (oriolebend.ChangeResult, error) {
 	return a.proposeCommand(ctx, declared.Command{At: time.Now(), Order: &order})
 }
@@ -153,7 +157,7 @@
 	return control.Decode[oriolebend.ChangeResult](reply)
 }
 
-// advance lifts the revision counter to ?to= after a restore from a backup.
+// advance raises the revision counter to ?to= after a restore from a backup.
 func (a *api) advance(c *echo.Context) error {
 	to, err := numberParam(c, "to")
 	if err != nil {
@@ -163,7 +167,7 @@
 	command := declared.Command{At: time.Now(), Advance: &declared.Advance{To: to, Who: who}}
 	result, err := a.proposeCommand(c.Request().Context(), command)
 	if err != nil {
-		return a.refused(c, err, "")
+		return a.refuseOrRedirect(c, err, "")
 	}
 	return a.answer(c, result)
 }
@@ -175,19 +179,19 @@
 	}
 }
 
-// answer tells an operator what an order met.
+// answer sends the result of an order to the operator.
 func (a *api) answer(c *echo.Context, result oriolebend.ChangeResult) error {
 	if result.Done() {
 		outcome := string(result.Outcome)
 		if result.Resent {
 			outcome += "Resent"
 		}
-		return a.done(c, outcome, result)
+		return a.writeOK(c, outcome, result)
 	}
 	return resultRefusal(result)
 }
 
-// resultRefusal makes the problem document of an order that was refused.
+// resultRefusal returns the refusal of an order that was not applied.
 func resultRefusal(result oriolebend.ChangeResult) error {
 	r := refuse(resultReasons[result.Outcome], resultDetail(result))
 	r.result = &result
