--- a/internal/operator/group.go
+++ b/internal/operator/group.go
@@ -58,7 +58,7 @@
 // changeGroup executes a change if this VM leads, otherwise it redirects to the
 // leader. Every change may be repeated.
 func (a *api) changeGroup(c *echo.Context, change func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(c.Request().Context(), a.WriteWithin)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), a.WriteTimeout)
 	defer cancel()
 	if err := change(ctx); err != nil {
 		return a.refuseOrRedirect(c, err, "")
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -52,8 +52,8 @@
 	Open bool
 	// MaxBodyBytes limits the body of a request; zero means 1 MiB.
 	MaxBodyBytes int64
-	// WriteWithin is how long an order may wait for the log; zero means 10s.
-	WriteWithin time.Duration
+	// WriteTimeout is how long an order may wait for the log; zero means 10s.
+	WriteTimeout time.Duration
 	// BookmarkEvery is how often a watch without changes sends a bookmark, which
 	// shows that the watch still works; zero means 5s.
 	BookmarkEvery time.Duration
@@ -67,7 +67,7 @@
 // Default values of Config.
 const (
 	defaultMaxBodyBytes  = 1 << 20
-	defaultWriteWithin   = 10 * time.Second
+	defaultWriteTimeout  = 10 * time.Second
 	defaultBookmarkEvery = 5 * time.Second
 )
 
@@ -75,8 +75,8 @@
 	if c.MaxBodyBytes == 0 {
 		c.MaxBodyBytes = defaultMaxBodyBytes
 	}
-	if c.WriteWithin == 0 {
-		c.WriteWithin = defaultWriteWithin
+	if c.WriteTimeout == 0 {
+		c.WriteTimeout = defaultWriteTimeout
 	}
 	if c.BookmarkEvery == 0 {
 		c.BookmarkEvery = defaultBookmarkEvery
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -249,7 +249,7 @@
 			is := is.New(t)
 			n := newNode(t, func(c *Config) {
 				c.OperatorURL = func(node string) string { return "http://" + node }
-				c.WriteWithin = 10 * time.Millisecond
+				c.WriteTimeout = 10 * time.Millisecond
 			})
 			if test.prepare != nil {
 				test.prepare(n)
--- a/internal/operator/routing.go
+++ b/internal/operator/routing.go
@@ -45,7 +45,7 @@
 }
 
 func (a *api) readRouting(c *echo.Context) error {
-	ctx, cancel := context.WithTimeout(c.Request().Context(), a.WriteWithin)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), a.WriteTimeout)
 	defer cancel()
 	current, err := a.Routing.Routing(ctx)
 	if err != nil {
@@ -79,7 +79,7 @@
 			return refuse(oriolebend.ReasonMalformed, "the body can't be kept: "+err.Error())
 		}
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), a.WriteWithin)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), a.WriteTimeout)
 	defer cancel()
 	replaced, err := a.Routing.Declare(ctx, declared, document)
 	if err != nil {
--- a/internal/operator/write.go
+++ b/internal/operator/write.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		return result, err
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), a.WriteWithin)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), a.WriteTimeout)
 	defer cancel()
 	reply, err := a.Log.Propose(ctx, command)
 	if errors.Is(err, context.DeadlineExceeded) {
