--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -54,9 +54,9 @@
 	MaxBodyBytes int64
 	// WriteTimeout is how long an order may wait for the log; zero means 10s.
 	WriteTimeout time.Duration
-	// BookmarkEvery is how often a watch without changes sends a bookmark, which
+	// BookmarkInterval is how often a watch without changes sends a bookmark, which
 	// shows that the watch still works; zero means 5s.
-	BookmarkEvery time.Duration
+	BookmarkInterval time.Duration
 	// Registry is where the counters are registered; nil means that they are not
 	// exported.
 	Registry prometheus.Registerer
@@ -66,9 +66,9 @@
 
 // Default values of Config.
 const (
-	defaultMaxBodyBytes  = 1 << 20
-	defaultWriteTimeout  = 10 * time.Second
-	defaultBookmarkEvery = 5 * time.Second
+	defaultMaxBodyBytes     = 1 << 20
+	defaultWriteTimeout     = 10 * time.Second
+	defaultBookmarkInterval = 5 * time.Second
 )
 
 func (c Config) withDefaults() Config {
@@ -78,8 +78,8 @@
 	if c.WriteTimeout == 0 {
 		c.WriteTimeout = defaultWriteTimeout
 	}
-	if c.BookmarkEvery == 0 {
-		c.BookmarkEvery = defaultBookmarkEvery
+	if c.BookmarkInterval == 0 {
+		c.BookmarkInterval = defaultBookmarkInterval
 	}
 	if c.Logger == nil {
 		c.Logger = slog.Default()
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -81,9 +81,9 @@
 	n.log = &fakeLog{store: n.store, leader: "c1", self: "c1"}
 	config := Config{
 		Node: "c1", Log: n.log, Store: n.store,
-		Tokens:        []string{"ana=secret-a", "budi=secret-b"},
-		Confirmed:     func() (time.Duration, bool) { return time.Second, true },
-		BookmarkEvery: 20 * time.Millisecond,
+		Tokens:           []string{"ana=secret-a", "budi=secret-b"},
+		Confirmed:        func() (time.Duration, bool) { return time.Second, true },
+		BookmarkInterval: 20 * time.Millisecond,
 	}
 	if change != nil {
 		change(&config)
--- a/internal/operator/watch.go
+++ b/internal/operator/watch.go
@@ -109,7 +109,7 @@
 // wait waits until there is something to send: changes, or a bookmark that shows that
 // the watch still works. It returns false if the request ended.
 func (w *watcher) wait(ctx context.Context, next position) bool {
-	timer := time.NewTimer(w.api.BookmarkEvery)
+	timer := time.NewTimer(w.api.BookmarkInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/pkg/oriolebend/client/client_test.go
+++ b/pkg/oriolebend/client/client_test.go
@@ -42,9 +42,9 @@
 	serve := func(name string, leads bool) string {
 		config := operator.Config{
 			Node: name, Store: store, Log: oneLog{store: store, leads: leads},
-			Tokens:        []string{"ana=secret"},
-			OperatorURL:   func(string) string { return leader },
-			BookmarkEvery: 10 * time.Millisecond,
+			Tokens:           []string{"ana=secret"},
+			OperatorURL:      func(string) string { return leader },
+			BookmarkInterval: 10 * time.Millisecond,
 		}
 		server := httptest.NewServer(operator.New(config))
 		t.Cleanup(server.Close)
