--- a/internal/operator/command/command.go
+++ b/internal/operator/command/command.go
@@ -1,5 +1,6 @@
-// Package command holds the operators' subcommands: they speak to the operator
-// API and print tables for people or JSON for programs.
+// Package command implements the operators' subcommands. They send requests to the
+// operator API, or read log files or a data folder, and print tables for people or
+// JSON for programs.
 package command
 
 import (
@@ -16,11 +17,11 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend/client"
 )
 
-// Exit codes of the operators' commands, beside those that all commands have:
+// Exit codes of the operators' commands. The codes 0 to 4 are common to all commands:
 // 0 done, 1 failed, 2 wrong command line, 3 wrong settings, 4 refused.
 const (
 	ExitUsage    = 2 // the command line is wrong
-	ExitRefused  = 4 // refused for another reason than those below
+	ExitRefused  = 4 // refused for a reason without a code of its own
 	ExitRaced    = 5 // another change won; nothing was changed
 	ExitInvalid  = 6 // a resource fails its checks; nothing was changed
 	ExitNotFound = 7 // there is no such resource or server
@@ -28,7 +29,7 @@
 	ExitWaiting  = 9 // accepted, but not in force within --wait
 )
 
-// ExitError ends a command with an exit code.
+// ExitError is the error of a command with the exit code of the program.
 type ExitError struct {
 	Code  int
 	Cause error
@@ -37,13 +38,13 @@
 // Error implements error.
 func (e *ExitError) Error() string { return e.Cause.Error() }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *ExitError) Unwrap() error { return e.Cause }
 
 // ExitCode returns the exit code.
 func (e *ExitError) ExitCode() int { return e.Code }
 
-// UsageError is a command line that can't be carried out.
+// UsageError describes a wrong command line.
 type UsageError struct{ Text string }
 
 // Error implements error.
@@ -53,7 +54,7 @@
 	return &ExitError{Code: ExitUsage, Cause: &UsageError{Text: fmt.Sprintf(format, args...)}}
 }
 
-// noArguments refuses arguments of a command that takes flags alone.
+// noArguments returns an error if a command that takes only flags got arguments.
 func noArguments(args []string) error {
 	if len(args) > 0 {
 		return usage("this command takes no argument, got %q", args[0])
@@ -61,8 +62,8 @@
 	return nil
 }
 
-// Commands returns the operators' subcommands. They print to out, and what is
-// no answer to errOut.
+// Commands returns the operators' subcommands. They print results to out, and errors
+// and notes to errOut.
 func Commands(out, errOut io.Writer) []*ff.Command {
 	return []*ff.Command{
 		getCommand(out),
@@ -81,14 +82,14 @@
 	}
 }
 
-// Forms of output.
+// Output formats.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// connection holds the flags that all commands have.
-type connection struct {
+// connectionFlags holds the flags of all commands that send requests to control VMs.
+type connectionFlags struct {
 	flags     *ff.FlagSet
 	addresses *[]string
 	token     *string
@@ -97,19 +98,19 @@
 	timeout   *time.Duration
 }
 
-func newConnection(name string) *connection {
+func newConnectionFlags(name string) *connectionFlags {
 	flags := ff.NewFlagSet(name)
-	return &connection{
+	return &connectionFlags{
 		flags:     flags,
 		addresses: flags.StringListLong("control", "base URL of a control VM's operator API; repeat or separate by commas"),
 		token:     flags.StringLong("token", "", "operator's token"),
-		who:       flags.StringLong("who", "", "operator's name, where no token is asked for"),
-		output:    flags.StringEnumLong("output", "form of what is printed", outputTable, outputJSON),
-		timeout:   flags.DurationLong("timeout", 30*time.Second, "how long to try"),
+		who:       flags.StringLong("who", "", "operator's name, for control VMs that need no token"),
+		output:    flags.StringEnumLong("output", "output format", outputTable, outputJSON),
+		timeout:   flags.DurationLong("timeout", 30*time.Second, "time limit of the command"),
 	}
 }
 
-func (c *connection) client() (*client.Client, error) {
+func (c *connectionFlags) client() (*client.Client, error) {
 	var addresses []string
 	for _, listed := range *c.addresses {
 		addresses = append(addresses, strings.FieldsFunc(listed, func(r rune) bool { return r == ',' || r == ' ' })...)
@@ -120,20 +121,21 @@
 	return client.New(client.Config{Addresses: addresses, Token: *c.token, Who: *c.who}), nil
 }
 
-func (c *connection) json() bool { return *c.output == outputJSON }
+func (c *connectionFlags) json() bool { return *c.output == outputJSON }
 
-// run connects and runs a command within its timeout.
-func (c *connection) run(ctx context.Context, do func(context.Context, *client.Client) error) error {
+// run calls do with a client of the control VMs, within the timeout of the command.
+func (c *connectionFlags) run(ctx context.Context, do func(context.Context, *client.Client) error) error {
 	connected, err := c.client()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, *c.timeout)
 	defer cancel()
-	return coded(do(ctx, connected))
+	return withExitCode(do(ctx, connected))
 }
 
-// exitCodes are the codes of reasons; others are ExitRefused.
+// exitCodes maps reasons to exit codes. A reason that is not listed has the code
+// ExitRefused.
 var exitCodes = map[oriolebend.Reason]int{
 	oriolebend.ReasonRevisionRace:    ExitRaced,
 	oriolebend.ReasonKeyReused:       ExitRaced,
@@ -147,8 +149,8 @@
 	oriolebend.ReasonInternal:        ExitAway,
 }
 
-// coded gives an error of the client its exit code.
-func coded(err error) error {
+// withExitCode adds the exit code to an error of the client.
+func withExitCode(err error) error {
 	var refused *client.Error
 	if !errors.As(err, &refused) {
 		return err
@@ -160,7 +162,7 @@
 	return &ExitError{Code: code, Cause: err}
 }
 
-// parseKey reads "kind/name" or two arguments.
+// parseKey parses the name of a resource, given as "kind/name" or as two arguments.
 func parseKey(args []string) (oriolebend.ResourceKey, error) {
 	if len(args) == 1 {
 		args = strings.SplitN(args[0], "/", 2)
--- a/internal/operator/command/command_test.go
+++ b/internal/operator/command/command_test.go
@@ -24,19 +24,19 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// alone is the log of a control VM that is the only one.
-type alone struct{ store *operator.Store }
+// singleMemberLog is the log of a group with one control VM.
+type singleMemberLog struct{ store *operator.Store }
 
-func (l alone) Propose(_ context.Context, command []byte) ([]byte, error) {
+func (l singleMemberLog) Propose(_ context.Context, command []byte) ([]byte, error) {
 	return l.store.Apply(0, command), nil
 }
 
-func (l alone) Confirm(context.Context) error { return nil }
+func (l singleMemberLog) Confirm(context.Context) error { return nil }
 
-func (l alone) Leader() (name, address string) { return "c1", "" }
+func (l singleMemberLog) Leader() (name, address string) { return "c1", "" }
 
-// TestCommands runs the scripts of testdata, each against a control VM of its
-// own. "run CODE ARGS" runs a command and checks its exit code.
+// TestCommands runs each script in testdata against a control VM of its own.
+// "run CODE ARGS" runs a command and checks its exit code.
 func TestCommands(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   "testdata/scripts",
@@ -59,7 +59,7 @@
 	}
 	store.Apply(0, command)
 	server := httptest.NewServer(operator.New(operator.Config{
-		Node: "c1", Store: store, Log: alone{store: store}, Open: true, Group: &groupOfOne{},
+		Node: "c1", Store: store, Log: singleMemberLog{store: store}, Open: true, Group: &fakeGroup{},
 		Reports: func() []reached.Report {
 			return []reached.Report{{Node: "entry-1", Revision: 4, At: time.Now(), Control: "c1"}}
 		},
@@ -69,27 +69,27 @@
 	return makeFolder(filepath.Join(env.WorkDir, "data"))
 }
 
-// groupOfOne is a group that keeps what it is told.
-type groupOfOne struct{ members []oriolebend.GroupMember }
+// fakeGroup is a group that stores the members that are added.
+type fakeGroup struct{ members []oriolebend.GroupMember }
 
-func (g *groupOfOne) Group() oriolebend.Group {
+func (g *fakeGroup) Group() oriolebend.Group {
 	return oriolebend.Group{Node: "c1", Role: "leader", Term: 3, Leader: "c1", Members: g.members}
 }
 
-func (g *groupOfOne) AddMember(_ context.Context, m message.Member) error {
+func (g *fakeGroup) AddMember(_ context.Context, m message.Member) error {
 	g.members = append(g.members, oriolebend.GroupMember{Name: m.Name, Address: m.Address, Match: 7})
 	return nil
 }
 
-func (g *groupOfOne) RemoveMember(context.Context, string) error {
+func (g *fakeGroup) RemoveMember(context.Context, string) error {
 	return &oriolebend.Problem{
 		Reason: oriolebend.ReasonInvalidResource, Ran: oriolebend.RanNo, Detail: "the rest would be too few",
 	}
 }
 
-func (g *groupOfOne) Transfer(context.Context) error { return nil }
+func (g *fakeGroup) Transfer(context.Context) error { return nil }
 
-// makeFolder makes the data folder of a stopped control VM.
+// makeFolder creates the data folder of a stopped control VM.
 func makeFolder(folder string) error {
 	store, _, err := disk.Open(disk.Config{Folder: folder, Group: "control", Name: "c1"})
 	if err != nil {
--- a/internal/operator/command/crashes.go
+++ b/internal/operator/command/crashes.go
@@ -13,17 +13,18 @@
 	"github.com/oriolebend/oriolebend/internal/requestlog"
 )
 
-// mostSuspects bounds the requests that are printed as a table; the output for programs
-// has all of them.
-const mostSuspects = 10
+// maxSuspectRows limits the requests in the printed table. The JSON output has all of
+// them.
+const maxSuspectRows = 10
 
-// explainCrashesCommand reads logs and asks no control VM.
+// explainCrashesCommand returns a command that reads log files and sends no request to
+// control VMs.
 func explainCrashesCommand(out io.Writer) *ff.Command {
 	flags := ff.NewFlagSet("crashes")
-	output := flags.StringEnumLong("output", "form of what is printed", outputTable, outputJSON)
+	output := flags.StringEnumLong("output", "output format", outputTable, outputJSON)
 	return &ff.Command{
 		Name: "crashes", Usage: "oriolebend explain crashes [FLAGS] LOG...", Flags: flags,
-		ShortHelp: "tell from log files which servers ended, and which request may be why",
+		ShortHelp: "find in log files which servers crashed, and which requests may have caused it",
 		LongHelp:  "Example:\n  oriolebend explain crashes forwarder-*.log",
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) == 0 {
@@ -60,7 +61,7 @@
 	}
 	fmt.Fprintln(out)
 	rows = nil
-	for _, s := range found.Suspects[:min(mostSuspects, len(found.Suspects))] {
+	for _, s := range found.Suspects[:min(maxSuspectRows, len(found.Suspects))] {
 		rows = append(rows, []string{
 			s.Fingerprint, s.Route, strconv.Itoa(len(s.Servers)), strconv.Itoa(len(s.Tries)), strconv.Itoa(s.Answered), strconv.FormatBool(s.Held),
 		})
--- a/internal/operator/command/file.go
+++ b/internal/operator/command/file.go
@@ -14,19 +14,19 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// entry is one resource of a file, as it will be sent.
-type entry struct {
+// fileEntry is one resource in a file.
+type fileEntry struct {
 	Kind     oriolebend.ResourceKind `json:"kind"`
 	Name     string                  `json:"name"`
 	Revision uint64                  `json:"revision,omitempty"`
 	Spec     json.RawMessage         `json:"spec"`
 }
 
-func (e entry) key() oriolebend.ResourceKey {
+func (e fileEntry) key() oriolebend.ResourceKey {
 	return oriolebend.ResourceKey{Kind: e.Kind, Name: e.Name}
 }
 
-// FileError means that a file of resources can't be read.
+// FileError means that a file with resources or a routing can't be read.
 type FileError struct {
 	File  string
 	Cause error
@@ -35,12 +35,12 @@
 // Error implements error.
 func (e *FileError) Error() string { return e.File + ": " + e.Cause.Error() }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// readFile reads the resources of a TOML or JSON file, or of standard input
-// for "-", in an order in which they can be applied.
-func readFile(name string, stdin io.Reader) ([]entry, error) {
+// readFile reads the resources in a TOML or JSON file, or from standard input for
+// "-". It returns them in an order in which they can be applied.
+func readFile(name string, stdin io.Reader) ([]fileEntry, error) {
 	data, err := readAll(name, stdin)
 	if err != nil {
 		return nil, &FileError{File: name, Cause: err}
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, &ExitError{Code: ExitInvalid, Cause: &FileError{File: name, Cause: err}}
 	}
-	slices.SortStableFunc(entries, func(a, b entry) int { return rank(a.Kind) - rank(b.Kind) })
+	slices.SortStableFunc(entries, func(a, b fileEntry) int { return applyOrder(a.Kind) - applyOrder(b.Kind) })
 	return entries, nil
 }
 
@@ -60,14 +60,15 @@
 	return os.ReadFile(name)
 }
 
-// rank puts what is referred to before what refers to it.
-func rank(kind oriolebend.ResourceKind) int {
+// applyOrder returns the position of a kind in the order of application. A kind comes
+// before the kinds that refer to it.
+func applyOrder(kind oriolebend.ResourceKind) int {
 	return slices.Index(oriolebend.ResourceKinds(), kind)
 }
 
-// parse reads TOML with a [[resources]] table for each resource, or JSON: one
-// resource, a list of them, or what "get --output json" prints.
-func parse(name string, data []byte) ([]entry, error) {
+// parse parses TOML with a [[resources]] table for each resource, or JSON. The JSON is
+// one resource, a list of resources, or the output of "get --output json".
+func parse(name string, data []byte) ([]fileEntry, error) {
 	text := strings.TrimSpace(string(data))
 	if filepath.Ext(name) != ".toml" && (strings.HasPrefix(text, "{") || strings.HasPrefix(text, "[") && !strings.HasPrefix(text, "[[")) {
 		return parseJSON([]byte(text))
@@ -85,25 +86,25 @@
 	return parseJSON(encoded)
 }
 
-func parseJSON(data []byte) ([]entry, error) {
-	var entries []entry
+func parseJSON(data []byte) ([]fileEntry, error) {
+	var entries []fileEntry
 	if err := json.Unmarshal(data, &entries); err == nil {
-		return checked(entries)
+		return checkNames(entries)
 	}
 	var list struct {
-		Items []entry `json:"items"`
+		Items []fileEntry `json:"items"`
 	}
 	if err := json.Unmarshal(data, &list); err == nil && len(list.Items) > 0 {
-		return checked(list.Items)
+		return checkNames(list.Items)
 	}
-	var one entry
+	var one fileEntry
 	if err := json.Unmarshal(data, &one); err != nil {
 		return nil, err
 	}
-	return checked([]entry{one})
+	return checkNames([]fileEntry{one})
 }
 
-// NamelessError is a resource of a file without its kind or name.
+// NamelessError means that a resource in a file has no kind or no name.
 type NamelessError struct{ Index int }
 
 // Error implements error.
@@ -111,7 +112,8 @@
 	return fmt.Sprintf("resource %d has no kind or no name", e.Index+1)
 }
 
-func checked(entries []entry) ([]entry, error) {
+// checkNames returns a *NamelessError if a resource has no kind or no name.
+func checkNames(entries []fileEntry) ([]fileEntry, error) {
 	for i, e := range entries {
 		if e.Kind == "" || e.Name == "" {
 			return nil, &NamelessError{Index: i}
--- a/internal/operator/command/folder.go
+++ b/internal/operator/command/folder.go
@@ -12,7 +12,7 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// folderCommand works on the data folder of a control VM that is stopped.
+// folderCommand returns the command for the data folder of a stopped control VM.
 func folderCommand(out io.Writer) *ff.Command {
 	return &ff.Command{
 		Name: "folder", Usage: "oriolebend folder <inspect | backup | restore> [FLAGS]",
@@ -74,8 +74,8 @@
 
 func folderRestoreCommand(out io.Writer) *ff.Command {
 	flags := ff.NewFlagSet("restore")
-	name := flags.StringLong("name", "", "the control VM that will run on the folder; empty keeps the backup's")
-	generation := flags.Uint64Long("generation", 0, "a number higher than any in use; zero is one more than the backup's")
+	name := flags.StringLong("name", "", "name of the control VM that will use the folder; empty keeps the backup's")
+	generation := flags.Uint64Long("generation", 0, "generation of the folder, higher than any in use; zero means one more than the backup's")
 	members := flags.StringListLong("member", "NAME=IP:PORT of each control VM of the restored group; none keeps the backup's")
 	return &ff.Command{
 		Name: "restore", Usage: "oriolebend folder restore [FLAGS] BACKUP FOLDER", Flags: flags,
--- a/internal/operator/command/group.go
+++ b/internal/operator/command/group.go
@@ -12,7 +12,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend/client"
 )
 
-// groupCommand shows and changes the group of control VMs.
+// groupCommand returns the command that shows and changes the group of control VMs.
 func groupCommand(out io.Writer) *ff.Command {
 	return &ff.Command{
 		Name: "group", Usage: "oriolebend group <status | add | remove | transfer> [FLAGS]",
@@ -25,8 +25,8 @@
 	}
 }
 
-// groupRun runs one call and prints the group after it.
-func groupRun(ctx context.Context, c *connection, out io.Writer, call func(context.Context, *client.Client) (oriolebend.Group, error)) error {
+// groupRun calls the operator API once and prints the group that it returns.
+func groupRun(ctx context.Context, c *connectionFlags, out io.Writer, call func(context.Context, *client.Client) (oriolebend.Group, error)) error {
 	return c.run(ctx, func(ctx context.Context, api *client.Client) error {
 		group, err := call(ctx, api)
 		if err != nil {
@@ -40,10 +40,10 @@
 }
 
 func groupStatusCommand(out io.Writer) *ff.Command {
-	c := newConnection("status")
+	c := newConnectionFlags("status")
 	return &ff.Command{
 		Name: "status", Usage: "oriolebend group status [FLAGS]", Flags: c.flags,
-		ShortHelp: "print one control VM's view; the leader's tells how far each VM is",
+		ShortHelp: "print the view of one control VM; the leader's shows how far each VM has come",
 		Exec: func(ctx context.Context, args []string) error {
 			if err := noArguments(args); err != nil {
 				return err
@@ -56,7 +56,7 @@
 }
 
 func groupAddCommand(out io.Writer) *ff.Command {
-	c := newConnection("add")
+	c := newConnectionFlags("add")
 	address := c.flags.StringLong("address", "", "IP:port of the VM's peer address")
 	domain := c.flags.StringLong("failure-domain", "", "the VM's failure domain")
 	return &ff.Command{
@@ -75,7 +75,7 @@
 }
 
 func groupRemoveCommand(out io.Writer) *ff.Command {
-	c := newConnection("remove")
+	c := newConnectionFlags("remove")
 	return &ff.Command{
 		Name: "remove", Usage: "oriolebend group remove [FLAGS] NAME", Flags: c.flags,
 		ShortHelp: "remove a control VM",
@@ -91,7 +91,7 @@
 }
 
 func groupTransferCommand(out io.Writer) *ff.Command {
-	c := newConnection("transfer")
+	c := newConnectionFlags("transfer")
 	return &ff.Command{
 		Name: "transfer", Usage: "oriolebend group transfer [FLAGS]", Flags: c.flags,
 		ShortHelp: "have the leader hand over to another control VM",
--- a/internal/operator/command/read.go
+++ b/internal/operator/command/read.go
@@ -14,7 +14,7 @@
 )
 
 func getCommand(out io.Writer) *ff.Command {
-	c := newConnection("get")
+	c := newConnectionFlags("get")
 	return &ff.Command{
 		Name: "get", Usage: "oriolebend get [FLAGS] [KIND | KIND/NAME]", Flags: c.flags,
 		ShortHelp: "print declared resources",
@@ -25,7 +25,7 @@
 	}
 }
 
-func get(ctx context.Context, api *client.Client, c *connection, out io.Writer, args []string) error {
+func get(ctx context.Context, api *client.Client, c *connectionFlags, out io.Writer, args []string) error {
 	key, err := parseKey(args)
 	if err == nil {
 		return getOne(ctx, api, c, out, key)
@@ -47,7 +47,7 @@
 	return printResources(out, list.Items)
 }
 
-func getOne(ctx context.Context, api *client.Client, c *connection, out io.Writer, key oriolebend.ResourceKey) error {
+func getOne(ctx context.Context, api *client.Client, c *connectionFlags, out io.Writer, key oriolebend.ResourceKey) error {
 	r, err := api.Get(ctx, key)
 	if err != nil {
 		return err
@@ -59,13 +59,13 @@
 }
 
 func watchCommand(out io.Writer) *ff.Command {
-	c := newConnection("watch")
-	from := c.flags.Uint64Long("from", 0, "revision to resume after; 0 begins with everything")
-	follow := c.flags.BoolLongDefault("follow", true, "go on after what is there; --follow=false ends then")
+	c := newConnectionFlags("watch")
+	from := c.flags.Uint64Long("from", 0, "revision after which the watch resumes; 0 starts with the complete state")
+	follow := c.flags.BoolLongDefault("follow", true, "keep printing changes after the current state; --follow=false exits then")
 	return &ff.Command{
 		Name: "watch", Usage: "oriolebend watch [FLAGS]", Flags: c.flags,
 		ShortHelp: "print declared resources and servers as they change",
-		LongHelp: "A watch has no --timeout. Its last revision can be given as --from to resume it.\n\n" +
+		LongHelp: "A watch has no --timeout. To resume it, give its last revision as --from.\n\n" +
 			"Example:\n  oriolebend watch --control http://127.0.0.1:8081",
 		Exec: func(ctx context.Context, args []string) error {
 			if err := noArguments(args); err != nil {
@@ -75,17 +75,17 @@
 			if err != nil {
 				return err
 			}
-			return coded(watch(ctx, api, c, out, *from, *follow))
+			return withExitCode(watch(ctx, api, c, out, *from, *follow))
 		},
 	}
 }
 
-// endOfWatch ends a watch that is not to go on.
+// endOfWatch is the error that ends a watch with --follow=false after the current state.
 type endOfWatch struct{}
 
-func (endOfWatch) Error() string { return "all was sent" }
+func (endOfWatch) Error() string { return "the current state is complete" }
 
-func watch(ctx context.Context, api *client.Client, c *connection, out io.Writer, from uint64, follow bool) error {
+func watch(ctx context.Context, api *client.Client, c *connectionFlags, out io.Writer, from uint64, follow bool) error {
 	lines := json.NewEncoder(out)
 	err := api.Watch(ctx, from, func(e oriolebend.WatchEvent) error {
 		if c.json() {
@@ -107,10 +107,10 @@
 }
 
 func statusCommand(out io.Writer) *ff.Command {
-	c := newConnection("status")
+	c := newConnectionFlags("status")
 	return &ff.Command{
 		Name: "status", Usage: "oriolebend status [FLAGS]", Flags: c.flags,
-		ShortHelp: "print what is declared against what is reached",
+		ShortHelp: "compare the declared state with the state that was reached",
 		LongHelp:  "Example:\n  oriolebend status --control http://127.0.0.1:8081",
 		Exec: func(ctx context.Context, args []string) error {
 			if err := noArguments(args); err != nil {
@@ -131,10 +131,10 @@
 }
 
 func explainCommand(out io.Writer) *ff.Command {
-	c := newConnection("explain")
+	c := newConnectionFlags("explain")
 	return &ff.Command{
 		Name: "explain", Usage: "oriolebend explain [FLAGS] KIND/NAME", Flags: c.flags,
-		ShortHelp:   "say why something is not reached yet, or what became of a request",
+		ShortHelp:   "explain why a resource is not as declared yet, or what happened to a request",
 		LongHelp:    "Example:\n  oriolebend explain pool/decode --control http://127.0.0.1:8081",
 		Subcommands: []*ff.Command{explainRequestCommand(out), explainCrashesCommand(out)},
 		Exec: func(ctx context.Context, args []string) error {
@@ -149,7 +149,7 @@
 	}
 }
 
-func explain(ctx context.Context, api *client.Client, c *connection, out io.Writer, key oriolebend.ResourceKey) error {
+func explain(ctx context.Context, api *client.Client, c *connectionFlags, out io.Writer, key oriolebend.ResourceKey) error {
 	e, err := api.Explain(ctx, key)
 	if err != nil {
 		return err
@@ -169,7 +169,7 @@
 }
 
 func serversCommand(out io.Writer) *ff.Command {
-	c := newConnection("servers")
+	c := newConnectionFlags("servers")
 	return &ff.Command{
 		Name: "servers", Usage: "oriolebend servers [FLAGS]", Flags: c.flags,
 		ShortHelp: "print the backend servers that announced themselves",
@@ -193,7 +193,7 @@
 }
 
 func auditCommand(out io.Writer) *ff.Command {
-	c := newConnection("audit")
+	c := newConnectionFlags("audit")
 	after := c.flags.Uint64Long("after", 0, "revision after which changes are printed")
 	return &ff.Command{
 		Name: "audit", Usage: "oriolebend audit [FLAGS]", Flags: c.flags,
--- a/internal/operator/command/request.go
+++ b/internal/operator/command/request.go
@@ -12,12 +12,12 @@
 	"github.com/oriolebend/oriolebend/internal/requestlog"
 )
 
-// explainRequestCommand reads logs and asks no control VM: after a failure there
-// may be none that answers.
+// explainRequestCommand returns a command that reads log files and sends no request to
+// control VMs, since after a failure none of them may answer.
 func explainRequestCommand(out io.Writer) *ff.Command {
 	return &ff.Command{
 		Name: "request", Usage: "oriolebend explain request ID LOG...", Flags: ff.NewFlagSet("request"),
-		ShortHelp: "tell from log files what became of a request, the cause last",
+		ShortHelp: "show from log files what happened to a request, with the cause last",
 		LongHelp:  "Example:\n  oriolebend explain request 398864f34838fdf1 forwarder-*.log control-*.log",
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) < 2 {
@@ -28,14 +28,14 @@
 	}
 }
 
-// openLogs opens log files; the function returned closes those that were opened, also
-// beside an error.
+// openLogs opens log files. The returned function closes the files that were opened; it
+// must be called even if openLogs returns an error.
 func openLogs(paths []string) ([]requestlog.Log, func(), error) {
 	var logs []requestlog.Log
 	var files []*os.File
 	closeAll := func() {
 		for _, file := range files {
-			_ = file.Close() // only read
+			_ = file.Close() // the file was only read
 		}
 	}
 	for _, path := range paths {
--- a/internal/operator/command/routing.go
+++ b/internal/operator/command/routing.go
@@ -17,7 +17,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend/client"
 )
 
-// routingCommand shows and declares where plain requests may go.
+// routingCommand returns the command that shows and declares the routes of plain
+// requests.
 func routingCommand(out io.Writer) *ff.Command {
 	return &ff.Command{
 		Name: "routing", Usage: "oriolebend routing <get | apply | backends> [FLAGS]",
@@ -31,7 +32,7 @@
 }
 
 func routingGetCommand(out io.Writer) *ff.Command {
-	c := newConnection("get")
+	c := newConnectionFlags("get")
 	return &ff.Command{
 		Name: "get", Usage: "oriolebend routing get [FLAGS]", Flags: c.flags,
 		ShortHelp: "print the routing in force",
@@ -54,7 +55,7 @@
 }
 
 func routingApplyCommand(out io.Writer) *ff.Command {
-	c := newConnection("apply")
+	c := newConnectionFlags("apply")
 	file := c.flags.String('f', "file", "", "routing in JSON; - reads standard input")
 	return &ff.Command{
 		Name: "apply", Usage: "oriolebend routing apply -f FILE [FLAGS]", Flags: c.flags,
@@ -82,7 +83,7 @@
 	}
 }
 
-// readRouting reads and checks a routing before anything is sent.
+// readRouting reads a routing from a file and checks it, before a request is sent.
 func readRouting(name string) (oriolebend.Routing, error) {
 	if name == "" {
 		return oriolebend.Routing{}, usage("routing apply needs -f FILE")
@@ -104,7 +105,7 @@
 }
 
 func routingBackendsCommand(out io.Writer) *ff.Command {
-	c := newConnection("backends")
+	c := newConnectionFlags("backends")
 	return &ff.Command{
 		Name: "backends", Usage: "oriolebend routing backends [FLAGS]", Flags: c.flags,
 		ShortHelp: "print the backend servers that announced themselves to one control VM",
@@ -145,7 +146,8 @@
 	return printOrganisations(out, r.Organisations)
 }
 
-// printOrganisations lists who may call; a key's digest is cut to what tells it from others.
+// printOrganisations prints the organisations that may send requests. The digests of their
+// keys are shortened to a part that still tells the keys apart.
 func printOrganisations(out io.Writer, list []oriolebend.Organisation) error {
 	if len(list) == 0 {
 		return nil
--- a/internal/operator/command/routing_test.go
+++ b/internal/operator/command/routing_test.go
@@ -9,8 +9,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// A routing is shown with its organisations, and with as much of the digests of their keys as
-// tells them apart.
+// TestPrintRouting checks that the organisations of a routing are printed with as much of
+// the digests of their keys as tells the keys apart, and that the keys are not printed.
 func TestPrintRouting(t *testing.T) {
 	is := is.New(t)
 	rank := 0
--- a/internal/operator/command/table.go
+++ b/internal/operator/command/table.go
@@ -11,7 +11,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// printJSON prints a value for programs.
+// printJSON prints a value as indented JSON.
 func printJSON(out io.Writer, value any) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetEscapeHTML(false)
@@ -19,7 +19,8 @@
 	return encoder.Encode(value)
 }
 
-// printTable prints rows under a heading, in columns.
+// printTable prints rows in aligned columns under a heading. The names in the heading are
+// separated by blanks.
 func printTable(out io.Writer, heading string, rows [][]string) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, strings.ReplaceAll(heading, " ", "\t"))
@@ -29,7 +30,7 @@
 	return w.Flush()
 }
 
-// specText is a spec in one line.
+// specText returns the spec of a resource as JSON in one line.
 func specText(r *oriolebend.Resource) string {
 	if r == nil || r.Spec == nil {
 		return "-"
--- a/internal/operator/command/wait_test.go
+++ b/internal/operator/command/wait_test.go
@@ -18,13 +18,14 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Symptom: `apply --wait` says that a change is in force, and `get` right after it that
-// the resource is not declared. Sequence: the control VM that is asked has not applied
-// the change yet, while its followers hold all that it has. Cause: followers counted by
-// the revision that the asked control VM happens to have.
+// Symptom: `apply --wait` reports that a change is in force, but the next `get` reports
+// that the resource is not declared. Sequence: the control VM that is queried has not
+// applied the change yet, and its followers have its older revision in force. Cause:
+// followers were counted by the revision of the queried control VM, not by that of the
+// change.
 func TestWaitIsForTheChange(t *testing.T) {
 	is := is.New(t)
-	var asked atomic.Int32
+	var queries atomic.Int32
 	const accepted, behind = 13, 12
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet {
@@ -32,7 +33,7 @@
 			return
 		}
 		status := oriolebend.Status{Revision: behind, Control: "c1", InForce: 8, Total: 8}
-		if asked.Add(1) > 2 {
+		if queries.Add(1) > 2 {
 			status.Revision = accepted
 		}
 		_ = json.NewEncoder(w).Encode(status)
@@ -46,5 +47,5 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	is.NoErr(command.Run(ctx))
-	is.Equal(asked.Load(), int32(3)) // not believed while the asked control VM is behind
+	is.Equal(queries.Load(), int32(3)) // the status does not count while the queried control VM is behind
 }
--- a/internal/operator/command/write.go
+++ b/internal/operator/command/write.go
@@ -16,9 +16,9 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend/client"
 )
 
-// order holds the flags of commands that change something.
+// order holds the flags and the outputs of a command that changes declared resources.
 type order struct {
-	*connection
+	*connectionFlags
 	expect  *int
 	orderID *string
 	dryRun  *bool
@@ -27,19 +27,19 @@
 	errOut  io.Writer
 }
 
-// anyRevision as --expect means that any revision will do.
+// anyRevision is the value of --expect that accepts any revision.
 const anyRevision = -1
 
 func newOrder(name string, out, errOut io.Writer) *order {
-	c := newConnection(name)
+	c := newConnectionFlags(name)
 	return &order{
-		connection: c,
-		expect:     c.flags.IntLong("expect", anyRevision, "revision that the resource must be at; 0 for none yet, -1 for any"),
-		orderID:    c.flags.StringLong("order-id", "", "id of the order; give that of a lost answer to learn it"),
-		dryRun:     c.flags.BoolLong("dry-run", "say what would happen, and change nothing"),
-		wait:       c.flags.DurationLong("wait", 0, "wait that long until all followers have the change in force"),
-		out:        out,
-		errOut:     errOut,
+		connectionFlags: c,
+		expect:          c.flags.IntLong("expect", anyRevision, "revision that the resource must have; 0 if it must not exist yet, -1 for any"),
+		orderID:         c.flags.StringLong("order-id", "", "id of the order; if an answer was lost, resend with the same id to get it"),
+		dryRun:          c.flags.BoolLong("dry-run", "print the result that the order would have, without changing anything"),
+		wait:            c.flags.DurationLong("wait", 0, "how long to wait until the change is in force on all followers"),
+		out:             out,
+		errOut:          errOut,
 	}
 }
 
@@ -55,17 +55,17 @@
 	return options
 }
 
-// change is one line of the answer to a command.
+// change is the result of one order, as a command prints it.
 type change struct {
 	Resource string `json:"resource"`
-	// Result is nil if there was no answer.
+	// Result is nil if there was no answer, or the answer contains no result.
 	Result *oriolebend.ChangeResult `json:"result,omitempty"`
-	// Problem says why not, if the order was refused or lost.
+	// Problem is the reason if the order was refused or its answer was lost.
 	Problem *oriolebend.OperatorProblem `json:"problem,omitempty"`
 }
 
-// changed makes a line of what an order was answered.
-func changed(key oriolebend.ResourceKey, result oriolebend.ChangeResult, err error) change {
+// newChange returns the change to print for the answer to an order.
+func newChange(key oriolebend.ResourceKey, result oriolebend.ChangeResult, err error) change {
 	line := change{Resource: key.String()}
 	var refused *client.Error
 	if errors.As(err, &refused) {
@@ -79,7 +79,7 @@
 	return line
 }
 
-// report prints what was changed and waits, if asked to, until it is in force.
+// report prints the changes. With --wait it then waits until they are in force.
 func (o *order) report(ctx context.Context, api *client.Client, lines []change, failure error) error {
 	var newest uint64
 	for _, line := range lines {
@@ -98,7 +98,7 @@
 	if failure != nil || *o.wait == 0 || *o.dryRun || newest == 0 {
 		return failure
 	}
-	return o.await(ctx, api, newest)
+	return o.waitInForce(ctx, api, newest)
 }
 
 func (o *order) printChange(line change) {
@@ -127,15 +127,16 @@
 	fmt.Fprintf(o.out, "%s %s at revision %d%s\n", line.Resource, line.Result.Outcome, line.Result.Revision, note)
 }
 
-// waitEvery is how often the status is read while waiting.
-const waitEvery = 200 * time.Millisecond
+// statusPollInterval is how often --wait reads the status.
+const statusPollInterval = 200 * time.Millisecond
 
-// await waits until all followers have a revision in force.
+// waitInForce waits until all followers have a revision in force.
 //
-// A control VM that has not applied the revision itself counts followers by an older
-// one. Were that believed, the change would be said to be in force before anybody has
-// it, and what the operator reads next might not show it.
-func (o *order) await(ctx context.Context, api *client.Client, revision uint64) error {
+// A control VM that has not applied the revision itself counts the followers that have
+// an older revision in force. Such a status must not count: the command would otherwise
+// report that the change is in force before any follower has it, and the operator's
+// next read might not show the change.
+func (o *order) waitInForce(ctx context.Context, api *client.Client, revision uint64) error {
 	deadline := time.Now().Add(*o.wait)
 	for {
 		status, err := api.Status(ctx)
@@ -158,12 +159,13 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(waitEvery):
+		case <-time.After(statusPollInterval):
 		}
 	}
 }
 
-// NotReachedError means that a change is accepted but not in force everywhere.
+// NotReachedError means that a change was accepted but is not in force on all
+// followers.
 type NotReachedError struct {
 	Revision uint64
 	Text     string
@@ -180,9 +182,10 @@
 	return &ff.Command{
 		Name: "apply", Usage: "oriolebend apply -f FILE [FLAGS]", Flags: o.flags,
 		ShortHelp: "create or change declared resources",
-		LongHelp: "Resources are applied one after another, those that others refer to first; the first that is\n" +
-			"refused ends the command, and what came before it stays. A revision in the file is what is\n" +
-			"expected of the resource. With several resources, --order-id is followed by \".1\", \".2\" ...\n\n" +
+		LongHelp: "Resources are applied one after another, and a resource before those that refer to it. The\n" +
+			"command ends at the first refusal; resources that were applied before it stay changed. If the\n" +
+			"file has a revision for a resource, the resource must be at that revision. With several\n" +
+			"resources, \".1\", \".2\" ... is appended to --order-id.\n\n" +
 			"Example:\n  oriolebend apply -f fleet.toml --wait 10s --control http://127.0.0.1:8081",
 		Exec: func(ctx context.Context, args []string) error {
 			if err := noArguments(args); err != nil {
@@ -200,7 +203,7 @@
 	}
 }
 
-func (o *order) apply(ctx context.Context, api *client.Client, entries []entry) error {
+func (o *order) apply(ctx context.Context, api *client.Client, entries []fileEntry) error {
 	options := o.options()
 	id := options.OrderID
 	var lines []change
@@ -216,18 +219,18 @@
 			}
 		}
 		result, err := applyEntry(ctx, api, e, options)
-		lines = append(lines, changed(e.key(), result, err))
+		lines = append(lines, newChange(e.key(), result, err))
 		if failure == nil {
 			failure = err
 		}
-		if failure != nil && !*o.dryRun { // a dry run tells of all that is wrong
+		if failure != nil && !*o.dryRun { // a dry run reports the problems of all resources
 			break
 		}
 	}
 	return o.report(ctx, api, lines, failure)
 }
 
-func applyEntry(ctx context.Context, api *client.Client, e entry, options client.Options) (oriolebend.ChangeResult, error) {
+func applyEntry(ctx context.Context, api *client.Client, e fileEntry, options client.Options) (oriolebend.ChangeResult, error) {
 	body, err := json.Marshal(struct {
 		Spec json.RawMessage `json:"spec,omitempty"`
 	}{e.Spec})
@@ -250,7 +253,7 @@
 			}
 			return o.run(ctx, func(ctx context.Context, api *client.Client) error {
 				result, err := api.Delete(ctx, key, o.options())
-				return o.report(ctx, api, []change{changed(key, result, err)}, err)
+				return o.report(ctx, api, []change{newChange(key, result, err)}, err)
 			})
 		},
 	}
@@ -258,12 +261,12 @@
 
 func drainCommand(out, errOut io.Writer) *ff.Command {
 	o := newOrder("drain", out, errOut)
-	stop := o.flags.BoolLong("stop", "have the server's sidecar stop once its work has ended")
-	undo := o.flags.BoolLong("undo", "have a drained server take work again")
-	force := o.flags.BoolLong("force", "drain even if the pool then is under its minimum")
+	stop := o.flags.BoolLong("stop", "stop the server's sidecar once its work in progress has ended")
+	undo := o.flags.BoolLong("undo", "let a drained server accept work again")
+	force := o.flags.BoolLong("force", "drain even if the pool falls below its minimum of serving servers")
 	return &ff.Command{
 		Name: "drain", Usage: "oriolebend drain [FLAGS] SERVER", Flags: o.flags,
-		ShortHelp: "take a backend server out of new work",
+		ShortHelp: "stop sending new work to a backend server",
 		LongHelp:  "Example:\n  oriolebend drain decode-1 --control http://127.0.0.1:8081",
 		Exec: func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
@@ -274,18 +277,18 @@
 				options := o.options()
 				options.Stop, options.Force, options.Undo = *stop, *force, *undo
 				result, err := api.Drain(ctx, args[0], options)
-				return o.report(ctx, api, []change{changed(key, result, err)}, err)
+				return o.report(ctx, api, []change{newChange(key, result, err)}, err)
 			})
 		},
 	}
 }
 
 func advanceCommand(out io.Writer) *ff.Command {
-	c := newConnection("advance")
-	to := c.flags.Uint64Long("to", 0, "revision past the highest that any follower holds")
+	c := newConnectionFlags("advance")
+	to := c.flags.Uint64Long("to", 0, "revision higher than that of any follower")
 	return &ff.Command{
 		Name: "advance", Usage: "oriolebend advance --to REVISION", Flags: c.flags,
-		ShortHelp: "after a restore from a backup, have all followers take the restored state",
+		ShortHelp: "after a restore from a backup, make all followers adopt the restored state",
 		LongHelp:  "Example:\n  oriolebend advance --to 4000 --control http://127.0.0.1:8081",
 		Exec: func(ctx context.Context, args []string) error {
 			if err := noArguments(args); err != nil {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -60,7 +60,7 @@
 	// Registry is where the counters are registered; nil means that they are not
 	// exported.
 	Registry prometheus.Registerer
-	// Logger logs internal errors of the handler; nil means the default logger.
+	// Logger is the logger of the handler; nil means the default logger.
 	Logger *slog.Logger
 }
 
