--- a/internal/operator/command/command.go
+++ b/internal/operator/command/command.go
@@ -25,7 +25,7 @@
 	ExitRaced    = 5 // another change won; nothing was changed
 	ExitInvalid  = 6 // a resource fails its checks; nothing was changed
 	ExitNotFound = 7 // there is no such resource or server
-	ExitAway     = 8 // no answer; resend under the same --order-id
+	ExitNoAnswer = 8 // no answer; resend under the same --order-id
 	ExitWaiting  = 9 // accepted, but not in force within --wait
 )
 
@@ -143,10 +143,10 @@
 	oriolebend.ReasonMalformed:       ExitInvalid,
 	oriolebend.ReasonTooLarge:        ExitInvalid,
 	oriolebend.ReasonUnknownRequest:  ExitNotFound,
-	oriolebend.ReasonControlAway:     ExitAway,
-	oriolebend.ReasonNotLeader:       ExitAway,
-	oriolebend.ReasonOutcomeLost:     ExitAway,
-	oriolebend.ReasonInternal:        ExitAway,
+	oriolebend.ReasonControlAway:     ExitNoAnswer,
+	oriolebend.ReasonNotLeader:       ExitNoAnswer,
+	oriolebend.ReasonOutcomeLost:     ExitNoAnswer,
+	oriolebend.ReasonInternal:        ExitNoAnswer,
 }
 
 // withExitCode adds the exit code to an error of the client.
