--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -12,7 +12,7 @@
 
 func checkCommand(out io.Writer) *ff.Command {
 	flags := ff.NewFlagSet("check")
-	asked := flags.StringLong("role", "", "check for this role: entry, sidecar, control or dev; the default is the one that the file is for")
+	role := flags.StringLong("role", "", "check for this role: entry, sidecar, control or dev; the default is the one that the file is for")
 	return &ff.Command{
 		Name:      "check",
 		Usage:     "oriolebend check [--role ROLE] FILE",
@@ -23,22 +23,22 @@
 			if len(args) != 1 {
 				return &UsageError{Text: "check takes one settings file"}
 			}
-			return check(out, args[0], settings.Role(*asked))
+			return check(out, args[0], settings.Role(*role))
 		},
 	}
 }
 
-func check(out io.Writer, path string, asked settings.Role) error {
+func check(out io.Writer, path string, role settings.Role) error {
 	s, err := settings.Load(path)
 	if err != nil {
 		return err
 	}
-	if asked == "" {
-		asked = settings.RoleOf(s)
+	if role == "" {
+		role = settings.RoleOf(s)
 	}
-	if err := settings.Check(asked, s); err != nil {
+	if err := settings.Check(role, s); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s: good for %s\n", path, asked)
+	fmt.Fprintf(out, "%s: good for %s\n", path, role)
 	return nil
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of the program: one subcommand for each
-// role and one for each thing that an operator does.
+// Package cli implements the command line of the program. It has a subcommand for each
+// role, for each task of an operator, and for keys, checks, load and experiments.
 package cli
 
 import (
@@ -24,13 +24,13 @@
 // command.ExitError.
 const (
 	ExitOK       = 0 // done
-	ExitFailed   = 1 // something went wrong while running
+	ExitFailed   = 1 // failed while running
 	ExitUsage    = 2 // the command line is wrong
 	ExitSettings = 3 // the settings are wrong; nothing was started
-	ExitRefused  = 4 // the system refused what was asked, with a reason
+	ExitRefused  = 4 // the system refused the request, with a reason
 )
 
-// exitCodes is part of the help.
+// exitCodes is the part of the help text that lists the exit codes.
 const exitCodes = `Exit codes:
   0  done
   1  failed while running
@@ -43,7 +43,7 @@
   8  no answer from the control VMs; resend under the same --order-id
   9  accepted, but not in force within --wait`
 
-// UsageError is a command line that can't be carried out.
+// UsageError describes a wrong command line.
 type UsageError struct{ Text string }
 
 // Error implements error.
@@ -52,15 +52,15 @@
 // ExitCode returns the exit code.
 func (e *UsageError) ExitCode() int { return ExitUsage }
 
-// coded is an error that knows the exit code of the program.
-type coded interface {
+// exitCoder is an error that determines the exit code of the program.
+type exitCoder interface {
 	error
 	ExitCode() int
 }
 
-// noArguments refuses arguments of a command that takes flags alone: a
-// settings file given without --settings would be passed over otherwise, and
-// the default settings would run in its place.
+// noArguments returns an error if a command that takes only flags got arguments.
+// Otherwise a settings file that is given without --settings would be ignored, and the
+// command would run with the default settings.
 func noArguments(name string, args []string) error {
 	if len(args) == 0 {
 		return nil
@@ -68,22 +68,23 @@
 	return &UsageError{Text: fmt.Sprintf("%s takes no argument, got %q; a settings file is given with --settings", name, args[0])}
 }
 
-// Run carries a command line out and returns the exit code. The first SIGINT
-// or SIGTERM asks the command to stop gracefully, the second to stop at once,
-// and a third ends the process as the system does.
+// Run executes a command line and returns the exit code. The first SIGINT or SIGTERM
+// stops the command gracefully and the second stops it at once. The third has the
+// default action of the operating system, which ends the process.
 func Run(args []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	defer context.AfterFunc(ctx, stop)()
 	root := root(out, errOut)
 	if err := root.Parse(args, ff.WithEnvVarPrefix(settings.EnvironmentPrefix)); err != nil {
-		return reportParse(root, err, out, errOut)
+		return reportParseError(root, err, out, errOut)
 	}
 	return report(root, root.Run(ctx), errOut)
 }
 
-// reportParse prints why a command line can't be read.
-func reportParse(root *ff.Command, err error, out, errOut io.Writer) int {
+// reportParseError prints the error of a command line that can't be parsed, or the help
+// if that was requested.
+func reportParseError(root *ff.Command, err error, out, errOut io.Writer) int {
 	if errors.Is(err, ff.ErrHelp) {
 		fmt.Fprintln(out, ffhelp.Command(selected(root)))
 		return ExitOK
@@ -91,6 +92,7 @@
 	return reportUsage(root, err, errOut)
 }
 
+// reportUsage prints an error and the command that shows the help.
 func reportUsage(root *ff.Command, err error, errOut io.Writer) int {
 	name := selected(root).Name
 	if name != root.Name {
@@ -100,7 +102,7 @@
 	return ExitUsage
 }
 
-// selected is the subcommand that a command line named, as far as it was read.
+// selected returns the subcommand that the command line names, as far as it was parsed.
 func selected(root *ff.Command) *ff.Command {
 	if c := root.GetSelected(); c != nil {
 		return c
@@ -108,7 +110,7 @@
 	return root
 }
 
-// report prints what a command returned and chooses the exit code.
+// report prints the error of a command and returns the exit code.
 func report(root *ff.Command, err error, errOut io.Writer) int {
 	if err == nil {
 		return ExitOK
@@ -116,16 +118,16 @@
 	if errors.Is(err, ff.ErrNoExec) {
 		return reportNoCommand(root, errOut)
 	}
-	if bad, ok := errors.AsType[*settings.Errors](err); ok {
-		fmt.Fprintln(errOut, bad)
+	if invalid, ok := errors.AsType[*settings.Errors](err); ok {
+		fmt.Fprintln(errOut, invalid)
 		return ExitSettings
 	}
-	if known, ok := errors.AsType[coded](err); ok {
-		if known.ExitCode() == ExitUsage {
+	if exit, ok := errors.AsType[exitCoder](err); ok {
+		if exit.ExitCode() == ExitUsage {
 			return reportUsage(root, err, errOut)
 		}
 		fmt.Fprintln(errOut, err)
-		return known.ExitCode()
+		return exit.ExitCode()
 	}
 	if refused, ok := errors.AsType[*oriolebend.Problem](err); ok {
 		fmt.Fprintln(errOut, "refused:", refused)
@@ -135,7 +137,7 @@
 	return ExitFailed
 }
 
-// reportNoCommand says what commands there are, or that a name is none.
+// reportNoCommand reports an unknown command, or lists the commands if none is named.
 func reportNoCommand(root *ff.Command, errOut io.Writer) int {
 	if args := selected(root).Flags.GetArgs(); len(args) > 0 {
 		return reportUsage(root, &UsageError{Text: fmt.Sprintf("there is no command %q", args[0])}, errOut)
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -10,8 +10,8 @@
 	"github.com/peterbourgon/ff/v4"
 )
 
-// completionScript completes subcommands, then the long flags of each, then
-// file names. It is valid for bash, and for zsh after bashcompinit.
+// completionScript completes the names of subcommands, the long flags of each, and file
+// names. It works in bash, and in zsh after bashcompinit.
 const completionScript = `_oriolebend() {
   local word="${COMP_WORDS[COMP_CWORD]}" flags=""
   if [ "$COMP_CWORD" -eq 1 ]; then
@@ -58,7 +58,7 @@
 
 func longFlags(c *ff.Command) []string {
 	var flags []string
-	// The walk ends with an error only when the function returns one.
+	// WalkFlags returns an error only if the function returns one.
 	_ = c.Flags.WalkFlags(func(f ff.Flag) error {
 		if long, ok := f.GetLongName(); ok {
 			flags = append(flags, "--"+long)
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -14,8 +14,8 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-// devReadyWithin bounds the start of dev.
-const devReadyWithin = 10 * time.Second
+// devReadyTimeout is how long dev may take until it is ready.
+const devReadyTimeout = 10 * time.Second
 
 func devCommand(out, errOut io.Writer) *ff.Command {
 	flags := ff.NewFlagSet("dev")
@@ -23,7 +23,7 @@
 	return &ff.Command{
 		Name:      "dev",
 		Usage:     "oriolebend dev [--settings FILE]",
-		ShortHelp: "run every role and stand-in engines in one process, for a first try",
+		ShortHelp: "run every role and stand-in engines in one process, to try the program",
 		LongHelp:  "Example:\n  oriolebend dev --settings examples/lintang.toml",
 		Flags:     flags,
 		Exec: func(ctx context.Context, args []string) error {
@@ -49,19 +49,19 @@
 	if err != nil {
 		return err
 	}
-	waiting, cancel := context.WithTimeout(ctx, devReadyWithin)
+	readyContext, cancel := context.WithTimeout(ctx, devReadyTimeout)
 	defer cancel()
-	if err := d.Ready(waiting); err != nil {
+	if err := d.Ready(readyContext); err != nil {
 		return errors.Join(fmt.Errorf("wait for the stand-ins: %w", err), stop(d))
 	}
-	invite(out, d, s, time.Since(started))
+	printReady(out, d, s, time.Since(started))
 	<-ctx.Done()
 	fmt.Fprintln(out, "stopping; requests in progress end first")
 	return stop(d)
 }
 
-// invite says what runs and what to try.
-func invite(out io.Writer, d *role.Dev, s settings.Settings, took time.Duration) {
+// printReady prints the number of running processes and example commands.
+func printReady(out io.Writer, d *role.Dev, s settings.Settings, took time.Duration) {
 	address := d.Entries[0].Address()
 	fmt.Fprintf(out, "ready after %s: %d servers, %d entries\n", took.Round(time.Millisecond), len(d.Sidecars), len(d.Entries))
 	model := firstModel(s)
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -13,14 +13,14 @@
 
 func keysCommand(out io.Writer) *ff.Command {
 	flags := ff.NewFlagSet("keys")
-	folder := flags.StringLong("folder", "keys", "folder of the authority and the pairs")
+	folder := flags.StringLong("folder", "keys", "folder of the certificate authority and of the certificates and keys")
 	return &ff.Command{
 		Name:      "keys",
 		Usage:     "oriolebend keys [--folder FOLDER] ROLE/NAME...",
 		ShortHelp: "make or renew the certificates of processes",
-		LongHelp: "The folder's authority is made if there is none, and signs. Each process gets\n" +
-			"NAME.pem and NAME.key. Roles: entry, sidecar, control. docs/certificates.md\n" +
-			"says which file goes where.\n\n" +
+		LongHelp: "The certificate authority in the folder signs the certificates; it is created if there\n" +
+			"is none. Each process gets NAME.pem and NAME.key. Roles: entry, sidecar, control.\n" +
+			"docs/certificates.md says which file goes where.\n\n" +
 			"Example:\n  oriolebend keys --folder keys entry/entry-1 control/control-1 sidecar/planner-1",
 		Flags: flags,
 		Exec: func(_ context.Context, args []string) error {
@@ -29,7 +29,8 @@
 	}
 }
 
-// keys checks all names before it writes anything.
+// keys creates the certificates and keys of the named processes. It checks all names
+// before it writes a file.
 func keys(out io.Writer, folder string, names []string) error {
 	if len(names) == 0 {
 		return &UsageError{Text: "keys takes one ROLE/NAME or more, such as entry/entry-1"}
--- a/internal/cli/roles.go
+++ b/internal/cli/roles.go
@@ -19,39 +19,39 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-// stopWithin bounds a graceful stop; what is still in progress then is cut.
-const stopWithin = 10 * time.Minute
+// stopTimeout limits a graceful stop. Work that is still in progress then is cancelled.
+const stopTimeout = 10 * time.Minute
 
-// stoppable is a running process of a role.
+// stoppable is a running process of a role, which can be stopped.
 type stoppable interface {
 	Stop(ctx context.Context) error
 }
 
 func entryCommand(errOut io.Writer) *ff.Command {
-	return roleCommand(errOut, settings.RoleEntry, "take callers' requests on an entry VM", func(p role.Process) (stoppable, error) {
+	return roleCommand(errOut, settings.RoleEntry, "accept callers' requests on an entry VM", func(p role.Process) (stoppable, error) {
 		return role.StartEntry(p)
 	})
 }
 
 func forwarderCommand(errOut io.Writer) *ff.Command {
-	return roleCommand(errOut, settings.RoleForwarder, "carry callers' requests along declared routes", func(p role.Process) (stoppable, error) {
+	return roleCommand(errOut, settings.RoleForwarder, "forward callers' requests along declared routes", func(p role.Process) (stoppable, error) {
 		return role.StartForwarder(p, forwarder.NativeDialect{})
 	})
 }
 
 func sidecarCommand(errOut io.Writer) *ff.Command {
-	return roleCommand(errOut, settings.RoleSidecar, "be the gate of the backend server on this VM", func(p role.Process) (stoppable, error) {
+	return roleCommand(errOut, settings.RoleSidecar, "run the gate in front of the backend server on this VM", func(p role.Process) (stoppable, error) {
 		return role.StartSidecar(p)
 	})
 }
 
 func controlCommand(errOut io.Writer) *ff.Command {
-	return roleCommand(errOut, settings.RoleControl, "hold declared state and request records on a control VM", func(p role.Process) (stoppable, error) {
+	return roleCommand(errOut, settings.RoleControl, "store declared state and request records on a control VM", func(p role.Process) (stoppable, error) {
 		return role.StartControl(p)
 	})
 }
 
-// roleCommand is a subcommand that runs one role until it is asked to stop.
+// roleCommand returns a subcommand that runs one role until its context ends.
 func roleCommand(errOut io.Writer, r settings.Role, help string, start func(role.Process) (stoppable, error)) *ff.Command {
 	flags := ff.NewFlagSet(string(r))
 	overrides := settings.Flags(flags)
@@ -90,16 +90,16 @@
 		return err
 	}
 	logger.Info("started")
-	watching, cancel := context.WithCancel(ctx)
+	watchContext, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watch(watching)
+	watch(watchContext)
 	<-ctx.Done()
 	logger.Info("stopping; work in progress ends first")
 	return stop(running)
 }
 
-// credentials returns what the process shows its peers, and a function that
-// takes up changes of it until its context ends.
+// credentials returns the credentials that the process presents to its peers, and a
+// function that applies changes of their files until its context ends.
 func credentials(r settings.Role, s settings.Settings, logger *slog.Logger) (peer.Credentials, func(context.Context), error) {
 	if s.Peer.Trust == settings.TrustNetwork {
 		c, err := peer.NetworkCredentials(peer.Identity{Role: string(r), Name: role.MemberName(s)})
@@ -115,8 +115,8 @@
 	}, nil
 }
 
-// reloadOnHangup reads the certificate's files again at each SIGHUP, before
-// their next look would.
+// reloadOnHangup reloads the files of the certificate at each SIGHUP, without waiting for
+// their next periodic check.
 func reloadOnHangup(ctx context.Context, files *peer.FileCredentials, logger *slog.Logger) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -127,15 +127,15 @@
 			return
 		case <-hangups:
 			if err := files.Reload(); err != nil {
-				logger.Warn("certificate not taken up", "error", err)
+				logger.Warn("certificate not reloaded", "error", err)
 				continue
 			}
-			logger.Info("certificate taken up", "file", files.Name())
+			logger.Info("certificate reloaded", "file", files.Name())
 		}
 	}
 }
 
-// CutError tells that a stop did not wait for the work in progress.
+// CutError means that a process was stopped before its work in progress had ended.
 type CutError struct{ Cause error }
 
 // Error implements error.
@@ -143,15 +143,15 @@
 	return "stopped at once, work in progress was cut: " + e.Cause.Error()
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *CutError) Unwrap() error { return e.Cause }
 
-// stop ends a process gracefully, whatever became of the context that asked
-// for it. A signal that comes meanwhile ends it at once.
+// stop stops a process gracefully, in a context of its own since that of the command has
+// ended. A signal during the stop ends it at once.
 func stop(running stoppable) error {
-	within, cancel := context.WithTimeout(context.Background(), stopWithin)
+	bounded, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	ctx, restore := signal.NotifyContext(within, syscall.SIGINT, syscall.SIGTERM)
+	ctx, restore := signal.NotifyContext(bounded, syscall.SIGINT, syscall.SIGTERM)
 	defer restore()
 	defer context.AfterFunc(ctx, restore)()
 	err := running.Stop(ctx)
--- a/internal/cli/script_test.go
+++ b/internal/cli/script_test.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// waitWithin bounds the waits of scripts; it is no measure.
-	waitWithin = 30 * time.Second
-	// waitEvery is how often a wait looks again.
-	waitEvery = 10 * time.Millisecond
+	// waitTimeout limits the waits of scripts.
+	waitTimeout = 30 * time.Second
+	// pollInterval is how often a wait checks its condition.
+	pollInterval = 10 * time.Millisecond
 )
 
-// Scripts' ports lie below those that systems give to outgoing connections: one
-// of those would now and then be given a port that was chosen here and is not
-// yet listened on, and the process under test would not start.
+// The ports of scripts are below those that operating systems use for outgoing
+// connections. Otherwise an outgoing connection could get a port that was chosen here
+// but is not listened on yet, and the process under test would not start.
 const (
 	firstPort = 12000
 	lastPort  = 31999
 )
 
-// nextPort is where the search for a free port goes on. Test processes that run
-// side by side begin at different places.
+// nextPort determines the next port to try. Test processes that run at the same time
+// start at different ports.
 var nextPort atomic.Int64
 
-// chooseAddresses gives each script ports of its own.
+// chooseAddresses sets addresses with isFree ports in the environment of each script.
 func chooseAddresses(env *testscript.Env) error {
-	// The race detector lets every process sleep for 1 s at its end.
+	// By default the race detector makes every process sleep for 1 s before it exits.
 	env.Setenv("GORACE", "atexit_sleep_ms=50")
 	nextPort.CompareAndSwap(0, int64(os.Getpid())*64)
 	for _, name := range []string{"CALLER", "OPERATOR", "METRICS", "METRICS2", "METRICS3", "PEER", "PEER2", "PEER3"} {
 		address := nextAddress()
-		for !free(address) {
+		for !isFree(address) {
 			address = nextAddress()
 		}
 		env.Setenv(name, address)
@@ -55,8 +55,8 @@
 	return fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%(lastPort-firstPort))
 }
 
-// free reports whether nobody listens on an address, by TCP or UDP.
-func free(address string) bool {
+// isFree reports whether no socket listens on an address, neither TCP nor UDP.
+func isFree(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
@@ -70,11 +70,11 @@
 }
 
 var commands = map[string]func(*testscript.TestScript, bool, []string){
-	"exits": exits, "ready": ready, "signal": sendSignal, "http": request, "large": large,
+	"exits": exits, "ready": ready, "signal": sendSignal, "http": sendRequest, "large": sendLarge,
 	"stopping": stopping, "stream": stream, "expand": expand,
 }
 
-// expand writes the script's variables into files.
+// expand replaces the variables of the script in files: expand FILE...
 func expand(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		ts.Check(os.WriteFile(ts.MkAbs(name), []byte(os.Expand(ts.ReadFile(name), ts.Getenv)), 0o600))
@@ -99,9 +99,9 @@
 	}
 }
 
-// ready waits until a URL answers 200.
+// ready waits until a URL answers 200: ready URL.
 func ready(ts *testscript.TestScript, _ bool, args []string) {
-	for deadline := time.Now().Add(waitWithin); time.Now().Before(deadline); time.Sleep(waitEvery) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		response, err := http.Get(args[0])
 		if err != nil {
 			continue
@@ -114,9 +114,9 @@
 	ts.Fatalf("%s is not ready", args[0])
 }
 
-// stopping waits until a URL no longer answers 200.
+// stopping waits until a URL no longer answers 200: stopping URL.
 func stopping(ts *testscript.TestScript, _ bool, args []string) {
-	for deadline := time.Now().Add(waitWithin); time.Now().Before(deadline); time.Sleep(waitEvery) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		response, err := http.Get(args[0])
 		if err != nil {
 			return
@@ -129,8 +129,8 @@
 	ts.Fatalf("%s is still ready", args[0])
 }
 
-// stream begins a request and returns at its first output; the rest is read
-// until the script ends: stream URL @FILE.
+// stream sends a request and returns at the first byte of its answer. The connection
+// stays open until the script ends: stream URL @FILE.
 func stream(ts *testscript.TestScript, _ bool, args []string) {
 	response, err := http.Post(args[0], "application/json", strings.NewReader(ts.ReadFile(args[1][1:])))
 	ts.Check(err)
@@ -149,12 +149,12 @@
 			return
 		}
 	}
-	ts.Fatalf("no command %s runs", args[1])
+	ts.Fatalf("no background command %s is running", args[1])
 }
 
-// request sends a request and prints status and body:
+// sendRequest sends a request, prints the body of the answer and compares its status:
 // http STATUS METHOD URL [HEADER: VALUE]... [@FILE].
-func request(ts *testscript.TestScript, _ bool, args []string) {
+func sendRequest(ts *testscript.TestScript, _ bool, args []string) {
 	var body io.Reader
 	if last := args[len(args)-1]; strings.HasPrefix(last, "@") {
 		body = strings.NewReader(ts.ReadFile(last[1:]))
@@ -163,8 +163,8 @@
 	send(ts, args, body)
 }
 
-// large sends a body of so many bytes: large BYTES STATUS METHOD URL.
-func large(ts *testscript.TestScript, _ bool, args []string) {
+// sendLarge sends a body of the given size: large BYTES STATUS METHOD URL.
+func sendLarge(ts *testscript.TestScript, _ bool, args []string) {
 	size, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	send(ts, args[1:], bytes.NewReader(bytes.Repeat([]byte("a"), size)))
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -26,8 +26,7 @@
 	}
 }
 
-// version names the module version and Go version that the program was built
-// with.
+// version returns the module version of the program and the Go version that built it.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/operator/command/write.go
+++ b/internal/operator/command/write.go
@@ -182,10 +182,9 @@
 	return &ff.Command{
 		Name: "apply", Usage: "oriolebend apply -f FILE [FLAGS]", Flags: o.flags,
 		ShortHelp: "create or change declared resources",
-		LongHelp: "Resources are applied one after another, and a resource before those that refer to it. The\n" +
-			"command ends at the first refusal; resources that were applied before it stay changed. If the\n" +
-			"file has a revision for a resource, the resource must be at that revision. With several\n" +
-			"resources, \".1\", \".2\" ... is appended to --order-id.\n\n" +
+		LongHelp: "Resources are applied one after another, each before those that refer to it. The command ends\n" +
+			"at the first refusal; earlier resources stay changed. A revision in the file is the one that the\n" +
+			"resource must be at. With several resources, \".1\", \".2\" ... is appended to --order-id.\n\n" +
 			"Example:\n  oriolebend apply -f fleet.toml --wait 10s --control http://127.0.0.1:8081",
 		Exec: func(ctx context.Context, args []string) error {
 			if err := noArguments(args); err != nil {
