--- a/internal/cli/script_test.go
+++ b/internal/cli/script_test.go
@@ -36,7 +36,7 @@
 // start at different ports.
 var nextPort atomic.Int64
 
-// chooseAddresses sets addresses with isFree ports in the environment of each script.
+// chooseAddresses sets addresses with free ports in the environment of each script.
 func chooseAddresses(env *testscript.Env) error {
 	// By default the race detector makes every process sleep for 1 s before it exits.
 	env.Setenv("GORACE", "atexit_sleep_ms=50")
--- a/internal/operator/command/routing.go
+++ b/internal/operator/command/routing.go
@@ -174,12 +174,12 @@
 func printBackends(out io.Writer, list []oriolebend.Backend) error {
 	rows := make([][]string, 0, len(list))
 	for _, b := range list {
-		heard := "heard"
+		contact := "heard"
 		if b.Silent {
-			heard = "silent"
+			contact = "silent"
 		}
 		rows = append(rows, []string{
-			b.Instance, b.Service, b.Address, orDash(b.FailureDomain), orDash(string(b.Role)), b.Phase, heard,
+			b.Instance, b.Service, b.Address, orDash(b.FailureDomain), orDash(string(b.Role)), b.Phase, contact,
 		})
 	}
 	return printTable(out, "INSTANCE SERVICE ADDRESS FAILUREDOMAIN ROLE PHASE HEARD", rows)
--- a/internal/operator/command/table.go
+++ b/internal/operator/command/table.go
@@ -53,13 +53,13 @@
 func printServers(out io.Writer, list []oriolebend.ServerStatus) error {
 	rows := make([][]string, 0, len(list))
 	for _, s := range list {
-		var held []string
+		var loaded []string
 		for _, m := range s.Server.Models {
-			held = append(held, oriolebend.VersionName(m.Model, m.Version))
+			loaded = append(loaded, oriolebend.VersionName(m.Model, m.Version))
 		}
 		rows = append(rows, []string{
 			s.Server.Name, s.Server.FailureDomain, orDash(s.Pool), string(s.Server.Role), string(s.Declared),
-			string(s.Server.State), orDash(strings.Join(held, ",")), orDash(s.Progress), orDash(s.Detail),
+			string(s.Server.State), orDash(strings.Join(loaded, ",")), orDash(s.Progress), orDash(s.Detail),
 		})
 	}
 	return printTable(out, "SERVER DOMAIN POOL ROLE DECLARED STATE HOLDS PROGRESS DETAIL", rows)
--- a/internal/operator/drain.go
+++ b/internal/operator/drain.go
@@ -54,16 +54,16 @@
 func (a *api) prepareDrain(c *echo.Context, order *declared.Order) error {
 	view := a.Store.View()
 	spec := oriolebend.DeclaredServer{}
-	held, isDeclared := view.Resources[order.Key()]
+	current, isDeclared := view.Resources[order.Key()]
 	if isDeclared {
-		spec = *held.Spec.(*oriolebend.DeclaredServer)
+		spec = *current.Spec.(*oriolebend.DeclaredServer)
 	}
 	if _, member := view.Servers[order.Name]; !member && !isDeclared {
 		return refuse(oriolebend.ReasonUnknownRequest, "no server "+order.Name+" is declared or announced")
 	}
 	spec.State = requestedState(c)
 	if order.Expect == nil {
-		order.Expect = &held.Revision
+		order.Expect = &current.Revision
 	}
 	order.Resource = &oriolebend.Resource{Kind: order.Kind, Name: order.Name, Spec: &spec}
 	if c.QueryParam("force") == "true" || spec.State == oriolebend.ServerServing {
--- a/internal/operator/write.go
+++ b/internal/operator/write.go
@@ -133,8 +133,8 @@
 }
 
 // propose proposes an order to the log. It continues when the operator cancels the
-// request or the connection breaks, since a half-executed order is worse than a
-// complete one.
+// request or the connection breaks, since an order that is abandoned halfway is worse
+// than one that is completed.
 func (a *api) propose(ctx context.Context, order declared.Order) (oriolebend.ChangeResult, error) {
 	return a.proposeCommand(ctx, declared.Command{At: time.Now(), Order: &order})
 }
