--- a/internal/cli/roles.go
+++ b/internal/cli/roles.go
@@ -127,10 +127,10 @@
 			return
 		case <-hangups:
 			if err := files.Reload(); err != nil {
-				logger.Warn("certificate not reloaded", "error", err)
+				logger.Warn("certificate not taken up", "error", err)
 				continue
 			}
-			logger.Info("certificate reloaded", "file", files.Name())
+			logger.Info("certificate taken up", "file", files.Name())
 		}
 	}
 }
