--- a/internal/policy/fairqueue.go
+++ b/internal/policy/fair_queue.go
@@ -2,30 +2,31 @@
 
 import "container/heap"
 
-// urgentRun is how many urgent items may pass before a waiting patient one
-// goes: patient work always advances, at an eighth of the turns at least.
-const urgentRun = 7
-
-// FairQueue orders waiting items: urgent before patient, then fair between
-// organisations by their shares, then in the order of coming. Each operation
-// costs the logarithm of the number of waiting organisations at most.
+// maxUrgentRun is the number of urgent items that Pop may return in a row while a
+// patient item waits. Patient work thus gets at least one of eight turns.
+const maxUrgentRun = 7
+
+// FairQueue orders waiting items: urgent before patient, then fairly between
+// organisations by their shares, then in order of arrival. Apart from a scan of one
+// organisation's items or of all flows in Remove, each operation takes logarithmic
+// time in the number of waiting organisations at most.
 type FairQueue[T comparable] struct {
-	urgent  class[T]
-	patient class[T]
-	// run counts urgent items since the last patient one.
-	run int
+	urgent  urgencyClass[T]
+	patient urgencyClass[T]
+	// urgentRun counts the urgent items returned since the last patient one.
+	urgentRun int
 }
 
-// class holds the items of one urgency.
-type class[T comparable] struct {
-	flows  map[string]*flow[T]
-	heap   flows[T]
-	passed float64
-	length int
+// urgencyClass holds the items of one urgency.
+type urgencyClass[T comparable] struct {
+	flows    map[string]*flow[T]
+	heap     flows[T]
+	lastPass float64
+	count    int
 }
 
-// flow is one organisation's items. Its pass grows by one over its share with
-// each item taken: the lowest pass goes next (stride scheduling).
+// flow holds the items of one organisation. Its pass grows by 1/share with each
+// item that is popped, and the flow with the lowest pass is next (stride scheduling).
 type flow[T comparable] struct {
 	name  string
 	items []T
@@ -58,67 +59,67 @@
 	return popped
 }
 
-// Len is the number of waiting items.
-func (q *FairQueue[T]) Len() int { return q.urgent.length + q.patient.length }
+// Len returns the number of waiting items.
+func (q *FairQueue[T]) Len() int { return q.urgent.count + q.patient.count }
 
-// Push adds an item of an organisation with a share above zero.
+// Push adds an item of an organisation. The share must be above zero.
 func (q *FairQueue[T]) Push(urgent bool, organisation string, share float64, item T) {
 	q.class(urgent).push(organisation, share, item)
 }
 
-// Pop takes the next item.
+// Pop removes and returns the next item, if there is one.
 func (q *FairQueue[T]) Pop() (T, bool) {
-	if q.urgent.length > 0 && (q.patient.length == 0 || q.run < urgentRun) {
-		q.run++
+	if q.urgent.count > 0 && (q.patient.count == 0 || q.urgentRun < maxUrgentRun) {
+		q.urgentRun++
 		return q.urgent.pop()
 	}
-	q.run = 0
+	q.urgentRun = 0
 	return q.patient.pop()
 }
 
-// PopUrgent takes the next urgent item, if there is one.
+// PopUrgent removes and returns the next urgent item, if there is one.
 func (q *FairQueue[T]) PopUrgent() (T, bool) { return q.urgent.pop() }
 
-// Remove takes an item out of the middle; it reports whether it was there.
+// Remove removes an item from any position and reports whether it was queued.
 func (q *FairQueue[T]) Remove(urgent bool, organisation string, item T) bool {
 	return q.class(urgent).remove(organisation, item)
 }
 
-func (q *FairQueue[T]) class(urgent bool) *class[T] {
+func (q *FairQueue[T]) class(urgent bool) *urgencyClass[T] {
 	if urgent {
 		return &q.urgent
 	}
 	return &q.patient
 }
 
-func (c *class[T]) push(organisation string, share float64, item T) {
+func (c *urgencyClass[T]) push(organisation string, share float64, item T) {
 	f := c.flows[organisation]
 	if f == nil {
 		if c.flows == nil {
 			c.flows = map[string]*flow[T]{}
 		}
-		// An organisation that comes back starts with the pass of the others,
-		// not with turns saved up while it was away.
-		f = &flow[T]{name: organisation, pass: c.passed}
+		// An organisation that had no items starts at the pass of the last popped
+		// flow, so that it accumulates no turns while it is idle.
+		f = &flow[T]{name: organisation, pass: c.lastPass}
 		c.flows[organisation] = f
 		heap.Push(&c.heap, f)
 	}
 	f.share = share
 	f.items = append(f.items, item)
-	c.length++
+	c.count++
 }
 
-func (c *class[T]) pop() (T, bool) {
-	var none T
-	if c.length == 0 {
-		return none, false
+func (c *urgencyClass[T]) pop() (T, bool) {
+	var zero T
+	if c.count == 0 {
+		return zero, false
 	}
 	f := c.heap[0]
 	item := f.items[0]
-	f.items[0] = none
+	f.items[0] = zero
 	f.items = f.items[1:]
-	c.length--
-	c.passed = f.pass
+	c.count--
+	c.lastPass = f.pass
 	f.pass += 1 / f.share
 	if len(f.items) == 0 {
 		heap.Pop(&c.heap)
@@ -129,7 +130,7 @@
 	return item, true
 }
 
-func (c *class[T]) remove(organisation string, item T) bool {
+func (c *urgencyClass[T]) remove(organisation string, item T) bool {
 	f := c.flows[organisation]
 	if f == nil {
 		return false
@@ -137,7 +138,7 @@
 	for i, held := range f.items {
 		if held == item {
 			f.items = append(f.items[:i:i], f.items[i+1:]...)
-			c.length--
+			c.count--
 			c.dropEmpty(f)
 			return true
 		}
@@ -145,7 +146,7 @@
 	return false
 }
 
-func (c *class[T]) dropEmpty(f *flow[T]) {
+func (c *urgencyClass[T]) dropEmpty(f *flow[T]) {
 	if len(f.items) > 0 {
 		return
 	}
--- a/internal/policy/fairqueue_test.go
+++ b/internal/policy/fair_queue_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a brief waits forever under a steady load of pings.
-func TestPatientAdvancesUnderUrgent(t *testing.T) {
+// Guards against the starvation of patient items under a steady load of urgent items.
+func TestPatientItemsAdvanceUnderUrgentLoad(t *testing.T) {
 	is := is.New(t)
 	var q FairQueue[string]
 	q.Push(false, "org", 1, "brief")
@@ -22,10 +22,10 @@
 		}
 		taken++
 	}
-	is.Equal(taken, urgentRun)
+	is.Equal(taken, maxUrgentRun)
 }
 
-// Symptom: one organisation's flood makes all others wait.
+// Guards against one organisation's burst of items delaying all other organisations.
 func TestSharesOfOrganisations(t *testing.T) {
 	is := is.New(t)
 	var q FairQueue[string]
@@ -46,8 +46,8 @@
 	is.True(got["flood"] >= 9 && got["flood"] <= 11)
 }
 
-// An organisation that was away has no turns saved up.
-func TestComingBackSavesNoTurns(t *testing.T) {
+// An organisation that had no items for a while gets no extra turns afterwards.
+func TestIdleOrganisationAccumulatesNoTurns(t *testing.T) {
 	is := is.New(t)
 	var q FairQueue[string]
 	for range 50 {
@@ -66,7 +66,7 @@
 	is.True(got["steady"] >= 4)
 }
 
-// Nothing is lost, doubled or reordered within an organisation and urgency.
+// No item is lost, duplicated or reordered within one organisation and urgency.
 func TestFairQueueKeepsItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q FairQueue[string]
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -5,85 +5,87 @@
 	"time"
 )
 
-// slowStart is how long a server that is new or returned takes to its full
-// weight. Without it all entries send it work at once because it looks idle,
-// and its cold cache makes it the slowest of all.
-const slowStart = 3 * time.Second
+// slowStartDuration is the time in which the weight of a new or restarted server
+// grows to its full value. Without it, all entries send work to the server at once
+// because it looks idle, and its cold cache makes it the slowest of all.
+const slowStartDuration = 3 * time.Second
 
-// startWeight is the weight at the beginning of the slow start.
-const startWeight = 0.1
+// slowStartWeight is the weight at the beginning of the slow start.
+const slowStartWeight = 0.1
 
-// mostFailures bounds what failures count together: one death of a server
-// fails all that it had in progress.
-const mostFailures = 3
+// maxFailures bounds the failure count, because one crash of a server fails all of
+// its requests in progress.
+const maxFailures = 3
 
-// healthFades is the time constant with which slowness and failures are
-// forgotten, so that a server which was bad is tried again.
-const healthFades = 15 * time.Second
+// healthDecay is the time constant with which slowness and failures decay, so that a
+// server that was slow or failed is tried again.
+const healthDecay = 15 * time.Second
 
-// leastWeight keeps every member of a pool in use: slow is not dead.
-const leastWeight = 0.05
+// minWeight keeps every member of a pool in use, because a slow server still works.
+const minWeight = 0.05
 
-// slownessGain is the share of one observation in the slowness.
+// slownessGain is the weight of one observation in the moving average of the slowness.
 const slownessGain = 0.2
 
-// Health is what was learned of one server from its own work. The zero value
-// is a server in full health. Slow servers lose weight, none is shut out: only
-// the membership lease decides about life and death.
+// Health tracks the slowness and the failures of one server, as observed from its
+// work. The zero value describes a healthy server. A slow server loses weight but is
+// never excluded: only the membership lease decides whether a server is alive.
 type Health struct {
-	// Since is when the server appeared; zero if it was always there.
+	// Since is the time at which the server appeared. Zero means that it was always
+	// present, so that it has no slow start.
 	Since time.Time
-	// Slowness follows the logarithm of taken over predicted time.
+	// Slowness is the moving average of the logarithm of actual over predicted time.
 	Slowness float64
-	// Failures counts failures, fading.
+	// Failures is the failure count, which decays over time.
 	Failures float64
 	Updated  time.Time
 }
 
-// Observe learns how long work took against its prediction.
+// Observe records the actual and the predicted duration of some work.
 func (h *Health) Observe(took, predicted time.Duration, now time.Time) {
 	if took <= 0 || predicted <= 0 {
 		return
 	}
-	h.fade(now)
+	h.decay(now)
 	ratio := math.Log(float64(took) / float64(predicted))
 	h.Slowness += slownessGain * (ratio - h.Slowness)
 }
 
-// Fail learns of a failure of the server or its gate.
+// Fail records a failure of the server or its gate.
 func (h *Health) Fail(now time.Time) {
-	h.fade(now)
-	h.Failures = min(h.Failures+1, mostFailures)
+	h.decay(now)
+	h.Failures = min(h.Failures+1, maxFailures)
 }
 
-// Correction is what a prediction of the server's own is multiplied by.
+// Correction returns the factor by which the server's own predictions are multiplied.
 func (h *Health) Correction() float64 {
 	return min(8, max(0.25, math.Exp(h.Slowness)))
 }
 
-// Weight is the share of random choices that the server gets, of 1.
+// Weight returns the fraction of a full share of random choices that the server gets.
 func (h *Health) Weight(now time.Time) float64 {
-	faded := *h
-	faded.fade(now)
-	weight := 1 / (1 + faded.Failures)
-	if faded.Slowness > 0 {
-		weight *= math.Exp(-faded.Slowness)
+	current := *h
+	current.decay(now)
+	weight := 1 / (1 + current.Failures)
+	if current.Slowness > 0 {
+		weight *= math.Exp(-current.Slowness)
 	}
-	if age := now.Sub(h.Since); !h.Since.IsZero() && age < slowStart {
-		share := age.Seconds() / slowStart.Seconds()
-		weight *= startWeight + (1-startWeight)*share
+	if age := now.Sub(h.Since); !h.Since.IsZero() && age < slowStartDuration {
+		share := age.Seconds() / slowStartDuration.Seconds()
+		weight *= slowStartWeight + (1-slowStartWeight)*share
 	}
-	return max(leastWeight, weight)
+	return max(minWeight, weight)
 }
 
-func (h *Health) fade(now time.Time) {
-	passed := now.Sub(h.Updated)
-	if h.Updated.IsZero() || passed <= 0 {
+// decay reduces slowness and failures by the time since the last update.
+func (h *Health) decay(now time.Time) {
+	elapsed := now.Sub(h.Updated)
+	if h.Updated.IsZero() || elapsed <= 0 {
 		h.Updated = now
 		return
 	}
-	left := math.Exp(-passed.Seconds() / healthFades.Seconds())
-	h.Slowness *= left
-	h.Failures *= left
+	factor := math.Exp(-elapsed.Seconds() / healthDecay.Seconds())
+	h.Slowness *= factor
+	h.Failures *= factor
 	h.Updated = now
 }
--- a/internal/policy/leastload.go
+++ b/internal/policy/least_load.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// leastLoad takes the servers with the least load by lagging hints. It looks
-// at every member: it is a baseline, not meant for large pools.
-type leastLoad[T Member] struct{ plain }
+// leastLoad picks the servers with the lowest reported load. The reports lag. It
+// scans all members: it is a baseline and not meant for large pools.
+type leastLoad[T Member] struct{ baseline }
 
 // Pick implements Policy.
 func (leastLoad[T]) Pick(p *Pool[T], w Want, rng *rand.Rand, picked []T) []T {
 	for len(picked) < min(w.Count, len(p.members)) {
-		picked = append(picked, least(p, rng, picked))
+		picked = append(picked, leastLoaded(p, rng, picked))
 	}
 	return picked
 }
 
-// least starts at a random member, so that equal hints do not all lead to the
-// first name.
-func least[T Member](p *Pool[T], rng *rand.Rand, picked []T) T {
+// leastLoaded returns the member with the lowest load that is not already picked. The
+// scan starts at a random member, so that ties do not always go to the first name.
+func leastLoaded[T Member](p *Pool[T], rng *rand.Rand, picked []T) T {
 	var best T
 	found := false
 	start := rng.IntN(len(p.members))
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,7 +1,8 @@
-// Package policy holds the routing and queueing policies: which backend
-// servers of a pool are asked for one request, which of their offers is taken,
-// and in which order waiting work goes on. Policies are generic over the
-// member type and pure: time and random numbers are handed in.
+// Package policy implements the routing and queueing policies. They select the
+// backend servers of a pool that receive a reservation request, the offer that
+// is accepted, and the order in which queued work proceeds. Policies are generic
+// over the member type and deterministic: callers pass in the time and the
+// source of random numbers.
 package policy
 
 import (
@@ -13,77 +14,78 @@
 type Name string
 
 const (
-	// Reserve asks a few servers that likely hold the prompt's prefix and one
-	// at random, and reserves decode memory before the prefill is paid for.
+	// Reserve requests offers from a few servers that likely cache the prompt's
+	// prefix and from random ones, and reserves decode memory before the prefill
+	// runs.
 	Reserve Name = "reserve"
-	// Random takes any server.
+	// Random selects a random server.
 	Random Name = "random"
-	// RoundRobin takes one server after the other.
+	// RoundRobin selects the servers in turn.
 	RoundRobin Name = "roundRobin"
-	// LeastLoad takes the server with the least load by lagging hints.
+	// LeastLoad selects the server with the lowest reported load; the reports lag.
 	LeastLoad Name = "leastLoad"
-	// Affinity takes the server that the prompt's prefix hashes to.
+	// Affinity selects the server that the prompt's prefix hashes to.
 	Affinity Name = "affinity"
 )
 
-// Member is one backend server of a pool, as a policy sees it.
+// Member is one backend server of a pool.
 type Member interface {
 	comparable
-	// Key is the stable name of the server.
+	// Key returns the stable name of the server.
 	Key() string
-	// Domain is the failure domain of the server.
+	// Domain returns the failure domain of the server.
 	Domain() string
-	// Load is what is known of the server's load, in any unit that is the
-	// same for all members; the knowledge may lag.
+	// Load returns the last known load of the server, in any unit that is the
+	// same for all members. It may lag.
 	Load() float64
-	// Weight is how much of a full share of random choices the server gets,
-	// from 0 to 1.
+	// Weight returns the fraction of a full share of random choices that the
+	// server gets, from 0 to 1.
 	Weight() float64
 }
 
-// Want is what one request asks of a pool.
+// Want describes the members that one request needs from a pool.
 type Want struct {
 	// Prefix holds one hash for each leading block of the prompt, longest
-	// last; it is empty if affinity does not matter.
+	// last. It is empty if the request has no affinity.
 	Prefix []uint64
-	// Domain is the failure domain that costs the least to reach.
+	// Domain is the failure domain with the lowest cost to reach.
 	Domain string
-	// Count is how many members are wanted.
+	// Count is the number of members to pick.
 	Count int
-	// Except is the key of a member that is not wanted; the caller hands it in
-	// as picked.
+	// Except is the key of a member to exclude. The caller excludes the member by
+	// passing it to Pick as already picked.
 	Except string
 }
 
-// Estimate is what is known of serving one request at one server, from its
-// offer and from what was learned.
+// Estimate predicts the cost of serving one request at one server, from the
+// server's offer and from earlier observations.
 type Estimate struct {
 	// StartIn is the predicted wait until the work could start.
 	StartIn time.Duration
-	// Took is the predicted time of the work.
+	// Took is the predicted duration of the work.
 	Took time.Duration
-	// Transfer is the predicted time to move the KV cache to the server.
+	// Transfer is the predicted time of the KV cache transfer to the server.
 	Transfer time.Duration
-	// OtherDomain is true if the KV cache has to leave its failure domain.
+	// OtherDomain is true if the KV cache must leave its failure domain.
 	OtherDomain bool
-	// Granted is true if the room is held already.
+	// Granted is true if the server has already reserved the memory.
 	Granted bool
-	// Queued counts reservations ahead.
+	// Queued is the number of reservations queued ahead.
 	Queued int
 }
 
-// Policy decides where a request is tried.
+// Policy selects the servers that a request is offered to.
 type Policy[T Member] interface {
-	// Pick appends different members of the pool to picked, the most wanted
-	// first, until there are w.Count.
+	// Pick appends distinct members of the pool to picked, the preferred ones
+	// first, until picked holds w.Count members or every member of the pool.
 	Pick(p *Pool[T], w Want, rng *rand.Rand, picked []T) []T
-	// Cost orders offers; the lowest is taken.
+	// Cost ranks offers; the offer with the lowest cost is accepted.
 	Cost(e Estimate) time.Duration
-	// ReservesDecode is true if decode memory is reserved before the prefill.
+	// ReservesDecode reports whether decode memory is reserved before the prefill.
 	ReservesDecode() bool
 }
 
-// New returns the policy of a name; an unknown name gives Reserve.
+// New returns the policy with the given name, or Reserve for an unknown name.
 func New[T Member](n Name) Policy[T] {
 	switch n {
 	case Random:
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -34,8 +34,8 @@
 
 func newRNG() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// Every policy gives as many different members as are wanted and there are,
-// and keeps what was picked before.
+// Every policy picks as many distinct members as requested and available, and keeps
+// the members that were already picked.
 func TestPickIsDistinct(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SampledFrom([]Name{Reserve, Random, RoundRobin, LeastLoad, Affinity}).Draw(t, "policy")
@@ -74,15 +74,15 @@
 	rng := newRNG()
 	for range keys {
 		hash := rng.Uint64()
-		m, _ := pool.owner(hash, nil)
+		m, _ := pool.ringOwner(hash, nil)
 		found[hash] = m.name
 	}
 	return found
 }
 
-// Symptom: all cached prefixes are cold after one server left.
-// Cause: the owner of a prefix depends on the number of servers.
-func TestOnlyTheLostMembersPrefixesMove(t *testing.T) {
+// Guards against cold caches on all servers after one server leaves, which happens if the
+// owner of a prefix depends on the number of servers.
+func TestOnlyPrefixesOfTheRemovedMemberMove(t *testing.T) {
 	is := is.New(t)
 	all := members(16)
 	before, after := owners(all, 4000), owners(all[1:], 4000)
@@ -94,45 +94,45 @@
 		}
 	}
 	for name, n := range shares {
-		is.True(n > 4000/16/2 && n < 4000/16*2) // no member owns far too much
+		is.True(n > 4000/16/2 && n < 4000/16*2) // every share is within a factor of two of the mean
 		_ = name
 	}
 }
 
-// Symptom: one server drowns in requests that share a prompt.
-// Cause: affinity without a bound on load.
-func TestAffinityPassesOverLoad(t *testing.T) {
+// Guards against the overload of one server by requests that share a prompt, which
+// happens if affinity has no bound on load.
+func TestAffinitySkipsOverloadedMembers(t *testing.T) {
 	is := is.New(t)
 	all := members(8)
 	pool := NewPool(all)
-	hot, _ := pool.owner(42, nil)
+	hot, _ := pool.ringOwner(42, nil)
 	hot.load = 50
-	next, _ := pool.owner(42, nil)
+	next, _ := pool.ringOwner(42, nil)
 	is.True(next != hot)
 	for _, m := range all {
 		m.load = 50
 	}
-	again, found := pool.owner(42, nil)
+	again, found := pool.ringOwner(42, nil)
 	is.True(found)
-	is.Equal(again, hot) // all are over: the first counts
+	is.Equal(again, hot) // all are over the bound: the first one is returned
 }
 
-// Symptom: a slow server holds every request that random choice sends it.
-// A server that is slow gets less, and never nothing.
-func TestSlowMembersGetLess(t *testing.T) {
+// Guards against slow servers that delay every request that random choice sends to them.
+// A slow server gets fewer requests, but never none.
+func TestSlowMembersGetFewerRequests(t *testing.T) {
 	is := is.New(t)
 	all := members(4)
 	all[0].weight = 0.1
 	pool, rng := NewPool(all), newRNG()
-	got := map[*member]int{}
+	picks := map[*member]int{}
 	for range 4000 {
-		got[New[*member](Random).Pick(pool, Want{Count: 1}, rng, nil)[0]]++
+		picks[New[*member](Random).Pick(pool, Want{Count: 1}, rng, nil)[0]]++
 	}
-	is.True(got[all[0]] > 0)
-	is.True(got[all[0]] < got[all[1]]/4)
+	is.True(picks[all[0]] > 0)
+	is.True(picks[all[0]] < picks[all[1]]/4)
 }
 
-func TestReserveAsksNearAndByPrefix(t *testing.T) {
+func TestReservePicksByDomainAndPrefix(t *testing.T) {
 	is := is.New(t)
 	all := members(12)
 	pool, rng := NewPool(all), newRNG()
@@ -141,7 +141,7 @@
 		near := p.Pick(pool, Want{Count: 2, Domain: "b"}, rng, nil)
 		is.Equal(near[0].domain, "b")
 		byPrefix := p.Pick(pool, Want{Count: 2, Prefix: []uint64{1, 2, 3}}, rng, nil)
-		owner, _ := pool.owner(2, nil)
+		owner, _ := pool.ringOwner(2, nil)
 		is.Equal(byPrefix[0], owner)
 	}
 	is.True(p.Cost(Estimate{Took: time.Second}) > p.Cost(Estimate{Took: 100 * time.Millisecond, OtherDomain: true}))
@@ -156,23 +156,23 @@
 	for range 20 {
 		h.Observe(4*time.Second, time.Second, now)
 	}
-	is.True(h.Weight(now) < 0.35) // four times slower: a quarter
-	is.True(h.Correction() > 3)   // and its predictions are corrected
+	is.True(h.Weight(now) < 0.35) // four times slower: about a quarter of the weight
+	is.True(h.Correction() > 3)   // predictions of the slow server are corrected
 	for range 100 {
 		h.Fail(now)
 	}
-	is.True(h.Weight(now) < 0.1)          // four times slower, and it failed
-	is.True(h.Weight(now) >= leastWeight) // never nothing
-	died := Health{}
+	is.True(h.Weight(now) < 0.1)        // four times slower and failing
+	is.True(h.Weight(now) >= minWeight) // the weight never reaches zero
+	crashed := Health{}
 	for range 20 {
-		died.Fail(now)
+		crashed.Fail(now)
 	}
-	is.Equal(died.Weight(now), 0.25) // one death is not twenty
-	later := now.Add(10 * healthFades)
-	is.True(h.Weight(later) > 0.9) // forgotten
+	is.Equal(crashed.Weight(now), 0.25) // one crash that fails 20 requests counts as maxFailures
+	later := now.Add(10 * healthDecay)
+	is.True(h.Weight(later) > 0.9) // slowness and failures have decayed
 
-	returned := Health{Since: now}
-	is.Equal(returned.Weight(now), startWeight)
-	is.True(returned.Weight(now.Add(slowStart/2)) < 0.6)
-	is.Equal(returned.Weight(now.Add(slowStart)), 1.0)
+	restarted := Health{Since: now}
+	is.Equal(restarted.Weight(now), slowStartWeight)
+	is.True(restarted.Weight(now.Add(slowStartDuration/2)) < 0.6)
+	is.Equal(restarted.Weight(now.Add(slowStartDuration)), 1.0)
 }
--- a/internal/policy/pool.go
+++ b/internal/policy/pool.go
@@ -9,25 +9,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ringPoints is how many points each member has on the ring. With 64 points
-// the largest share of a pool of 16 members is about 1.3 times the mean.
+// ringPoints is the number of points that each member has on the hash ring. With
+// 64 points, the largest share in a pool of 16 members is about 1.3 times the mean.
 const ringPoints = 64
 
-// weightTries is how many random members are looked at before a slow one is
-// taken all the same.
-const weightTries = 4
+// maxWeightedPicks is the number of random draws after which a member is picked
+// even if its weight rejected it.
+const maxWeightedPicks = 4
 
-// Pool is the members that can serve one kind of request. Finding candidates
-// costs the logarithm of its size at most; building it sorts all points.
+// Pool holds the members that can serve one kind of request. Finding candidates
+// takes logarithmic time at most; building the pool sorts all points of the ring.
 type Pool[T Member] struct {
 	members []T
 	ring    []point
 	domains map[string][]T
 	next    int
-	// mean follows the load of members that were looked at by chance.
-	mean float64
+	// meanLoad is the moving average of the load of randomly sampled members.
+	meanLoad float64
 }
 
+// point is one position of a member on the hash ring.
 type point struct {
 	hash   uint64
 	member int
@@ -57,58 +58,59 @@
 	return p
 }
 
-// Len is the number of members.
+// Len returns the number of members.
 func (p *Pool[T]) Len() int { return len(p.members) }
 
-// Members lists the members in the order of their keys; it must not be
-// changed.
+// Members returns the members in the order of their keys. The slice must not be
+// modified.
 func (p *Pool[T]) Members() []T { return p.members }
 
-// loadBound is how far above the mean a member's load may be before affinity
-// passes it over: the bounded-load rule of consistent hashing.
+// loadBound is the multiple of the mean load above which affinity skips a member,
+// as in consistent hashing with bounded loads.
 const loadBound = 1.25
 
-// owner returns the first member behind a hash on the ring that is neither
-// picked yet nor over the load bound. If all are over, the first one counts.
-func (p *Pool[T]) owner(hash uint64, picked []T) (T, bool) {
+// ringOwner returns the first member at or after a hash on the ring that is neither
+// already picked nor over the load bound. If every such member is over the bound, it
+// returns the first one that is not picked.
+func (p *Pool[T]) ringOwner(hash uint64, picked []T) (T, bool) {
 	var first T
 	found := false
-	at, _ := slices.BinarySearchFunc(p.ring, hash, func(q point, h uint64) int {
-		if q.hash < h {
+	index, _ := slices.BinarySearchFunc(p.ring, hash, func(pt point, h uint64) int {
+		if pt.hash < h {
 			return -1
 		}
-		if q.hash > h {
+		if pt.hash > h {
 			return 1
 		}
 		return 0
 	})
 	steps := min(len(p.ring), 4*ringPoints)
 	for i := range steps {
-		m := p.members[p.ring[(at+i)%len(p.ring)].member]
+		m := p.members[p.ring[(index+i)%len(p.ring)].member]
 		if slices.Contains(picked, m) {
 			continue
 		}
 		if !found {
 			first, found = m, true
 		}
-		if m.Load() <= loadBound*p.mean+1 {
+		if m.Load() <= loadBound*p.meanLoad+1 {
 			return m, true
 		}
 	}
 	return first, found
 }
 
-// any returns a random member that is not picked yet; members of low weight
-// are passed over as often as their weight says.
-func (p *Pool[T]) any(from []T, rng *rand.Rand, picked []T) (T, bool) {
+// pickWeighted returns a random member that is not already picked. It accepts a
+// drawn member with a probability equal to the member's weight.
+func (p *Pool[T]) pickWeighted(from []T, rng *rand.Rand, picked []T) (T, bool) {
 	var last T
 	found := false
 	if len(from) == 0 {
 		return last, false
 	}
-	for range weightTries {
+	for range maxWeightedPicks {
 		m := from[rng.IntN(len(from))]
-		p.see(m)
+		p.sampleLoad(m)
 		if slices.Contains(picked, m) {
 			continue
 		}
@@ -123,19 +125,21 @@
 	return p.firstUnpicked(from, picked)
 }
 
+// firstUnpicked returns the first member of from that is not already picked.
 func (p *Pool[T]) firstUnpicked(from, picked []T) (T, bool) {
 	for _, m := range from[:min(len(from), len(picked)+1)] {
 		if !slices.Contains(picked, m) {
 			return m, true
 		}
 	}
-	var none T
-	return none, false
+	var zero T
+	return zero, false
 }
 
-// meanGain is the share that one more look has in the mean load.
-const meanGain = 1.0 / 16
+// meanLoadGain is the weight of one sample in the moving average of the load.
+const meanLoadGain = 1.0 / 16
 
-func (p *Pool[T]) see(m T) {
-	p.mean += meanGain * (m.Load() - p.mean)
+// sampleLoad adds the load of a randomly drawn member to the moving average.
+func (p *Pool[T]) sampleLoad(m T) {
+	p.meanLoad += meanLoadGain * (m.Load() - p.meanLoad)
 }
--- a/internal/policy/random.go
+++ b/internal/policy/random.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// random takes any servers, without regard to what they hold.
-type random[T Member] struct{ plain }
+// random picks random servers, regardless of the models and prefixes that they hold.
+type random[T Member] struct{ baseline }
 
 // Pick implements Policy.
 func (random[T]) Pick(p *Pool[T], w Want, rng *rand.Rand, picked []T) []T {
-	return fill(p, w.Count, rng, picked)
+	return pickRandom(p, w.Count, rng, picked)
 }
 
-// fill appends random members until count are picked.
-func fill[T Member](p *Pool[T], count int, rng *rand.Rand, picked []T) []T {
+// pickRandom appends random members until count members are picked or none are left.
+func pickRandom[T Member](p *Pool[T], count int, rng *rand.Rand, picked []T) []T {
 	for len(picked) < count {
-		m, found := p.any(p.members, rng, picked)
+		m, found := p.pickWeighted(p.members, rng, picked)
 		if !found {
 			return picked
 		}
@@ -25,12 +25,12 @@
 	return picked
 }
 
-// plain is what the baselines have in common: one server is asked, its offer
-// is taken whatever it says, and decode memory is found after the prefill.
-type plain struct{}
+// baseline holds the common behaviour of the baseline policies. All offers cost the
+// same, and decode memory is reserved after the prefill.
+type baseline struct{}
 
 // Cost implements Policy.
-func (plain) Cost(Estimate) time.Duration { return 0 }
+func (baseline) Cost(Estimate) time.Duration { return 0 }
 
 // ReservesDecode implements Policy.
-func (plain) ReservesDecode() bool { return false }
+func (baseline) ReservesDecode() bool { return false }
--- a/internal/policy/reserve.go
+++ b/internal/policy/reserve.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// reserve is the product's own policy: one or two candidates by the prefix,
-// the rest at random, the choice by the gates' true offers.
+// reserve is the default policy. It picks one or two candidates by the prompt's prefix
+// and the rest at random, and chooses among the offers that their gates make.
 type reserve[T Member] struct{}
 
-// domainCost is what leaving the failure domain counts for besides the time of
-// the transfer itself: two crossings of a link and a share of a link that
-// others need. It only decides between offers that are nearly equal.
-const domainCost = 4 * time.Millisecond
+// crossDomainCost is the cost of leaving the failure domain in addition to the time of
+// the transfer. It covers two crossings of a link and the use of a link that other
+// transfers share. It only decides between offers that are nearly equal.
+const crossDomainCost = 4 * time.Millisecond
 
-// queuedCost breaks ties between equal predictions for the shorter queue.
-const queuedCost = 100 * time.Microsecond
+// queuedReservationCost breaks ties between equal predictions in favour of the shorter queue.
+const queuedReservationCost = 100 * time.Microsecond
 
 // Pick implements Policy.
 func (reserve[T]) Pick(p *Pool[T], w Want, rng *rand.Rand, picked []T) []T {
@@ -23,40 +23,42 @@
 		return pickByPrefix(p, w, rng, picked)
 	}
 	if near := p.domains[w.Domain]; len(near) > 0 && w.Count-len(picked) > 1 {
-		picked = p.lessLoaded(near, rng, picked)
+		picked = p.appendLessLoaded(near, rng, picked)
 	}
-	return fill(p, w.Count, rng, picked)
+	return pickRandom(p, w.Count, rng, picked)
 }
 
-// lessLoaded appends the one of two random members that hints call less
-// loaded: even hints that lag make the fullest servers rare choices.
-func (p *Pool[T]) lessLoaded(from []T, rng *rand.Rand, picked []T) []T {
-	one, found := p.any(from, rng, picked)
+// appendLessLoaded appends the less loaded of two random members. Even load reports that
+// lag make the most loaded servers rare choices.
+func (p *Pool[T]) appendLessLoaded(from []T, rng *rand.Rand, picked []T) []T {
+	one, found := p.pickWeighted(from, rng, picked)
 	if !found {
 		return picked
 	}
-	if other, found := p.any(from, rng, picked); found && other.Load() < one.Load() {
+	if other, found := p.pickWeighted(from, rng, picked); found && other.Load() < one.Load() {
 		one = other
 	}
 	return append(picked, one)
 }
 
+// pickByPrefix picks the owner of the shared block of the prompt, then the owner of its
+// longest prefix if a place for a random member remains, and the rest at random.
 func pickByPrefix[T Member](p *Pool[T], w Want, rng *rand.Rand, picked []T) []T {
 	hash, _ := sharedBlock(w.Prefix)
 	picked = p.appendOwner(hash, w.Count, picked)
 	if w.Count-len(picked) > 1 {
 		picked = p.appendOwner(w.Prefix[len(w.Prefix)-1], w.Count-1, picked)
 	}
-	return fill(p, w.Count, rng, picked)
+	return pickRandom(p, w.Count, rng, picked)
 }
 
-// Cost implements Policy: the predicted time until the work has its result,
-// with small costs for what the prediction leaves out.
+// Cost implements Policy. It returns the predicted time until the result of the work,
+// plus small costs for factors that the prediction leaves out.
 func (reserve[T]) Cost(e Estimate) time.Duration {
 	cost := e.StartIn + e.Took + e.Transfer
-	cost += time.Duration(e.Queued) * queuedCost
+	cost += time.Duration(e.Queued) * queuedReservationCost
 	if e.OtherDomain {
-		cost += domainCost
+		cost += crossDomainCost
 	}
 	return cost
 }
--- a/internal/policy/roundrobin.go
+++ b/internal/policy/round_robin.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// roundRobin takes one server after the other, in the order of their names.
-type roundRobin[T Member] struct{ plain }
+// roundRobin picks the servers in turn, in the order of their names.
+type roundRobin[T Member] struct{ baseline }
 
 // Pick implements Policy.
 func (roundRobin[T]) Pick(p *Pool[T], w Want, _ *rand.Rand, picked []T) []T {
