--- a/internal/policy/affinity.go
+++ b/internal/policy/affinity.go
@@ -7,11 +7,11 @@
 type affinity[T Member] struct{ baseline }
 
 // Pick implements Policy.
-func (affinity[T]) Pick(p *Pool[T], w Want, rng *rand.Rand, picked []T) []T {
-	if hash, has := sharedBlock(w.Prefix); has {
-		picked = p.appendOwner(hash, w.Count, picked)
+func (affinity[T]) Pick(p *Pool[T], c Criteria, rng *rand.Rand, picked []T) []T {
+	if hash, has := sharedBlock(c.Prefix); has {
+		picked = p.appendOwner(hash, c.Count, picked)
 	}
-	return pickRandom(p, w.Count, rng, picked)
+	return pickRandom(p, c.Count, rng, picked)
 }
 
 // appendOwner appends the owner of a hash, unless count members are already picked.
--- a/internal/policy/least_load.go
+++ b/internal/policy/least_load.go
@@ -10,8 +10,8 @@
 type leastLoad[T Member] struct{ baseline }
 
 // Pick implements Policy.
-func (leastLoad[T]) Pick(p *Pool[T], w Want, rng *rand.Rand, picked []T) []T {
-	for len(picked) < min(w.Count, len(p.members)) {
+func (leastLoad[T]) Pick(p *Pool[T], c Criteria, rng *rand.Rand, picked []T) []T {
+	for len(picked) < min(c.Count, len(p.members)) {
 		picked = append(picked, leastLoaded(p, rng, picked))
 	}
 	return picked
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -43,8 +43,8 @@
 	Weight() float64
 }
 
-// Want describes the members that one request needs from a pool.
-type Want struct {
+// Criteria describes the members that one request needs from a pool.
+type Criteria struct {
 	// Prefix holds one hash for each leading block of the prompt, longest
 	// last. It is empty if the request has no affinity.
 	Prefix []uint64
@@ -77,8 +77,8 @@
 // Policy selects the servers that a request is offered to.
 type Policy[T Member] interface {
 	// Pick appends distinct members of the pool to picked, the preferred ones
-	// first, until picked holds w.Count members or every member of the pool.
-	Pick(p *Pool[T], w Want, rng *rand.Rand, picked []T) []T
+	// first, until picked holds c.Count members or every member of the pool.
+	Pick(p *Pool[T], c Criteria, rng *rand.Rand, picked []T) []T
 	// Cost ranks offers; the offer with the lowest cost is accepted.
 	Cost(e Estimate) time.Duration
 	// ReservesDecode reports whether decode memory is reserved before the prefill.
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -44,7 +44,7 @@
 			m.load = float64(rapid.IntRange(0, 5).Draw(t, "load"))
 			m.weight = float64(rapid.IntRange(1, 10).Draw(t, "weight")) / 10
 		}
-		want := Want{
+		want := Criteria{
 			Count:  rapid.IntRange(1, 5).Draw(t, "count"),
 			Domain: rapid.SampledFrom([]string{"a", "elsewhere"}).Draw(t, "domain"),
 			Prefix: rapid.SliceOfN(rapid.Uint64(), 0, 4).Draw(t, "prefix"),
@@ -126,7 +126,7 @@
 	pool, rng := NewPool(all), newRNG()
 	picks := map[*member]int{}
 	for range 4000 {
-		picks[New[*member](Random).Pick(pool, Want{Count: 1}, rng, nil)[0]]++
+		picks[New[*member](Random).Pick(pool, Criteria{Count: 1}, rng, nil)[0]]++
 	}
 	is.True(picks[all[0]] > 0)
 	is.True(picks[all[0]] < picks[all[1]]/4)
@@ -138,9 +138,9 @@
 	pool, rng := NewPool(all), newRNG()
 	p := New[*member](Reserve)
 	for range 100 {
-		near := p.Pick(pool, Want{Count: 2, Domain: "b"}, rng, nil)
+		near := p.Pick(pool, Criteria{Count: 2, Domain: "b"}, rng, nil)
 		is.Equal(near[0].domain, "b")
-		byPrefix := p.Pick(pool, Want{Count: 2, Prefix: []uint64{1, 2, 3}}, rng, nil)
+		byPrefix := p.Pick(pool, Criteria{Count: 2, Prefix: []uint64{1, 2, 3}}, rng, nil)
 		owner, _ := pool.ringOwner(2, nil)
 		is.Equal(byPrefix[0], owner)
 	}
--- a/internal/policy/random.go
+++ b/internal/policy/random.go
@@ -9,8 +9,8 @@
 type random[T Member] struct{ baseline }
 
 // Pick implements Policy.
-func (random[T]) Pick(p *Pool[T], w Want, rng *rand.Rand, picked []T) []T {
-	return pickRandom(p, w.Count, rng, picked)
+func (random[T]) Pick(p *Pool[T], c Criteria, rng *rand.Rand, picked []T) []T {
+	return pickRandom(p, c.Count, rng, picked)
 }
 
 // pickRandom appends random members until count members are picked or none are left.
@@ -25,8 +25,9 @@
 	return picked
 }
 
-// baseline holds the common behaviour of the baseline policies. All offers cost the
-// same, and decode memory is reserved after the prefill.
+// baseline holds the common behaviour of the baseline policies: only one server is
+// probed, its offer is accepted at any cost, and decode memory is reserved after the
+// prefill.
 type baseline struct{}
 
 // Cost implements Policy.
--- a/internal/policy/reserve.go
+++ b/internal/policy/reserve.go
@@ -18,14 +18,14 @@
 const queuedReservationCost = 100 * time.Microsecond
 
 // Pick implements Policy.
-func (reserve[T]) Pick(p *Pool[T], w Want, rng *rand.Rand, picked []T) []T {
-	if len(w.Prefix) > 0 {
-		return pickByPrefix(p, w, rng, picked)
+func (reserve[T]) Pick(p *Pool[T], c Criteria, rng *rand.Rand, picked []T) []T {
+	if len(c.Prefix) > 0 {
+		return pickByPrefix(p, c, rng, picked)
 	}
-	if near := p.domains[w.Domain]; len(near) > 0 && w.Count-len(picked) > 1 {
+	if near := p.domains[c.Domain]; len(near) > 0 && c.Count-len(picked) > 1 {
 		picked = p.appendLessLoaded(near, rng, picked)
 	}
-	return pickRandom(p, w.Count, rng, picked)
+	return pickRandom(p, c.Count, rng, picked)
 }
 
 // appendLessLoaded appends the less loaded of two random members. Even load reports that
@@ -43,13 +43,13 @@
 
 // pickByPrefix picks the owner of the shared block of the prompt, then the owner of its
 // longest prefix if a place for a random member remains, and the rest at random.
-func pickByPrefix[T Member](p *Pool[T], w Want, rng *rand.Rand, picked []T) []T {
-	hash, _ := sharedBlock(w.Prefix)
-	picked = p.appendOwner(hash, w.Count, picked)
-	if w.Count-len(picked) > 1 {
-		picked = p.appendOwner(w.Prefix[len(w.Prefix)-1], w.Count-1, picked)
+func pickByPrefix[T Member](p *Pool[T], c Criteria, rng *rand.Rand, picked []T) []T {
+	hash, _ := sharedBlock(c.Prefix)
+	picked = p.appendOwner(hash, c.Count, picked)
+	if c.Count-len(picked) > 1 {
+		picked = p.appendOwner(c.Prefix[len(c.Prefix)-1], c.Count-1, picked)
 	}
-	return pickRandom(p, w.Count, rng, picked)
+	return pickRandom(p, c.Count, rng, picked)
 }
 
 // Cost implements Policy. It returns the predicted time until the result of the work,
--- a/internal/policy/round_robin.go
+++ b/internal/policy/round_robin.go
@@ -9,9 +9,9 @@
 type roundRobin[T Member] struct{ baseline }
 
 // Pick implements Policy.
-func (roundRobin[T]) Pick(p *Pool[T], w Want, _ *rand.Rand, picked []T) []T {
+func (roundRobin[T]) Pick(p *Pool[T], c Criteria, _ *rand.Rand, picked []T) []T {
 	for range p.members {
-		if len(picked) >= w.Count {
+		if len(picked) >= c.Count {
 			break
 		}
 		m := p.members[p.next%len(p.members)]
--- a/internal/reducer/entry/call.go
+++ b/internal/reducer/entry/call.go
@@ -25,7 +25,7 @@
 func (s *State) openCall(r *request) {
 	r.attempt++
 	reserve := s.newReservation(r, message.PhaseCall)
-	want := policy.Want{Domain: s.config.FailureDomain, Count: s.config.Probes}
+	want := policy.Criteria{Domain: s.config.FailureDomain, Count: s.config.Probes}
 	r.call = s.openRound(r, alarmCall, reserve, want, r.pool(oriolebend.Service))
 	if r.call == nil {
 		s.waitForServer(r)
@@ -175,7 +175,7 @@
 	if p.Len() == 0 {
 		return nil
 	}
-	s.pickCandidates(p.Pool, policy.Want{Domain: s.config.FailureDomain, Count: 1})
+	s.pickCandidates(p.Pool, policy.Criteria{Domain: s.config.FailureDomain, Count: 1})
 	return s.candidates[0]
 }
 
--- a/internal/reducer/entry/decode.go
+++ b/internal/reducer/entry/decode.go
@@ -20,7 +20,7 @@
 // openDecode reserves decode capacity that is needed after startIn.
 func (s *State) openDecode(r *request, startIn time.Duration) {
 	reserve := s.decodeReservation(r, startIn)
-	w := policy.Want{Domain: s.resultDomain(r), Count: s.config.DecodeProbes}
+	w := policy.Criteria{Domain: s.resultDomain(r), Count: s.config.DecodeProbes}
 	if r.Urgency == oriolebend.Urgent {
 		w.Count *= urgentProbeFactor
 	}
@@ -149,7 +149,7 @@
 func (s *State) openStandby(r *request) {
 	reserve := s.decodeReservation(r, 0)
 	reserve.Hold = false
-	w := policy.Want{Domain: s.resultDomain(r), Count: s.config.DecodeProbes}
+	w := policy.Criteria{Domain: s.resultDomain(r), Count: s.config.DecodeProbes}
 	if r.decode != nil && r.decode.chosen != nil {
 		w.Except = r.decode.chosen.server.Name
 	}
@@ -259,7 +259,7 @@
 	}
 	reserve := s.decodeReservation(r, 0)
 	reserve.Hold = false
-	w := policy.Want{Domain: s.resultDomain(r), Count: s.config.DecodeProbes, Except: lostServer}
+	w := policy.Criteria{Domain: s.resultDomain(r), Count: s.config.DecodeProbes, Except: lostServer}
 	r.decode = s.openRound(r, alarmDecode, reserve, w, r.pool(oriolebend.Decode))
 	if r.decode == nil {
 		s.retryWork(r, l.reason)
--- a/internal/reducer/entry/prefill.go
+++ b/internal/reducer/entry/prefill.go
@@ -15,7 +15,7 @@
 	reserve := s.newReservation(r, message.PhasePrefill)
 	reserve.PromptTokens = r.PromptTokens + r.output.tokens
 	reserve.Prefix = r.Prefix
-	want := policy.Want{Prefix: r.Prefix, Domain: s.config.FailureDomain, Count: s.config.Probes}
+	want := policy.Criteria{Prefix: r.Prefix, Domain: s.config.FailureDomain, Count: s.config.Probes}
 	r.prefill = s.openRound(r, alarmPrefill, reserve, want, r.pool(oriolebend.Prefill))
 	if r.prefill == nil {
 		s.waitForServer(r)
--- a/internal/reducer/entry/reserve.go
+++ b/internal/reducer/entry/reserve.go
@@ -82,7 +82,7 @@
 
 // openRound probes the candidates of a request for one phase. It returns nil if
 // no server can serve the request now.
-func (s *State) openRound(r *request, a alarm, reserve message.Reserve, w policy.Want, k poolKey) *round {
+func (s *State) openRound(r *request, a alarm, reserve message.Reserve, w policy.Criteria, k poolKey) *round {
 	pool := s.pool(k)
 	if pool.Len() == 0 {
 		return nil
@@ -122,7 +122,7 @@
 
 // pickCandidates fills s.candidates. The server named by w.Except is left out
 // unless the pool has no other.
-func (s *State) pickCandidates(pool *policy.Pool[*server], w policy.Want) {
+func (s *State) pickCandidates(pool *policy.Pool[*server], w policy.Criteria) {
 	s.candidates = s.candidates[:0]
 	if except := s.servers[w.Except]; except != nil && pool.Len() > 1 {
 		s.candidates = append(s.candidates, except)
