--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -51,8 +51,8 @@
 	h.Slowness += slownessGain * (ratio - h.Slowness)
 }
 
-// Fail records a failure of the server or its gate.
-func (h *Health) Fail(now time.Time) {
+// RecordFailure records a failure of the server or its gate.
+func (h *Health) RecordFailure(now time.Time) {
 	h.decay(now)
 	h.Failures = min(h.Failures+1, maxFailures)
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -159,13 +159,13 @@
 	is.True(h.Weight(now) < 0.35) // four times slower: about a quarter of the weight
 	is.True(h.Correction() > 3)   // predictions of the slow server are corrected
 	for range 100 {
-		h.Fail(now)
+		h.RecordFailure(now)
 	}
 	is.True(h.Weight(now) < 0.1)        // four times slower and failing
 	is.True(h.Weight(now) >= minWeight) // the weight never reaches zero
 	crashed := Health{}
 	for range 20 {
-		crashed.Fail(now)
+		crashed.RecordFailure(now)
 	}
 	is.Equal(crashed.Weight(now), 0.25) // one crash that fails 20 requests counts as maxFailures
 	later := now.Add(10 * healthDecay)
--- a/internal/reducer/entry/decode.go
+++ b/internal/reducer/entry/decode.go
@@ -203,7 +203,7 @@
 	s.count("retry", reason, r)
 	r.lastReason = reason
 	if r.decode != nil {
-		r.decode.chosen.server.health.Fail(s.now)
+		r.decode.chosen.server.health.RecordFailure(s.now)
 	}
 	s.closeRound(r, r.decode)
 	s.spendRetry(r)
@@ -393,7 +393,7 @@
 		return
 	}
 	l := loss{reason: oriolebend.ReasonServerLost, ran: oriolebend.RanUnknown}
-	stalledRound.chosen.server.health.Fail(s.now)
+	stalledRound.chosen.server.health.RecordFailure(s.now)
 	switch stalledRound {
 	case r.decode:
 		s.handleDecodeLoss(r, stalledRound, l)
--- a/internal/reducer/entry/loss.go
+++ b/internal/reducer/entry/loss.go
@@ -30,7 +30,7 @@
 	if !e.Opened {
 		l.ran = oriolebend.RanNo
 	}
-	p.server.health.Fail(s.now)
+	p.server.health.RecordFailure(s.now)
 	s.handleLoss(p, l)
 }
 
--- a/internal/reducer/entry/reserve.go
+++ b/internal/reducer/entry/reserve.go
@@ -346,7 +346,7 @@
 		s.chooseOffer(r, g)
 	default:
 		for _, p := range g.probes {
-			p.server.health.Fail(s.now)
+			p.server.health.RecordFailure(s.now)
 			s.count("refused", oriolebend.ReasonServerLost, r)
 		}
 		s.handleRoundFailure(r, g, cmp.Or(g.reason, oriolebend.ReasonServerLost), g.retryAfter)
