--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -12,7 +12,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Bounds that stand in for zero values of Config.
+// Default values of Config.
 const (
 	defaultCallWithin    = 2 * time.Second
 	defaultSilenceWithin = 5 * time.Second
@@ -21,25 +21,25 @@
 	defaultConnections   = 256
 )
 
-// Config sets how a Client reaches its engine.
+// Config configures a Client.
 type Config struct {
-	// BaseURL is the engine's address, such as "http://127.0.0.1:9000".
+	// BaseURL is the base URL of the engine, such as "http://127.0.0.1:9000".
 	BaseURL string
-	// CallWithin bounds each short call; zero means 2s.
+	// CallWithin is the timeout of each short call; zero means 2s.
 	CallWithin time.Duration
-	// SilenceWithin is how long a long call may bring nothing, not even an
-	// empty line, before the engine counts as lost; zero means 5s.
+	// SilenceWithin is the time without any line, including empty ones, after
+	// which a long call fails with serverLost; zero means 5s.
 	SilenceWithin time.Duration
-	// MaxLineBytes bounds one line of a long call; zero means 1 MiB.
+	// MaxLineBytes is the maximum size of one line of a long call; zero means 1 MiB.
 	MaxLineBytes int
-	// MaxBodyBytes bounds the answer of a short call; zero means 16 MiB.
+	// MaxBodyBytes is the maximum size of the response to a short call; zero means 16 MiB.
 	MaxBodyBytes int64
-	// Transport carries the requests; nil means one of the client's own.
+	// Transport sends the requests; nil means a transport that only this client uses.
 	Transport http.RoundTripper
 }
 
-// Client speaks to one engine over HTTP. Its methods may be called from
-// several goroutines.
+// Client calls one engine over HTTP. Its methods may be called from several
+// goroutines.
 type Client struct {
 	config Config
 	http   *http.Client
@@ -47,7 +47,7 @@
 
 var _ Engine = (*Client)(nil)
 
-// NewClient returns a client; it opens no connection yet.
+// NewClient returns a client without opening a connection.
 func NewClient(c Config) *Client {
 	c.BaseURL = strings.TrimRight(c.BaseURL, "/")
 	c.CallWithin = cmp.Or(c.CallWithin, defaultCallWithin)
@@ -67,7 +67,7 @@
 	}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 }
@@ -78,7 +78,7 @@
 	err := c.stream(ctx, PathPrefill, r, func(l Line) (bool, error) {
 		result = l.Result
 		if result == nil {
-			return false, unexpected(l)
+			return false, unexpectedLine(l)
 		}
 		return true, nil
 	})
@@ -88,35 +88,35 @@
 	return *result, nil
 }
 
-// Decode implements Engine. It refuses parts that do not follow each other
-// without gap or repeat.
+// Decode implements Engine. It fails if the parts overlap or leave a gap.
 func (c *Client) Decode(ctx context.Context, r DecodeRequest, emit func(message.Part) error) error {
 	next := r.Offset
 	return c.stream(ctx, PathDecode, r, func(l Line) (bool, error) {
 		if l.Part == nil {
-			return false, unexpected(l)
+			return false, unexpectedLine(l)
 		}
 		if l.Part.Offset != next || l.Part.Tokens < 0 {
-			return false, failed("part at offset %d where %d was next", l.Part.Offset, next)
+			return false, engineFailure("part at offset %d where %d was next", l.Part.Offset, next)
 		}
 		next += l.Part.Tokens
-		if err := emit(l.Part.of(r.Attempt)); err != nil {
+		if err := emit(l.Part.toPart(r.Attempt)); err != nil {
 			return false, &Error{Reason: oriolebend.ReasonCallerCancelled, Cause: err}
 		}
 		return l.Part.Finish != "", nil
 	})
 }
 
-func (p *LinePart) of(a message.Attempt) message.Part {
+// toPart returns the part of an attempt that the line carries.
+func (p *LinePart) toPart(a message.Attempt) message.Part {
 	return message.Part{Attempt: a, Offset: p.Offset, Tokens: p.Tokens, Text: p.Text, Finish: p.Finish}
 }
 
-// Order implements Engine. It returns once the order is in force; the engine
-// carries it out to its end also if the connection breaks.
+// Order implements Engine. It returns once the order has taken effect. The engine
+// completes the order even if the connection breaks.
 func (c *Client) Order(ctx context.Context, o Order) error {
 	return c.stream(ctx, PathOrders, o, func(l Line) (bool, error) {
 		if !l.Done {
-			return false, unexpected(l)
+			return false, unexpectedLine(l)
 		}
 		return true, nil
 	})
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -18,8 +18,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// clientOf returns a client of a handler, without a socket.
-func clientOf(h http.HandlerFunc) *engine.Client {
+// newHandlerClient returns a client that calls a handler without a socket.
+func newHandlerClient(h http.HandlerFunc) *engine.Client {
 	return engine.NewClient(engine.Config{
 		BaseURL:      "http://engine",
 		MaxLineBytes: 1 << 10,
@@ -37,38 +37,38 @@
 	return typed.Reason
 }
 
-// TestDecodeOfGarbage: symptom: a caller gets damaged output, or waits for
-// ever. Sequence: the engine answers what the protocol does not allow. Cause:
-// a faulty engine, or something else that listens on its port.
-func TestDecodeOfGarbage(t *testing.T) {
+// TestDecodeRejectsInvalidStream guards against damaged output, and against a caller
+// that waits forever, when the response violates the protocol. A faulty engine, or
+// another process that listens on its port, sends such responses.
+func TestDecodeRejectsInvalidStream(t *testing.T) {
 	part := `{"part":{"offset":4,"tokens":2,"text":" a b"}}` + "\n"
 	last := `{"part":{"offset":6,"tokens":1,"text":" c","finish":"stop"}}` + "\n"
 	for _, row := range []struct {
 		name   string
 		status int
 		body   string
-		want   oriolebend.Reason // empty if the decode succeeds
+		want   oriolebend.Reason // empty if the decode must succeed
 	}{
-		{"whole", 200, part + "\n" + last, ""},
-		{"behind the end", 200, part + last + "garbage", ""},
+		{"complete", 200, part + "\n" + last, ""},
+		{"data after the last part", 200, part + last + "garbage", ""},
 		{"not JSON", 200, "<html>", oriolebend.ReasonEngineFailed},
 		{"JSON of another kind", 200, "[1]\n", oriolebend.ReasonEngineFailed},
-		{"nothing", 200, "", oriolebend.ReasonServerLost},
-		{"no end", 200, part, oriolebend.ReasonServerLost},
-		{"cut line", 200, part + last[:20], oriolebend.ReasonEngineFailed},
-		{"repeat", 200, part + part, oriolebend.ReasonEngineFailed},
+		{"empty body", 200, "", oriolebend.ReasonServerLost},
+		{"no last part", 200, part, oriolebend.ReasonServerLost},
+		{"truncated line", 200, part + last[:20], oriolebend.ReasonEngineFailed},
+		{"repeated part", 200, part + part, oriolebend.ReasonEngineFailed},
 		{"gap", 200, last, oriolebend.ReasonEngineFailed},
 		{"negative length", 200, `{"part":{"offset":4,"tokens":-1}}`, oriolebend.ReasonEngineFailed},
 		{"overlong line", 200, strings.Repeat(" ", 2<<10) + part, oriolebend.ReasonEngineFailed},
-		{"line of a prefill", 200, `{"result":{}}`, oriolebend.ReasonEngineFailed},
+		{"line of a prefill response", 200, `{"result":{}}`, oriolebend.ReasonEngineFailed},
 		{"typed failure", 200, part + `{"error":{"reason":"noMemory"}}`, oriolebend.ReasonNoMemory},
-		{"reason that is none of an engine's", 200, `{"error":{"reason":"unauthorized"}}`, oriolebend.ReasonEngineFailed},
+		{"reason that engines do not report", 200, `{"error":{"reason":"unauthorized"}}`, oriolebend.ReasonEngineFailed},
 		{"typed refusal", 410, `{"reason":"resultExpired"}`, oriolebend.ReasonResultExpired},
 		{"refusal in HTML", 500, "<html>", oriolebend.ReasonEngineFailed},
 		{"redirect", 302, "", oriolebend.ReasonEngineFailed},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			client := clientOf(func(w http.ResponseWriter, _ *http.Request) {
+			client := newHandlerClient(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(row.status)
 				_, _ = io.WriteString(w, row.body)
 			})
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestShortCallsOfGarbage(t *testing.T) {
+func TestShortCallRejectsInvalidBody(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		body string
@@ -93,17 +93,17 @@
 		{"over the bound", `"` + strings.Repeat("x", 2<<10) + `"`, oriolebend.ReasonEngineFailed},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			client := clientOf(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, row.body) })
+			client := newHandlerClient(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, row.body) })
 			_, err := client.Info(t.Context())
 			is.New(t).Equal(reasonOf(t, err), row.want)
 		})
 	}
 }
 
-// TestSilentEngine: symptom: a request hangs although its engine is gone.
-// Sequence: the engine accepts the connection and then brings nothing. Cause: a
-// frozen process keeps its connections open. Empty lines show that it lives.
-func TestSilentEngine(t *testing.T) {
+// TestUnresponsiveEngine guards against a request that hangs because its engine
+// accepts the connection and then sends nothing. A frozen process keeps its
+// connections open; only lines, which may be empty, show that it is alive.
+func TestUnresponsiveEngine(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	calls := map[string]func(context.Context, *engine.Client) error{
 		"prefill": func(ctx context.Context, c *engine.Client) error {
@@ -120,10 +120,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				is.Equal(reasonOf(t, call(t.Context(), clientOf(hang))), oriolebend.ReasonServerLost)
+				is.Equal(reasonOf(t, call(t.Context(), newHandlerClient(hang))), oriolebend.ReasonServerLost)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
-				is.Equal(reasonOf(t, call(ctx, clientOf(hang))), oriolebend.ReasonDeadline) // the caller's own bound
+				is.Equal(reasonOf(t, call(ctx, newHandlerClient(hang))), oriolebend.ReasonDeadline) // the caller's own deadline
 			})
 		})
 	}
@@ -131,7 +131,7 @@
 
 func TestEmptyLinesKeepACallAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client := clientOf(func(w http.ResponseWriter, _ *http.Request) {
+		client := newHandlerClient(func(w http.ResponseWriter, _ *http.Request) {
 			for range 60 {
 				time.Sleep(time.Second)
 				_, _ = io.WriteString(w, "\n")
@@ -142,8 +142,8 @@
 	})
 }
 
-func TestNobodyListens(t *testing.T) {
-	// Port 1 is never given to a process that asks for any free port.
+func TestConnectionRefused(t *testing.T) {
+	// The system never assigns port 1 to a process that requests any free port.
 	client := engine.NewClient(engine.Config{BaseURL: "http://127.0.0.1:1"})
 	_, err := client.Info(t.Context())
 	is.New(t).Equal(reasonOf(t, err), oriolebend.ReasonServerLost)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,4 +1,4 @@
-// Package engine speaks to model engines over their HTTP protocol.
+// Package engine is a client for the HTTP protocol of model engines.
 package engine
 
 import (
@@ -9,35 +9,36 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Engine is one model engine. Errors are *Error values.
+// Engine is one model engine. Its methods return errors of type *Error.
 type Engine interface {
 	// Prefill computes the KV cache of a prompt and exports it. It returns
 	// when the result can be fetched.
 	Prefill(ctx context.Context, r PrefillRequest) (PrefillResult, error)
-	// Decode imports the KV cache and generates; emit is called for each part
-	// in order and once with Finish set. An error of emit cancels the work.
+	// Decode imports the KV cache and generates output. It calls emit for each
+	// part in order, and sets Finish in the last part only. An error from emit
+	// cancels the work.
 	Decode(ctx context.Context, r DecodeRequest, emit func(message.Part) error) error
-	// Cancel ends the work of an attempt and frees its memory and exports. It
-	// succeeds if there is none.
+	// Cancel stops the work of an attempt and frees its memory and exports. It
+	// succeeds if the attempt has none.
 	Cancel(ctx context.Context, a message.Attempt) error
-	// Work lists the attempts for which the engine holds memory.
+	// Work returns the attempts for which the engine holds memory.
 	Work(ctx context.Context) ([]Work, error)
-	// Load reports the load, which lags by the engine's own period.
+	// Load returns the reported load, which lags by the engine's report period.
 	Load(ctx context.Context) (LoadReport, error)
-	// CacheEvents returns the events after a sequence number; they come late
-	// and may have gaps.
+	// CacheEvents returns the events after a sequence number. Events are
+	// published with a delay and may have gaps.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 	// CacheIndex returns the hashes of all cached blocks and the sequence
-	// number they are true for; it repairs an index after a gap.
+	// number for which the list is valid. It repairs an index after a gap.
 	CacheIndex(ctx context.Context) (CacheIndex, error)
-	// Order has the engine load, unload or change role. Engines that check
-	// fencing refuse a number lower than the highest seen.
+	// Order makes the engine load or unload a model or change its role. An
+	// engine that checks fencing refuses a number lower than the highest seen.
 	Order(ctx context.Context, o Order) error
-	// Info tells what the engine is and holds.
+	// Info returns the engine's role, models, capacity and incarnation.
 	Info(ctx context.Context) (Info, error)
 }
 
-// PrefillRequest asks for the KV cache of a prompt.
+// PrefillRequest requests the KV cache of a prompt.
 type PrefillRequest struct {
 	Attempt  message.Attempt    `json:"attempt"`
 	Model    string             `json:"model"`
@@ -47,7 +48,7 @@
 	Priority oriolebend.Urgency `json:"priority"`
 }
 
-// PrefillResult tells where a computed KV cache can be fetched.
+// PrefillResult describes a computed KV cache and the URL to fetch it from.
 type PrefillResult struct {
 	SourceURL    string        `json:"sourceURL"`
 	Tokens       int           `json:"tokens"`
@@ -57,16 +58,16 @@
 	Took         time.Duration `json:"tookNanos"`
 }
 
-// DecodeRequest asks to import a KV cache and generate.
+// DecodeRequest requests the import of a KV cache and the generation of output.
 type DecodeRequest struct {
 	Attempt message.Attempt `json:"attempt"`
 	Model   string          `json:"model"`
 	Version string          `json:"version,omitempty"`
 	Adapter string          `json:"adapter,omitempty"`
-	// SourceURL is where the KV cache of Prompt + Delivered is fetched.
+	// SourceURL is the URL from which the KV cache of Prompt + Delivered is fetched.
 	SourceURL string `json:"sourceURL"`
 	Prompt    string `json:"prompt"`
-	// Delivered is output that exists already; generation goes on behind it.
+	// Delivered is the output that was already generated. Generation continues after it.
 	Delivered      string             `json:"delivered,omitempty"`
 	Offset         int                `json:"offset,omitempty"`
 	MaxTokens      int                `json:"maxTokens"`
@@ -81,7 +82,7 @@
 	Tokens  int             `json:"tokens"`
 }
 
-// LoadReport is an engine's own view of its load, as of At.
+// LoadReport is the load that an engine reports, as of At.
 type LoadReport struct {
 	At          time.Time `json:"at"`
 	Running     int       `json:"running"`
@@ -90,13 +91,13 @@
 	TotalTokens int       `json:"totalTokens"`
 }
 
-// CacheChange says what a cache event reports.
+// CacheChange is the kind of change that a cache event reports.
 type CacheChange string
 
 const (
-	// BlockStored means that a prefix block is cached.
+	// BlockStored means that a prefix block was added to the cache.
 	BlockStored CacheChange = "stored"
-	// BlockEvicted means that a prefix block was dropped.
+	// BlockEvicted means that a prefix block was removed from the cache.
 	BlockEvicted CacheChange = "evicted"
 )
 
@@ -107,19 +108,19 @@
 	Block    uint64      `json:"block"`
 }
 
-// CacheIndex is the whole prefix cache at one sequence number.
+// CacheIndex is the complete list of cached prefix blocks at one sequence number.
 type CacheIndex struct {
 	Sequence uint64   `json:"sequence"`
 	Blocks   []uint64 `json:"blocks"`
 }
 
-// OrderAction is what an order asks of an engine.
+// OrderAction is the action that an order requests.
 type OrderAction string
 
 const (
 	// OrderLoad loads a model version.
 	OrderLoad OrderAction = "load"
-	// OrderUnload drops a model version.
+	// OrderUnload unloads a model version.
 	OrderUnload OrderAction = "unload"
 	// OrderAdapter loads an adapter of a loaded model.
 	OrderAdapter OrderAction = "adapter"
@@ -127,7 +128,7 @@
 	OrderRole OrderAction = "role"
 )
 
-// Order changes what an engine holds or does.
+// Order changes the models, adapters or role of an engine.
 type Order struct {
 	Fencing uint64              `json:"fencing"`
 	Action  OrderAction         `json:"action"`
@@ -137,7 +138,7 @@
 	Role    oriolebend.PoolRole `json:"role,omitempty"`
 }
 
-// Info is what an engine is and holds.
+// Info describes an engine's role, models, capacity and incarnation.
 type Info struct {
 	Role      oriolebend.PoolRole      `json:"role"`
 	Models    []oriolebend.LoadedModel `json:"models"`
@@ -145,13 +146,13 @@
 	LinkBytes float64                  `json:"linkBytes"`
 	// BlockTokens is the length of one prefix block, in tokens.
 	BlockTokens int `json:"blockTokens"`
-	// Fencing is the highest order number seen; zero if it ignores them.
+	// Fencing is the highest order number seen, or zero if the engine ignores fencing.
 	Fencing uint64 `json:"fencing"`
-	// Incarnation changes when the engine restarts and its memory is empty.
+	// Incarnation changes when the engine restarts with empty memory.
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Error is a failure that an engine reported or that reaching it met.
+// Error is a failure that an engine reported or that occurred on the connection to it.
 type Error struct {
 	Reason oriolebend.Reason `json:"reason"`
 	Detail string            `json:"detail,omitempty"`
@@ -170,5 +171,5 @@
 	return text
 }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -21,8 +21,8 @@
 	PathKV          = "/engine/v1/kv/"
 )
 
-// Line is one line of a long call's answer. At most one field is set; an
-// empty line only tells that the engine is alive.
+// Line is one line of the response to a long call. At most one field is set. An
+// empty line only shows that the engine is alive.
 type Line struct {
 	Part   *LinePart      `json:"part,omitempty"`
 	Result *PrefillResult `json:"result,omitempty"`
@@ -30,8 +30,8 @@
 	Error  *Error         `json:"error,omitempty"`
 }
 
-// LinePart is a run of output tokens. The attempt is not repeated: a
-// connection carries one attempt.
+// LinePart is a run of output tokens. It does not repeat the attempt, because a
+// response belongs to one attempt.
 type LinePart struct {
 	Offset int                  `json:"offset"`
 	Tokens int                  `json:"tokens"`
@@ -39,14 +39,14 @@
 	Finish message.FinishReason `json:"finish,omitempty"`
 }
 
-// CancelRequest asks for the end of an attempt's work.
+// CancelRequest requests that the work of an attempt is stopped.
 type CancelRequest struct {
 	Attempt message.Attempt `json:"attempt"`
 }
 
-// statusOf gives the HTTP status of each reason that an engine may report.
-// It is read and never changed.
-var statusOf = map[oriolebend.Reason]int{
+// statusByReason maps each reason that an engine may report to its HTTP status.
+// It must not be modified.
+var statusByReason = map[oriolebend.Reason]int{
 	oriolebend.ReasonMalformed:       http.StatusBadRequest,
 	oriolebend.ReasonTooLarge:        http.StatusRequestEntityTooLarge,
 	oriolebend.ReasonWrongModel:      http.StatusNotFound,
@@ -61,19 +61,20 @@
 	oriolebend.ReasonEngineFailed:    http.StatusInternalServerError,
 }
 
-// StatusOf returns the HTTP status that goes with a reason; 500 for a reason
-// that engines do not report.
+// StatusOf returns the HTTP status of a reason, or 500 for a reason that engines do
+// not report.
 func StatusOf(reason oriolebend.Reason) int {
-	if status, ok := statusOf[reason]; ok {
+	if status, ok := statusByReason[reason]; ok {
 		return status
 	}
 	return http.StatusInternalServerError
 }
 
-// reported bounds what an engine may make the router say: a reason that is
-// not one of an engine's own becomes engineFailed, with the word as detail.
-func reported(e *Error) *Error {
-	if _, ok := statusOf[e.Reason]; ok {
+// restrictReason limits the reasons that the router accepts from an engine. Any
+// reason that engines do not report becomes engineFailed, with the reported reason in
+// the detail.
+func restrictReason(e *Error) *Error {
+	if _, ok := statusByReason[e.Reason]; ok {
 		return e
 	}
 	return &Error{
--- a/internal/engine/transfer.go
+++ b/internal/engine/transfer.go
@@ -14,25 +14,24 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// maxErrorBytes bounds the body of an answer that is an error.
+// maxErrorBytes bounds the body of an error response.
 const maxErrorBytes = 64 << 10
 
-// errSilent is the cause of a long call that ended because the engine brought
-// nothing for too long.
-var errSilent = fmt.Errorf("no line within the bound: %w", context.DeadlineExceeded)
+// errIdleTimeout is the cancellation cause of a call that ended because the engine
+// sent nothing within the timeout.
+var errIdleTimeout = fmt.Errorf("no line within the bound: %w", context.DeadlineExceeded)
 
-// stream runs one long call and hands each line to take, until take says that
-// the line was the last.
+// stream runs one long call and passes each line to handle until handle reports
+// that the line was the last.
 //
-// A frozen engine keeps its connections open and sends nothing: the call
-// would wait for ever and hold the caller's place. A line, if only an empty
-// one, must therefore come within SilenceWithin; else the call ends as
-// serverLost.
-func (c *Client) stream(ctx context.Context, path string, body any, take func(Line) (bool, error)) error {
+// A frozen engine keeps its connections open and sends nothing, so that the call
+// would wait forever and hold the placement of its request. A line, which may be empty,
+// must therefore arrive within SilenceWithin. Otherwise the call fails with serverLost.
+func (c *Client) stream(ctx context.Context, path string, body any, handle func(Line) (bool, error)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(c.config.SilenceWithin, func() { cancel(errSilent) })
-	defer silence.Stop()
+	idle := time.AfterFunc(c.config.SilenceWithin, func() { cancel(errIdleTimeout) })
+	defer idle.Stop()
 	response, err := c.send(ctx, http.MethodPost, path, body)
 	if err != nil {
 		return err
@@ -41,17 +40,17 @@
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(nil, c.config.MaxLineBytes)
 	for lines.Scan() {
-		silence.Reset(c.config.SilenceWithin)
-		last, err := takeLine(lines.Bytes(), take)
+		idle.Reset(c.config.SilenceWithin)
+		last, err := handleLine(lines.Bytes(), handle)
 		if err != nil || last {
 			return err
 		}
 	}
-	return broken(ctx, lines.Err())
+	return streamError(ctx, lines.Err())
 }
 
-// takeLine reads one line; an empty one is passed over.
-func takeLine(text []byte, take func(Line) (bool, error)) (bool, error) {
+// handleLine decodes one line and passes it to handle. It skips empty lines.
+func handleLine(text []byte, handle func(Line) (bool, error)) (bool, error) {
 	text = bytes.TrimSpace(text)
 	if len(text) == 0 {
 		return false, nil
@@ -61,25 +60,25 @@
 		return false, &Error{Reason: oriolebend.ReasonEngineFailed, Detail: "unreadable line", Cause: err}
 	}
 	if line.Error != nil {
-		return false, reported(line.Error)
+		return false, restrictReason(line.Error)
 	}
-	return take(line)
+	return handle(line)
 }
 
-// broken types the end of a stream that came before its last line.
-func broken(ctx context.Context, err error) *Error {
+// streamError returns the typed error of a stream that ended before its last line.
+func streamError(ctx context.Context, err error) *Error {
 	if errors.Is(err, bufio.ErrTooLong) {
 		return &Error{Reason: oriolebend.ReasonEngineFailed, Detail: "line over its bound", Cause: err}
 	}
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return lost(ctx, err)
+	return connectionError(ctx, err)
 }
 
-// call runs one short call and decodes its answer into out, unless out is nil.
+// call runs one short call and decodes the response into out, unless out is nil.
 func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
-	ctx, cancel := context.WithTimeoutCause(ctx, c.config.CallWithin, errSilent)
+	ctx, cancel := context.WithTimeoutCause(ctx, c.config.CallWithin, errIdleTimeout)
 	defer cancel()
 	response, err := c.send(ctx, method, path, body)
 	if err != nil {
@@ -91,10 +90,10 @@
 	}
 	text, err := io.ReadAll(io.LimitReader(response.Body, c.config.MaxBodyBytes+1))
 	if err != nil {
-		return lost(ctx, err)
+		return connectionError(ctx, err)
 	}
 	if int64(len(text)) > c.config.MaxBodyBytes {
-		return failed("answer over %d bytes", c.config.MaxBodyBytes)
+		return engineFailure("answer over %d bytes", c.config.MaxBodyBytes)
 	}
 	if err := json.Unmarshal(text, out); err != nil {
 		return &Error{Reason: oriolebend.ReasonEngineFailed, Detail: "unreadable answer", Cause: err}
@@ -102,7 +101,7 @@
 	return nil
 }
 
-// send starts one request and returns its response if the status is 2xx.
+// send sends one request and returns the response if its status is 2xx.
 func (c *Client) send(ctx context.Context, method, path string, body any) (*http.Response, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -115,33 +114,34 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, lost(ctx, err)
+		return nil, connectionError(ctx, err)
 	}
 	if response.StatusCode/100 == 2 {
 		return response, nil
 	}
 	defer response.Body.Close()
-	return nil, refused(response)
+	return nil, responseError(response)
 }
 
-// refused reads the typed error of an answer that is not 2xx.
-func refused(r *http.Response) *Error {
+// responseError reads the typed error of a response whose status is not 2xx.
+func responseError(r *http.Response) *Error {
 	var e Error
 	text, _ := io.ReadAll(io.LimitReader(r.Body, maxErrorBytes))
 	if json.Unmarshal(text, &e) != nil || e.Reason == "" {
-		return failed("answered %s", r.Status)
+		return engineFailure("answered %s", r.Status)
 	}
-	return reported(&e)
+	return restrictReason(&e)
 }
 
-// lost types an error of the connection. A caller that left is told from an
-// engine that is gone by the cause of the context's end.
-func lost(ctx context.Context, err error) *Error {
+// connectionError returns the typed error of a failed connection. The cancellation
+// cause of the context distinguishes a caller that cancelled the call from an
+// unreachable engine.
+func connectionError(ctx context.Context, err error) *Error {
 	cause := context.Cause(ctx)
 	switch {
 	case cause == nil:
 		return &Error{Reason: oriolebend.ReasonServerLost, Cause: err}
-	case errors.Is(cause, errSilent):
+	case errors.Is(cause, errIdleTimeout):
 		return &Error{Reason: oriolebend.ReasonServerLost, Cause: cause}
 	case errors.Is(cause, context.DeadlineExceeded):
 		return &Error{Reason: oriolebend.ReasonDeadline, Cause: cause}
@@ -150,12 +150,12 @@
 	}
 }
 
-// failed returns an engineFailed error.
-func failed(format string, args ...any) *Error {
+// engineFailure returns an engineFailed error with a formatted detail.
+func engineFailure(format string, args ...any) *Error {
 	return &Error{Reason: oriolebend.ReasonEngineFailed, Detail: fmt.Sprintf(format, args...)}
 }
 
-// unexpected types a line of a kind that the call does not bring.
-func unexpected(Line) *Error {
-	return failed("line of another call")
+// unexpectedLine returns the error of a line whose kind does not belong to the call.
+func unexpectedLine(Line) *Error {
+	return engineFailure("line of another call")
 }
