--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -15,7 +15,7 @@
 // Default values of Config.
 const (
 	defaultCallWithin    = 2 * time.Second
-	defaultSilenceWithin = 5 * time.Second
+	defaultIdleTimeout = 5 * time.Second
 	defaultMaxLineBytes  = 1 << 20
 	defaultMaxBodyBytes  = 16 << 20
 	defaultConnections   = 256
@@ -27,9 +27,9 @@
 	BaseURL string
 	// CallWithin is the timeout of each short call; zero means 2s.
 	CallWithin time.Duration
-	// SilenceWithin is the time without any line, including empty ones, after
+	// IdleTimeout is the time without any line, including empty ones, after
 	// which a long call fails with serverLost; zero means 5s.
-	SilenceWithin time.Duration
+	IdleTimeout time.Duration
 	// MaxLineBytes is the maximum size of one line of a long call; zero means 1 MiB.
 	MaxLineBytes int
 	// MaxBodyBytes is the maximum size of the response to a short call; zero means 16 MiB.
@@ -51,7 +51,7 @@
 func NewClient(c Config) *Client {
 	c.BaseURL = strings.TrimRight(c.BaseURL, "/")
 	c.CallWithin = cmp.Or(c.CallWithin, defaultCallWithin)
-	c.SilenceWithin = cmp.Or(c.SilenceWithin, defaultSilenceWithin)
+	c.IdleTimeout = cmp.Or(c.IdleTimeout, defaultIdleTimeout)
 	c.MaxLineBytes = cmp.Or(c.MaxLineBytes, defaultMaxLineBytes)
 	c.MaxBodyBytes = cmp.Or(c.MaxBodyBytes, defaultMaxBodyBytes)
 	if c.Transport == nil {
--- a/internal/engine/transfer.go
+++ b/internal/engine/transfer.go
@@ -26,11 +26,11 @@
 //
 // A frozen engine keeps its connections open and sends nothing, so that the call
 // would wait forever and hold the placement of its request. A line, which may be empty,
-// must therefore arrive within SilenceWithin. Otherwise the call fails with serverLost.
+// must therefore arrive within IdleTimeout. Otherwise the call fails with serverLost.
 func (c *Client) stream(ctx context.Context, path string, body any, handle func(Line) (bool, error)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	idle := time.AfterFunc(c.config.SilenceWithin, func() { cancel(errIdleTimeout) })
+	idle := time.AfterFunc(c.config.IdleTimeout, func() { cancel(errIdleTimeout) })
 	defer idle.Stop()
 	response, err := c.send(ctx, http.MethodPost, path, body)
 	if err != nil {
@@ -40,7 +40,7 @@
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(nil, c.config.MaxLineBytes)
 	for lines.Scan() {
-		idle.Reset(c.config.SilenceWithin)
+		idle.Reset(c.config.IdleTimeout)
 		last, err := handleLine(lines.Bytes(), handle)
 		if err != nil || last {
 			return err
--- a/internal/standin/contract_test.go
+++ b/internal/standin/contract_test.go
@@ -61,7 +61,7 @@
 	decode := NewEngine(config)
 	client := func(e *Engine, name string) engine.Engine {
 		url, transport := reach(e, name)
-		c := engine.NewClient(engine.Config{BaseURL: url, SilenceWithin: 4 * time.Second, Transport: transport})
+		c := engine.NewClient(engine.Config{BaseURL: url, IdleTimeout: 4 * time.Second, Transport: transport})
 		t.Cleanup(c.Close)
 		t.Cleanup(e.Close)
 		return c
