--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -14,7 +14,7 @@
 
 // Default values of Config.
 const (
-	defaultCallWithin    = 2 * time.Second
+	defaultCallTimeout    = 2 * time.Second
 	defaultIdleTimeout = 5 * time.Second
 	defaultMaxLineBytes  = 1 << 20
 	defaultMaxBodyBytes  = 16 << 20
@@ -25,8 +25,8 @@
 type Config struct {
 	// BaseURL is the base URL of the engine, such as "http://127.0.0.1:9000".
 	BaseURL string
-	// CallWithin is the timeout of each short call; zero means 2s.
-	CallWithin time.Duration
+	// CallTimeout is the timeout of each short call; zero means 2s.
+	CallTimeout time.Duration
 	// IdleTimeout is the time without any line, including empty ones, after
 	// which a long call fails with serverLost; zero means 5s.
 	IdleTimeout time.Duration
@@ -50,7 +50,7 @@
 // NewClient returns a client without opening a connection.
 func NewClient(c Config) *Client {
 	c.BaseURL = strings.TrimRight(c.BaseURL, "/")
-	c.CallWithin = cmp.Or(c.CallWithin, defaultCallWithin)
+	c.CallTimeout = cmp.Or(c.CallTimeout, defaultCallTimeout)
 	c.IdleTimeout = cmp.Or(c.IdleTimeout, defaultIdleTimeout)
 	c.MaxLineBytes = cmp.Or(c.MaxLineBytes, defaultMaxLineBytes)
 	c.MaxBodyBytes = cmp.Or(c.MaxBodyBytes, defaultMaxBodyBytes)
--- a/internal/engine/transfer.go
+++ b/internal/engine/transfer.go
@@ -78,7 +78,7 @@
 
 // call runs one short call and decodes the response into out, unless out is nil.
 func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
-	ctx, cancel := context.WithTimeoutCause(ctx, c.config.CallWithin, errIdleTimeout)
+	ctx, cancel := context.WithTimeoutCause(ctx, c.config.CallTimeout, errIdleTimeout)
 	defer cancel()
 	response, err := c.send(ctx, method, path, body)
 	if err != nil {
