--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -14,11 +14,11 @@
 
 // Default values of Config.
 const (
-	defaultCallTimeout    = 2 * time.Second
-	defaultIdleTimeout = 5 * time.Second
-	defaultMaxLineBytes  = 1 << 20
-	defaultMaxBodyBytes  = 16 << 20
-	defaultConnections   = 256
+	defaultCallTimeout  = 2 * time.Second
+	defaultIdleTimeout  = 5 * time.Second
+	defaultMaxLineBytes = 1 << 20
+	defaultMaxBodyBytes = 16 << 20
+	defaultConnections  = 256
 )
 
 // Config configures a Client.
