--- a/internal/engine/enginetest/cache.go
+++ b/internal/engine/enginetest/cache.go
@@ -5,25 +5,25 @@
 	"github.com/oriolebend/oriolebend/internal/prefix"
 )
 
-// cacheCases are the prefix cache and its events.
+// cacheCases test the prefix cache and its events.
 var cacheCases = []testCase{
-	{name: "prefix is reused", run: func(b *bench) {
+	{name: "prefix is reused", run: func(b *testbed) {
 		text := prompt("shared", 640)
 		b.Equal(b.mustPrefill("a", text).CachedTokens, 0)
 		b.Equal(b.mustPrefill("b", text+" but another end").CachedTokens, 640)
 	}},
-	{name: "events tell the blocks", run: func(b *bench) {
+	{name: "events report the stored blocks", run: func(b *testbed) {
 		text := prompt("told", 640)
 		b.mustPrefill("r", text)
 		hashes := prefix.Hashes(Model, text, prefix.BlockTokens, prefix.MaxHashes)
-		b.eventually("an event of every hash", func() bool { return b.reports(hashes) })
+		b.waitFor("an event of every hash", func() bool { return b.storedAll(hashes) })
 	}},
 	{name: "index repairs a gap", run: indexRepairsGap},
 	{name: "restart shows as a gap", run: restartShowsAsGap},
 }
 
-// reports says whether the events so far tell that all the blocks are stored.
-func (b *bench) reports(hashes []uint64) bool {
+// storedAll reports whether the events so far show all the blocks as stored.
+func (b *testbed) storedAll(hashes []uint64) bool {
 	events, err := b.Prefill.CacheEvents(b.ctx, 0)
 	b.NoErr(err)
 	stored := make(map[uint64]bool)
@@ -38,32 +38,32 @@
 	return true
 }
 
-// indexRepairsGap: symptom: requests are sent after a cached prefix that is
-// not there, or past one that is. Sequence: an event is lost. Cause: events
-// have gaps; the sequence numbers show it and the whole index mends it.
-func indexRepairsGap(b *bench) {
+// indexRepairsGap guards against requests that are routed to a cached prefix that does
+// not exist, or not routed to one that does, after an event was lost. The sequence
+// numbers reveal the gap, and the complete index repairs it.
+func indexRepairsGap(b *testbed) {
 	before, err := b.Prefill.CacheIndex(b.ctx)
 	b.NoErr(err)
 	b.PrefillFaults.DropEvents(1)
 	text := prompt("gap", 640)
 	b.mustPrefill("r", text)
 	var events []engine.CacheEvent
-	b.eventually("the other events", func() bool {
+	b.waitFor("the other events", func() bool {
 		events, err = b.Prefill.CacheEvents(b.ctx, before.Sequence)
 		b.NoErr(err)
 		return len(events) == 9
 	})
-	b.Equal(events[0].Sequence, before.Sequence+2) // a number is missing
+	b.Equal(events[0].Sequence, before.Sequence+2) // one sequence number is missing
 	after, err := b.Prefill.CacheIndex(b.ctx)
 	b.NoErr(err)
 	b.Equal(after.Sequence, before.Sequence+10)
 	b.Equal(len(after.Blocks), 10)
 }
 
-// restartShowsAsGap: symptom: an index keeps the blocks of a dead process.
-// Sequence: the engine restarts between two reads. Cause: numbers that began
-// again from 1 would look like ones already seen.
-func restartShowsAsGap(b *bench) {
+// restartShowsAsGap guards against an index that keeps the blocks of a process that has
+// exited. If the engine restarts between two reads and its sequence numbers start from 1
+// again, they look like numbers that were already seen.
+func restartShowsAsGap(b *testbed) {
 	b.mustPrefill("r", prompt("first", 640))
 	before, err := b.Prefill.CacheIndex(b.ctx)
 	b.NoErr(err)
@@ -73,7 +73,7 @@
 	b.Equal(len(after.Blocks), 0)
 	b.True(after.Sequence > before.Sequence)
 	b.mustPrefill("again", prompt("second", 640))
-	b.eventually("its events", func() bool {
+	b.waitFor("the events after the restart", func() bool {
 		events, err := b.Prefill.CacheEvents(b.ctx, before.Sequence)
 		b.NoErr(err)
 		return len(events) == 10 && events[0].Sequence > before.Sequence+1
--- a/internal/engine/enginetest/cancel.go
+++ b/internal/engine/enginetest/cancel.go
@@ -9,37 +9,38 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// step is a moment in the life of a request at which it is cancelled.
-type step struct {
+// cancelPoint is a stage of a request at which it is cancelled.
+type cancelPoint struct {
 	name string
-	// begin brings a request to the step and returns the engine that holds its
-	// memory and the end of its call, which is nil if none is in progress.
-	begin func(b *bench, ctx context.Context) (engine.Engine, <-chan error)
+	// start brings a request to the stage. It returns the engine that holds the
+	// memory of the request, and the channel that receives the error of its call,
+	// which is nil if no call is in progress.
+	start func(b *testbed, ctx context.Context) (engine.Engine, <-chan error)
 }
 
-var steps = []step{
-	{"while its prefill runs", func(b *bench, ctx context.Context) (engine.Engine, <-chan error) {
+var cancelPoints = []cancelPoint{
+	{"while its prefill runs", func(b *testbed, ctx context.Context) (engine.Engine, <-chan error) {
 		b.PrefillFaults.SlowBy(1e4)
-		return b.Prefill, b.backgroundPrefill(ctx, "r")
+		return b.Prefill, b.startPrefill(ctx, "r")
 	}},
-	{"while its prefill waits", func(b *bench, ctx context.Context) (engine.Engine, <-chan error) {
+	{"while its prefill is queued", func(b *testbed, ctx context.Context) (engine.Engine, <-chan error) {
 		b.PrefillFaults.SlowBy(1e4)
-		b.backgroundPrefill(b.ctx, "other")
-		b.eventually("prefill of the other", func() bool { return b.holds(b.Prefill) == 1 })
-		ended := b.backgroundPrefill(ctx, "r")
-		b.eventually("both prefills", func() bool { return b.holds(b.Prefill) == 2 })
+		b.startPrefill(b.ctx, "other")
+		b.waitFor("the other prefill", func() bool { return b.workCount(b.Prefill) == 1 })
+		done := b.startPrefill(ctx, "r")
+		b.waitFor("both prefills", func() bool { return b.workCount(b.Prefill) == 2 })
 		b.NoErr(b.Prefill.Cancel(b.ctx, attempt("other", 1)))
-		return b.Prefill, ended
+		return b.Prefill, done
 	}},
-	{"while it is transferred", func(b *bench, ctx context.Context) (engine.Engine, <-chan error) {
+	{"while it is transferred", func(b *testbed, ctx context.Context) (engine.Engine, <-chan error) {
 		request := decodeRequest("r", "text", b.mustPrefill("source", "text"))
 		b.DecodeFaults.StallLinks(true)
-		return b.Decode, b.backgroundDecode(ctx, request)
+		return b.Decode, b.startDecode(ctx, request)
 	}},
-	{"while it is decoded", func(b *bench, ctx context.Context) (engine.Engine, <-chan error) {
+	{"while it is decoded", func(b *testbed, ctx context.Context) (engine.Engine, <-chan error) {
 		request := decodeRequest("r", "text", b.mustPrefill("source", "text"))
 		parts := make(chan struct{}, request.MaxTokens)
-		ended := background(func() error {
+		done := runAsync(func() error {
 			return b.Decode.Decode(ctx, request, func(message.Part) error {
 				b.DecodeFaults.SlowBy(1e4)
 				parts <- struct{}{}
@@ -47,85 +48,85 @@
 			})
 		})
 		<-parts
-		return b.Decode, ended
+		return b.Decode, done
 	}},
 }
 
-func (b *bench) backgroundPrefill(ctx context.Context, request string) <-chan error {
-	return background(func() error {
+func (b *testbed) startPrefill(ctx context.Context, request string) <-chan error {
+	return runAsync(func() error {
 		_, err := b.Prefill.Prefill(ctx, prefillRequest(request, prompt("long", 2000)))
 		return err
 	})
 }
 
-func (b *bench) backgroundDecode(ctx context.Context, r engine.DecodeRequest) <-chan error {
-	return background(func() error {
+func (b *testbed) startDecode(ctx context.Context, r engine.DecodeRequest) <-chan error {
+	return runAsync(func() error {
 		_, err := b.decode(ctx, r)
 		return err
 	})
 }
 
-// cancelCases end a request at each step, in each way. Symptom without them:
-// memory of an engine stays held by a request whose caller is gone, until the
-// engine admits nothing more.
+// cancelCases cancel a request at each stage, both with a cancel call and by the
+// caller's context. They guard against engine memory that stays allocated to a request
+// whose caller has disconnected, until the engine admits nothing more.
 func cancelCases() []testCase {
 	cases := []testCase{
-		{name: "result not fetched", run: func(b *bench) {
+		{name: "result that was not fetched", run: func(b *testbed) {
 			b.mustPrefill("r", "text")
 			b.NoErr(b.Prefill.Cancel(b.ctx, attempt("r", 1)))
-			b.Equal(b.holds(b.Prefill), 0) // freed at once
+			b.Equal(b.workCount(b.Prefill), 0) // freed at once
 		}},
-		{name: "nothing there", run: func(b *bench) {
-			b.NoErr(b.Prefill.Cancel(b.ctx, attempt("never came", 1)))
+		{name: "unknown attempt", run: func(b *testbed) {
+			b.NoErr(b.Prefill.Cancel(b.ctx, attempt("unknown", 1)))
 		}},
-		{name: "other attempt of the request", run: otherAttempt},
-		{name: "receiver refuses a part", run: receiverRefuses},
+		{name: "other attempt of the request", run: cancelOtherAttempt},
+		{name: "emit returns an error", run: receiverRefuses},
 	}
-	for _, s := range steps {
+	for _, s := range cancelPoints {
 		cases = append(cases,
-			testCase{name: "by order " + s.name, run: func(b *bench) { cancelByOrder(b, s) }},
-			testCase{name: "by leaving " + s.name, run: func(b *bench) { cancelByLeaving(b, s) }},
+			testCase{name: "with a cancel call " + s.name, run: func(b *testbed) { cancelByOrder(b, s) }},
+			testCase{name: "by the caller's context " + s.name, run: func(b *testbed) { cancelByCaller(b, s) }},
 		)
 	}
 	return cases
 }
 
-// cancelByOrder cancels twice, as a gate does that lost the first answer.
-func cancelByOrder(b *bench, s step) {
-	holder, ended := s.begin(b, b.ctx)
-	b.eventually("its work", func() bool { return b.holds(holder) == 1 })
+// cancelByOrder cancels twice, like a gate that did not receive the first response.
+func cancelByOrder(b *testbed, s cancelPoint) {
+	holder, done := s.start(b, b.ctx)
+	b.waitFor("one work entry", func() bool { return b.workCount(holder) == 1 })
 	b.NoErr(holder.Cancel(b.ctx, attempt("r", 1)))
-	b.Equal(b.holds(holder), 0) // freed at once
+	b.Equal(b.workCount(holder), 0) // freed at once
 	b.NoErr(holder.Cancel(b.ctx, attempt("r", 1)))
-	b.reason(<-ended, oriolebend.ReasonCallerCancelled)
-	b.freed(holder)
+	b.wantReason(<-done, oriolebend.ReasonCallerCancelled)
+	b.waitFreed(holder)
 }
 
-func cancelByLeaving(b *bench, s step) {
-	ctx, leave := context.WithCancel(b.ctx)
-	holder, ended := s.begin(b, ctx)
-	b.eventually("its work", func() bool { return b.holds(holder) == 1 })
-	leave()
-	b.reason(<-ended, oriolebend.ReasonCallerCancelled)
-	b.freed(holder)
+func cancelByCaller(b *testbed, s cancelPoint) {
+	ctx, cancel := context.WithCancel(b.ctx)
+	holder, done := s.start(b, ctx)
+	b.waitFor("one work entry", func() bool { return b.workCount(holder) == 1 })
+	cancel()
+	b.wantReason(<-done, oriolebend.ReasonCallerCancelled)
+	b.waitFreed(holder)
 }
 
-func otherAttempt(b *bench) {
+func cancelOtherAttempt(b *testbed) {
 	request := decodeRequest("r", "text", b.mustPrefill("source", "text"))
 	b.DecodeFaults.StallLinks(true)
-	ended := b.backgroundDecode(b.ctx, request)
-	b.eventually("its work", func() bool { return b.holds(b.Decode) == 1 })
+	done := b.startDecode(b.ctx, request)
+	b.waitFor("one work entry", func() bool { return b.workCount(b.Decode) == 1 })
 	b.NoErr(b.Decode.Cancel(b.ctx, attempt("r", 2)))
-	b.Equal(b.holds(b.Decode), 1) // another attempt is another's work
+	b.Equal(b.workCount(b.Decode), 1) // the other attempt has no work here
 	b.DecodeFaults.StallLinks(false)
-	b.NoErr(<-ended)
+	b.NoErr(<-done)
 }
 
-func receiverRefuses(b *bench) {
+func receiverRefuses(b *testbed) {
 	result := b.mustPrefill("r", "text")
-	gone := &engine.Error{Reason: oriolebend.ReasonLeaseEnded}
-	err := b.Decode.Decode(b.ctx, decodeRequest("r", "text", result), func(message.Part) error { return gone })
-	b.reason(err, oriolebend.ReasonCallerCancelled)
-	b.True(errors.Is(err, gone)) // the receiver's error is the cause
-	b.freed(b.Decode)
+	refusal := &engine.Error{Reason: oriolebend.ReasonLeaseEnded}
+	err := b.Decode.Decode(b.ctx, decodeRequest("r", "text", result), func(message.Part) error { return refusal })
+	b.wantReason(err, oriolebend.ReasonCallerCancelled)
+	b.True(errors.Is(err, refusal)) // the error of emit is the cause
+	b.waitFreed(b.Decode)
 }
--- a/internal/engine/enginetest/enginetest.go
+++ b/internal/engine/enginetest/enginetest.go
@@ -1,5 +1,5 @@
-// Package enginetest is the contract that every engine.Engine keeps, as tests
-// to run against a client with its engine.
+// Package enginetest tests the contract of engine.Engine against a client and its
+// engine.
 package enginetest
 
 import (
@@ -17,19 +17,19 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Model and Version are loaded on both engines of a pair at the start.
+// Model and Version name the model that both engines of a pair have loaded at the start.
 const (
 	Model   = "planner-lm"
 	Version = "1"
 )
 
-// KVTokens is the KV memory of both engines of a pair.
+// KVTokens is the size of the KV memory of each engine of a pair, in tokens.
 const KVTokens = 10_000
 
-// eventuallyWithin bounds the wait for a state that must come.
-const eventuallyWithin = 20 * time.Second
+// waitTimeout bounds the wait for an expected state.
+const waitTimeout = 20 * time.Second
 
-// Faults breaks an engine.
+// Faults injects faults into an engine.
 type Faults interface {
 	Kill()
 	Restart()
@@ -39,28 +39,28 @@
 	DropEvents(count int)
 }
 
-// Pair is a prefill and a decode engine that reach each other, each with a
+// Pair is a prefill and a decode engine that can reach each other, each with a KV
 // memory of KVTokens.
 type Pair struct {
 	Prefill       engine.Engine
 	Decode        engine.Engine
 	PrefillFaults Faults
 	DecodeFaults  Faults
-	// Check reports whether text is the whole output of a prompt.
+	// Check returns an error unless text is the complete output of a prompt.
 	Check func(prompt string, maxTokens int, text string) error
 }
 
-// Setup is what a case needs of its pair beyond the usual.
+// Setup holds the options of a test case for its pair of engines.
 type Setup struct {
 	// IgnoresFencing makes the engines accept outdated orders.
 	IgnoresFencing bool
 }
 
-// Suite says how the contract is run.
+// Suite configures how the contract is run.
 type Suite struct {
-	// New makes a pair; it ends with the test.
+	// New returns a pair, which is closed at the end of the test.
 	New func(t *testing.T, s Setup) Pair
-	// Around runs one case; nil runs it as it is.
+	// Around wraps the run of one case; nil means no wrapper.
 	Around func(t *testing.T, run func(t *testing.T))
 }
 
@@ -83,11 +83,11 @@
 	}
 }
 
-// testCase is one row of the contract.
+// testCase is one test of the contract.
 type testCase struct {
 	name  string
 	setup Setup
-	run   func(b *bench)
+	run   func(b *testbed)
 }
 
 func (s Suite) runCase(t *testing.T, c testCase) {
@@ -98,25 +98,25 @@
 	around(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		b := &bench{Pair: s.New(t, c.setup), I: is.New(t), t: t, ctx: ctx}
+		b := &testbed{Pair: s.New(t, c.setup), I: is.New(t), t: t, ctx: ctx}
 		c.run(b)
 	})
 }
 
-// bench is a pair in one case.
-type bench struct {
+// testbed is the pair of engines of one test case, with its assertions.
+type testbed struct {
 	Pair
 	*is.I
 	t   *testing.T
 	ctx context.Context
 }
 
-// attempt names an attempt of a request.
+// attempt returns the identity of an attempt.
 func attempt(request string, number uint32) message.Attempt {
 	return message.Attempt{RequestID: request, Number: number}
 }
 
-// prompt returns a text of so many tokens that begins with a name.
+// prompt returns a text with the given number of tokens that begins with name.
 func prompt(name string, tokens int) string {
 	return name + strings.Repeat(" road", tokens-1)
 }
@@ -144,43 +144,43 @@
 	}
 }
 
-// mustPrefill computes a prompt that must succeed.
-func (b *bench) mustPrefill(request, text string) engine.PrefillResult {
+// mustPrefill runs a prefill that must succeed.
+func (b *testbed) mustPrefill(request, text string) engine.PrefillResult {
 	b.t.Helper()
 	result, err := b.Prefill.Prefill(b.ctx, prefillRequest(request, text))
 	b.NoErr(err)
 	return result
 }
 
-// decode runs a decode and returns its text; every part must follow the one
-// before, and only the last may have Finish set.
-func (b *bench) decode(ctx context.Context, r engine.DecodeRequest) (string, error) {
+// decode runs a decode and returns its text. Each part must continue at the end of
+// the previous one, and only the last part may have Finish set.
+func (b *testbed) decode(ctx context.Context, r engine.DecodeRequest) (string, error) {
 	var text strings.Builder
-	next, ended := r.Offset, false
+	next, finished := r.Offset, false
 	err := b.Decode.Decode(ctx, r, func(p message.Part) error {
-		if p.Attempt != r.Attempt || p.Offset != next || ended {
+		if p.Attempt != r.Attempt || p.Offset != next || finished {
 			return fmt.Errorf("part %+v where %d of %+v was next: %w", p, next, r.Attempt, errors.ErrUnsupported)
 		}
 		next += p.Tokens
-		ended = p.Finish != ""
+		finished = p.Finish != ""
 		text.WriteString(p.Text)
 		return nil
 	})
-	if err == nil && !ended {
+	if err == nil && !finished {
 		b.t.Errorf("decode of %+v ended without Finish", r.Attempt)
 	}
 	return text.String(), err
 }
 
-// background runs a call and returns the channel of its error.
-func background(run func() error) <-chan error {
-	ended := make(chan error, 1)
-	go func() { ended <- run() }()
-	return ended
+// runAsync runs a call in a goroutine and returns the channel that receives its error.
+func runAsync(run func() error) <-chan error {
+	done := make(chan error, 1)
+	go func() { done <- run() }()
+	return done
 }
 
-// reason asserts the reason of an error.
-func (b *bench) reason(err error, want oriolebend.Reason) {
+// wantReason asserts the reason of an error.
+func (b *testbed) wantReason(err error, want oriolebend.Reason) {
 	b.t.Helper()
 	var typed *engine.Error
 	if !errors.As(err, &typed) {
@@ -191,31 +191,31 @@
 	}
 }
 
-// eventually waits for a state that must come.
-func (b *bench) eventually(what string, reached func() bool) {
+// waitFor waits for a state and fails the test if it does not occur in time.
+func (b *testbed) waitFor(state string, reached func() bool) {
 	b.t.Helper()
-	for deadline := time.Now().Add(eventuallyWithin); !reached(); {
+	for deadline := time.Now().Add(waitTimeout); !reached(); {
 		if time.Now().After(deadline) {
-			b.t.Fatalf("never came: %s", what)
+			b.t.Fatalf("timed out waiting for %s", state)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// holds counts the attempts that hold memory of an engine.
-func (b *bench) holds(e engine.Engine) int {
+// workCount returns the number of attempts that hold memory of an engine.
+func (b *testbed) workCount(e engine.Engine) int {
 	b.t.Helper()
 	work, err := e.Work(b.ctx)
 	b.NoErr(err)
 	return len(work)
 }
 
-// freed waits until an engine holds no memory, by its list of work and by its
-// load report.
-func (b *bench) freed(e engine.Engine) {
+// waitFreed waits until an engine holds no memory, according to both its work list and
+// its load report.
+func (b *testbed) waitFreed(e engine.Engine) {
 	b.t.Helper()
-	b.eventually("no work", func() bool { return b.holds(e) == 0 })
-	b.eventually("all tokens free", func() bool {
+	b.waitFor("no work", func() bool { return b.workCount(e) == 0 })
+	b.waitFor("all tokens free", func() bool {
 		report, err := e.Load(b.ctx)
 		b.NoErr(err)
 		return report.FreeTokens == KVTokens && report.TotalTokens == KVTokens
--- a/internal/engine/enginetest/fault.go
+++ b/internal/engine/enginetest/fault.go
@@ -10,104 +10,104 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// faultCases break an engine or a link under a request.
+// faultCases inject a fault into an engine or a link while a request uses it.
 var faultCases = []testCase{
-	{name: "prefill engine dies in a prefill", run: func(b *bench) {
+	{name: "prefill engine crashes during a prefill", run: func(b *testbed) {
 		b.PrefillFaults.SlowBy(1e4)
-		ended := b.backgroundPrefill(b.ctx, "r")
-		b.eventually("its work", func() bool { return b.holds(b.Prefill) == 1 })
+		done := b.startPrefill(b.ctx, "r")
+		b.waitFor("one work entry", func() bool { return b.workCount(b.Prefill) == 1 })
 		b.PrefillFaults.Kill()
-		b.reason(<-ended, oriolebend.ReasonServerLost)
+		b.wantReason(<-done, oriolebend.ReasonServerLost)
 	}},
-	{name: "prefill engine dies with the result", run: func(b *bench) {
+	{name: "prefill engine crashes before its result is fetched", run: func(b *testbed) {
 		result := b.mustPrefill("r", "text")
 		b.PrefillFaults.Kill()
 		_, err := b.decode(b.ctx, decodeRequest("r", "text", result))
-		b.reason(err, oriolebend.ReasonResultExpired)
-		b.freed(b.Decode)
+		b.wantReason(err, oriolebend.ReasonResultExpired)
+		b.waitFreed(b.Decode)
 	}},
-	{name: "prefill engine restarts with the result", run: func(b *bench) {
+	{name: "prefill engine restarts before its result is fetched", run: func(b *testbed) {
 		result := b.mustPrefill("r", "text")
 		b.PrefillFaults.Restart()
 		_, err := b.decode(b.ctx, decodeRequest("r", "text", result))
-		b.reason(err, oriolebend.ReasonResultExpired)
+		b.wantReason(err, oriolebend.ReasonResultExpired)
 	}},
-	{name: "prefill engine dies in the transfer", run: diesInTransfer},
-	{name: "transfer stalls at the source", run: func(b *bench) { stallsAt(b, b.PrefillFaults) }},
-	{name: "transfer stalls at the target", run: func(b *bench) { stallsAt(b, b.DecodeFaults) }},
-	{name: "second decode takes a stalled result", run: secondTakes},
-	{name: "decode engine dies in a decode", run: func(b *bench) {
-		ended := killMidDecode(b, b.DecodeFaults.Kill)
-		b.reason(<-ended, oriolebend.ReasonServerLost)
+	{name: "prefill engine crashes during the transfer", run: sourceCrashesInTransfer},
+	{name: "transfer stalls at the source", run: func(b *testbed) { transferStallsAt(b, b.PrefillFaults) }},
+	{name: "transfer stalls at the target", run: func(b *testbed) { transferStallsAt(b, b.DecodeFaults) }},
+	{name: "second decode fetches the result of a stalled transfer", run: secondDecodeFetches},
+	{name: "decode engine crashes during a decode", run: func(b *testbed) {
+		done := faultDuringDecode(b, b.DecodeFaults.Kill)
+		b.wantReason(<-done, oriolebend.ReasonServerLost)
 		_, err := b.Decode.Info(b.ctx)
-		b.reason(err, oriolebend.ReasonServerLost)
+		b.wantReason(err, oriolebend.ReasonServerLost)
 	}},
-	{name: "decode engine restarts in a decode", run: restartsInDecode},
-	{name: "decode engine freezes in a decode", run: func(b *bench) {
-		ended := killMidDecode(b, func() { b.DecodeFaults.Freeze(true) })
-		b.reason(<-ended, oriolebend.ReasonServerLost)
+	{name: "decode engine restarts during a decode", run: decodeEngineRestarts},
+	{name: "decode engine freezes during a decode", run: func(b *testbed) {
+		done := faultDuringDecode(b, func() { b.DecodeFaults.Freeze(true) })
+		b.wantReason(<-done, oriolebend.ReasonServerLost)
 		b.DecodeFaults.Freeze(false)
-		b.freed(b.Decode)
+		b.waitFreed(b.Decode)
 	}},
-	{name: "prefill engine freezes in a prefill", run: func(b *bench) {
+	{name: "prefill engine freezes during a prefill", run: func(b *testbed) {
 		b.PrefillFaults.SlowBy(1e4)
-		ended := b.backgroundPrefill(b.ctx, "r")
-		b.eventually("its work", func() bool { return b.holds(b.Prefill) == 1 })
+		done := b.startPrefill(b.ctx, "r")
+		b.waitFor("one work entry", func() bool { return b.workCount(b.Prefill) == 1 })
 		b.PrefillFaults.Freeze(true)
-		b.reason(<-ended, oriolebend.ReasonServerLost)
+		b.wantReason(<-done, oriolebend.ReasonServerLost)
 		b.PrefillFaults.Freeze(false)
-		b.freed(b.Prefill)
+		b.waitFreed(b.Prefill)
 	}},
-	{name: "deadline passes", run: func(b *bench) {
+	{name: "deadline passes", run: func(b *testbed) {
 		b.PrefillFaults.SlowBy(1e4)
 		ctx, cancel := context.WithTimeout(b.ctx, 50*time.Millisecond)
 		defer cancel()
-		b.reason(<-b.backgroundPrefill(ctx, "r"), oriolebend.ReasonDeadline)
-		b.freed(b.Prefill)
+		b.wantReason(<-b.startPrefill(ctx, "r"), oriolebend.ReasonDeadline)
+		b.waitFreed(b.Prefill)
 	}},
 }
 
-// diesInTransfer: symptom: a decode would begin on half a KV cache. Sequence:
-// the source dies after the head of the transfer and before its end. Cause: a
-// broken connection must not be taken for the body's end.
-func diesInTransfer(b *bench) {
+// sourceCrashesInTransfer guards against a decode that starts with an incomplete KV
+// cache. The source crashes after the header of the transfer and before its end, and the
+// broken connection must not be treated as the end of the body.
+func sourceCrashesInTransfer(b *testbed) {
 	result := b.mustPrefill("r", "text")
 	b.PrefillFaults.StallLinks(true)
-	ended := b.backgroundDecode(b.ctx, decodeRequest("r", "text", result))
-	b.eventually("the transfer", func() bool { return b.holds(b.Decode) == 1 })
+	done := b.startDecode(b.ctx, decodeRequest("r", "text", result))
+	b.waitFor("the transfer", func() bool { return b.workCount(b.Decode) == 1 })
 	b.PrefillFaults.Kill()
-	err := <-ended
+	err := <-done
 	var typed *engine.Error
 	b.True(errors.As(err, &typed))
-	// The source may die before or after it answered the request.
+	// The source may crash before or after it responded to the request.
 	b.True(typed.Reason == oriolebend.ReasonTransferStalled || typed.Reason == oriolebend.ReasonResultExpired)
-	b.freed(b.Decode)
+	b.waitFreed(b.Decode)
 }
 
-// stallsAt: symptom: a request waits for ever between prefill and decode.
-// Sequence: the transfer begins, its link stops. Cause: nothing breaks the
-// connection; only the transfer's own bound ends it.
-func stallsAt(b *bench, faults Faults) {
+// transferStallsAt guards against a request that waits forever between prefill and
+// decode because the link stalls after the transfer began. The connection does not break,
+// so that only the timeout of the transfer ends it.
+func transferStallsAt(b *testbed, faults Faults) {
 	request := decodeRequest("r", "text", b.mustPrefill("r", "text"))
 	request.TransferWithin = 100 * time.Millisecond
 	faults.StallLinks(true)
 	_, err := b.decode(b.ctx, request)
-	b.reason(err, oriolebend.ReasonTransferStalled)
-	b.freed(b.Decode)
+	b.wantReason(err, oriolebend.ReasonTransferStalled)
+	b.waitFreed(b.Decode)
 	faults.StallLinks(false)
 	b.NoErr(b.Prefill.Cancel(b.ctx, attempt("r", 1)))
-	b.freed(b.Prefill)
+	b.waitFreed(b.Prefill)
 }
 
-// secondTakes: symptom: a stalled transfer wastes a prefill. Sequence: the
-// first transfer stalls and ends by its bound, a second one asks for the same
-// result within its life. Cause: a result must outlive a transfer that failed.
-func secondTakes(b *bench) {
+// secondDecodeFetches guards against a prefill that is wasted by a stalled transfer. The
+// first transfer stalls and times out, and a second one requests the same result before
+// it expires. A result must therefore outlive a failed transfer.
+func secondDecodeFetches(b *testbed) {
 	request := decodeRequest("r", "text", b.mustPrefill("r", "text"))
 	request.TransferWithin = 50 * time.Millisecond
 	b.DecodeFaults.StallLinks(true)
 	_, err := b.decode(b.ctx, request)
-	b.reason(err, oriolebend.ReasonTransferStalled)
+	b.wantReason(err, oriolebend.ReasonTransferStalled)
 	b.DecodeFaults.StallLinks(false)
 	request.Attempt.Number = 2
 	request.TransferWithin = 5 * time.Second
@@ -116,11 +116,11 @@
 	b.NoErr(b.Check("text", 100, output))
 }
 
-// killMidDecode breaks a decode after its first part.
-func killMidDecode(b *bench, fault func()) <-chan error {
+// faultDuringDecode starts a decode and injects a fault after its first part.
+func faultDuringDecode(b *testbed, fault func()) <-chan error {
 	request := decodeRequest("r", "text", b.mustPrefill("r", "text"))
 	first := make(chan struct{})
-	ended := background(func() error {
+	done := runAsync(func() error {
 		return b.Decode.Decode(b.ctx, request, func(p message.Part) error {
 			if p.Offset == 0 {
 				b.DecodeFaults.SlowBy(1e4)
@@ -131,16 +131,16 @@
 	})
 	<-first
 	fault()
-	return ended
+	return done
 }
 
-func restartsInDecode(b *bench) {
+func decodeEngineRestarts(b *testbed) {
 	before, err := b.Decode.Info(b.ctx)
 	b.NoErr(err)
-	ended := killMidDecode(b, b.DecodeFaults.Restart)
-	b.reason(<-ended, oriolebend.ReasonServerLost)
+	done := faultDuringDecode(b, b.DecodeFaults.Restart)
+	b.wantReason(<-done, oriolebend.ReasonServerLost)
 	after, err := b.Decode.Info(b.ctx)
 	b.NoErr(err)
 	b.True(after.Incarnation != before.Incarnation)
-	b.Equal(b.holds(b.Decode), 0) // a new process holds nothing
+	b.Equal(b.workCount(b.Decode), 0) // a new process holds nothing
 }
--- a/internal/engine/enginetest/refusal.go
+++ b/internal/engine/enginetest/refusal.go
@@ -7,104 +7,101 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// refusalCases are work that an engine can't do.
+// refusalCases test work that an engine must refuse.
 var refusalCases = []testCase{
-	{name: "unknown model", run: notLoaded(func(r *engine.PrefillRequest) { r.Model = "no-such-lm" })},
-	{name: "unknown version", run: notLoaded(func(r *engine.PrefillRequest) { r.Version = "0" })},
-	{name: "unknown adapter", run: notLoaded(func(r *engine.PrefillRequest) { r.Adapter = "no-such-adapter" })},
-	{name: "wrong role", run: func(b *bench) {
+	{name: "unknown model", run: notLoadedCase(func(r *engine.PrefillRequest) { r.Model = "no-such-lm" })},
+	{name: "unknown version", run: notLoadedCase(func(r *engine.PrefillRequest) { r.Version = "0" })},
+	{name: "unknown adapter", run: notLoadedCase(func(r *engine.PrefillRequest) { r.Adapter = "no-such-adapter" })},
+	{name: "wrong role", run: func(b *testbed) {
 		_, err := b.Decode.Prefill(b.ctx, prefillRequest("r", "text"))
-		b.reason(err, oriolebend.ReasonWrongRole)
+		b.wantReason(err, oriolebend.ReasonWrongRole)
 	}},
-	{name: "prompt over the memory", run: func(b *bench) {
+	{name: "prompt larger than the memory", run: func(b *testbed) {
 		_, err := b.Prefill.Prefill(b.ctx, prefillRequest("r", prompt("long", KVTokens+1)))
-		b.reason(err, oriolebend.ReasonNoMemory)
-		b.freed(b.Prefill)
+		b.wantReason(err, oriolebend.ReasonNoMemory)
+		b.waitFreed(b.Prefill)
 	}},
 	{name: "full memory", run: fullMemory},
-	{name: "attempt runs already", run: attemptRunsAlready},
+	{name: "attempt that already runs", run: duplicateAttempt},
 	{name: "expired result", run: expiredResult},
 	{name: "result of another prompt", run: resultOfAnotherPrompt},
-	{name: "delivered of another output", run: func(b *bench) {
+	{name: "delivered text of another output", run: func(b *testbed) {
 		request := decodeRequest("r", "text", engine.PrefillResult{})
 		request.Delivered = " not mine"
 		request.Offset = 2
 		_, err := b.decode(b.ctx, request)
-		b.reason(err, oriolebend.ReasonMalformed)
+		b.wantReason(err, oriolebend.ReasonMalformed)
 	}},
 }
 
-// notLoaded returns a case of a prefill that names something not loaded.
-func notLoaded(change func(*engine.PrefillRequest)) func(*bench) {
-	return func(b *bench) {
+// notLoadedCase returns a test of a prefill whose model, version or adapter is not loaded.
+func notLoadedCase(change func(*engine.PrefillRequest)) func(*testbed) {
+	return func(b *testbed) {
 		request := prefillRequest("r", "text")
 		change(&request)
 		_, err := b.Prefill.Prefill(b.ctx, request)
-		b.reason(err, oriolebend.ReasonWrongModel)
+		b.wantReason(err, oriolebend.ReasonWrongModel)
 	}
 }
 
-// fullMemory: symptom: a decode is refused while its KV cache is ready.
-// Sequence: as many decodes as fit run, one more arrives. Cause: none of the
-// memory is free; it is once one of them ended.
-func fullMemory(b *bench) {
+// fullMemory tests a decode that is refused although its KV cache is ready, because the
+// running decodes use all memory. The memory is free again once one of them ends.
+func fullMemory(b *testbed) {
 	text := prompt("full", 4000)
 	result := b.mustPrefill("r", text)
 	b.DecodeFaults.StallLinks(true)
-	var ended []<-chan error
+	var done []<-chan error
 	for _, name := range []string{"first", "second"} {
 		request := decodeRequest(name, text, result)
-		ended = append(ended, background(func() error {
+		done = append(done, runAsync(func() error {
 			_, err := b.decode(b.ctx, request)
 			return err
 		}))
 	}
-	b.eventually("two decodes", func() bool { return b.holds(b.Decode) == 2 })
+	b.waitFor("two decodes", func() bool { return b.workCount(b.Decode) == 2 })
 	_, err := b.decode(b.ctx, decodeRequest("third", text, result))
-	b.reason(err, oriolebend.ReasonNoMemory)
+	b.wantReason(err, oriolebend.ReasonNoMemory)
 	b.NoErr(b.Decode.Cancel(b.ctx, attempt("first", 1)))
-	b.reason(<-ended[0], oriolebend.ReasonCallerCancelled)
+	b.wantReason(<-done[0], oriolebend.ReasonCallerCancelled)
 	b.DecodeFaults.StallLinks(false)
 	_, err = b.decode(b.ctx, decodeRequest("third", text, b.mustPrefill("again", text)))
 	b.NoErr(err)
-	b.NoErr(<-ended[1])
-	b.freed(b.Decode)
+	b.NoErr(<-done[1])
+	b.waitFreed(b.Decode)
 }
 
-// attemptRunsAlready: symptom: a request is decoded twice. Sequence: the
-// dispatch of an attempt is doubled on its way. Cause: without a refusal both
-// would run.
-func attemptRunsAlready(b *bench) {
+// duplicateAttempt guards against a request that is decoded twice because the dispatch of
+// its attempt was duplicated in transit. Without a refusal, both would run.
+func duplicateAttempt(b *testbed) {
 	b.DecodeFaults.StallLinks(true)
 	request := decodeRequest("r", "text", b.mustPrefill("r", "text"))
-	ended := background(func() error {
+	done := runAsync(func() error {
 		_, err := b.decode(b.ctx, request)
 		return err
 	})
-	b.eventually("one decode", func() bool { return b.holds(b.Decode) == 1 })
+	b.waitFor("one decode", func() bool { return b.workCount(b.Decode) == 1 })
 	_, err := b.decode(b.ctx, request)
-	b.reason(err, oriolebend.ReasonAttemptUsed)
+	b.wantReason(err, oriolebend.ReasonAttemptUsed)
 	b.DecodeFaults.StallLinks(false)
-	b.NoErr(<-ended)
+	b.NoErr(<-done)
 }
 
-// expiredResult: symptom: a decode finds nothing to import. Sequence: the
-// prefill ended, and the decode came after the result's life. Cause: engines
-// drop a result that nobody fetched.
-func expiredResult(b *bench) {
+// expiredResult tests a decode that arrives after the prefill result has expired. Engines
+// drop a result that was not fetched in time.
+func expiredResult(b *testbed) {
 	result := b.mustPrefill("r", "text")
 	time.Sleep(result.LivesFor)
-	b.freed(b.Prefill)
+	b.waitFreed(b.Prefill)
 	_, err := b.decode(b.ctx, decodeRequest("r", "text", result))
-	b.reason(err, oriolebend.ReasonResultExpired)
-	b.freed(b.Decode)
+	b.wantReason(err, oriolebend.ReasonResultExpired)
+	b.waitFreed(b.Decode)
 }
 
-// resultOfAnotherPrompt: symptom: a caller gets the output of another's
-// prompt. Sequence: two prefill results cross. Cause: the address of the wrong
-// one was put into the decode; the engine compares digests and refuses.
-func resultOfAnotherPrompt(b *bench) {
+// resultOfAnotherPrompt guards against a caller that receives the output of another
+// caller's prompt because two prefill results were swapped. The decode names the URL of the
+// wrong result, and the engine compares the digests and refuses it.
+func resultOfAnotherPrompt(b *testbed) {
 	result := b.mustPrefill("r", "text of another caller")
 	_, err := b.decode(b.ctx, decodeRequest("r", "text", result))
-	b.reason(err, oriolebend.ReasonEngineFailed)
+	b.wantReason(err, oriolebend.ReasonEngineFailed)
 }
--- a/internal/engine/enginetest/work.go
+++ b/internal/engine/enginetest/work.go
@@ -7,15 +7,15 @@
 	"github.com/oriolebend/oriolebend/internal/prefix"
 )
 
-// workCases are prefills and decodes that succeed.
+// workCases test prefills and decodes that succeed.
 var workCases = []testCase{
-	{name: "whole output", run: wholeOutput},
-	{name: "resume behind delivered", run: resume},
-	{name: "resume at the end", run: resumeAtEnd},
+	{name: "complete output", run: wholeOutput},
+	{name: "resume after delivered output", run: resume},
+	{name: "resume at the end of the output", run: resumeAtEnd},
 	{name: "several at once", run: severalAtOnce},
 }
 
-func wholeOutput(b *bench) {
+func wholeOutput(b *testbed) {
 	text := prompt("whole", 500)
 	result := b.mustPrefill("r", text)
 	b.Equal(result.Tokens, 500)
@@ -23,18 +23,18 @@
 	output, err := b.decode(b.ctx, decodeRequest("r", text, result))
 	b.NoErr(err)
 	b.NoErr(b.Check(text, 100, output))
-	b.freed(b.Decode)
+	b.waitFreed(b.Decode)
 	b.NoErr(b.Prefill.Cancel(b.ctx, attempt("r", 1)))
-	b.freed(b.Prefill)
+	b.waitFreed(b.Prefill)
 }
 
-// resume is what follows a decode server's death: the prompt and the output
-// so far are computed again, and generation goes on behind them.
-func resume(b *bench) {
+// resume tests the recovery from the crash of a decode server: the prompt and the output
+// so far are prefilled again, and generation continues after them.
+func resume(b *testbed) {
 	text := prompt("resume", 300)
 	whole, err := b.decode(b.ctx, decodeRequest("r", text, b.mustPrefill("r", text)))
 	b.NoErr(err)
-	delivered := cut(whole, 10)
+	delivered := firstTokens(whole, 10)
 	request := decodeRequest("r", text, b.mustPrefill("again", text+delivered))
 	request.Delivered = delivered
 	request.Offset = 10
@@ -43,7 +43,7 @@
 	b.Equal(delivered+rest, whole)
 }
 
-func resumeAtEnd(b *bench) {
+func resumeAtEnd(b *testbed) {
 	text := prompt("end", 300)
 	whole, err := b.decode(b.ctx, decodeRequest("r", text, b.mustPrefill("r", text)))
 	b.NoErr(err)
@@ -55,17 +55,17 @@
 	b.Equal(rest, "")
 }
 
-// cut returns the first tokens of an output.
-func cut(output string, tokens int) string {
+// firstTokens returns the first tokens of an output.
+func firstTokens(output string, tokens int) string {
 	words := strings.SplitAfterN(output, " ", tokens+2)
 	return strings.TrimSuffix(strings.Join(words[:tokens+1], ""), " ")
 }
 
-func severalAtOnce(b *bench) {
+func severalAtOnce(b *testbed) {
 	names := []string{"a", "b", "c", "d", "e"}
-	var ended []<-chan error
+	var done []<-chan error
 	for _, name := range names {
-		ended = append(ended, background(func() error {
+		done = append(done, runAsync(func() error {
 			text := prompt(name, 400)
 			result, err := b.Prefill.Prefill(b.ctx, prefillRequest(name, text))
 			if err != nil {
@@ -75,7 +75,7 @@
 			return errors.Join(err, b.Check(text, 100, output))
 		}))
 	}
-	for _, e := range ended {
+	for _, e := range done {
 		b.NoErr(<-e)
 	}
 }
