--- a/internal/requestlog/crashes.go
+++ b/internal/requestlog/crashes.go
@@ -9,59 +9,61 @@
 	"time"
 )
 
-// Messages of lines that tell of a sending which broke off, and of a server that has ended.
-var brokeOff = map[string]bool{
+// failedSendMessages are the messages of failed sends.
+var failedSendMessages = map[string]bool{
 	"stream broken off": true, "stream not begun": true, "sending brought no success": true, "prefill brought no result": true,
 }
 
-const serverEnded = "server has ended"
+// messageServerEnded is the message of a server's crash.
+const messageServerEnded = "server has ended"
 
 const (
-	// justBegun is for how long after its first event a stream counts as just begun, as
-	// for the forwarders that hold requests back.
-	justBegun = 500 * time.Millisecond
-	// together is how far the breaking off of sendings and the line of a server's end lie
-	// apart at most, in the logs of several VMs whose clocks differ.
-	together = 3 * time.Second
+	// justStartedLimit is the time after its first event during which a stream counts as
+	// just started. The quarantine of the forwarders uses the same limit.
+	justStartedLimit = 500 * time.Millisecond
+	// crashWindow is the maximum time between a failed send and the log line of the
+	// server's crash that caused it. The logs come from VMs whose clocks differ.
+	crashWindow = 3 * time.Second
 )
 
-// Crash is the end of a server, and what it was working on.
+// Crash is the crash of a server, with the requests that failed in it.
 type Crash struct {
 	Server string    `json:"server"`
 	At     time.Time `json:"at"`
-	// Lost counts the requests that broke off, JustBegun are the fingerprints of those that
-	// the server had not begun to answer, or for less than half a second.
+	// Lost is the number of requests that failed. JustBegun holds the fingerprints of
+	// those whose response had not started, or had started less than half a second before.
 	Lost      int      `json:"lost"`
 	JustBegun []string `json:"justBegun"`
 }
 
-// Suspect is what a request asks for that servers had just begun to work on when they ended.
+// Suspect is a request fingerprint that servers had just started to process when they crashed.
 type Suspect struct {
 	Fingerprint string `json:"fingerprint"`
 	Route       string `json:"route"`
-	// Servers are those that ended, Tries the requests that brought it there.
+	// Servers are the servers that crashed. Tries are the IDs of the requests with this
+	// fingerprint that they were processing.
 	Servers []string `json:"servers"`
 	Tries   []string `json:"tries"`
-	// Answered counts the answers that it got.
+	// Answered is the number of successful responses to requests with this fingerprint.
 	Answered int `json:"answered"`
-	// Held is set once it was held back.
+	// Held is true if the fingerprint was quarantined.
 	Held bool `json:"held"`
 }
 
-// Crashes is what logs tell of servers that ended: when, and which requests may be why, the
-// likeliest first.
+// Crashes lists the crashes of servers that the logs show, and the requests that may have
+// caused them, the most likely ones first.
 type Crashes struct {
 	Crashes  []Crash   `json:"crashes"`
 	Suspects []Suspect `json:"suspects"`
 	Unread   int       `json:"unread"`
 }
 
-// FindCrashes reads the logs of forwarders.
+// FindCrashes finds the crashes of servers and their suspects in the logs of forwarders.
 func FindCrashes(logs ...Log) (Crashes, error) {
-	f := crashFinder{requests: map[string]*tried{}, ended: map[string]time.Time{}, answered: map[string]int{}, held: map[string]bool{}}
+	f := crashFinder{requests: map[string]*trackedRequest{}, crashedAt: map[string]time.Time{}, answered: map[string]int{}, quarantined: map[string]bool{}}
 	var found Crashes
 	for _, log := range logs {
-		unread, err := scan(log.Reader, f.take)
+		unread, err := scan(log.Reader, f.addLine)
 		found.Unread += unread
 		if err != nil {
 			return found, fmt.Errorf("%s: %w", log.Name, err)
@@ -71,83 +73,84 @@
 	return found, nil
 }
 
-// tried is one request, and where it broke off.
-type tried struct {
+// trackedRequest is one request with the servers at which it failed.
+type trackedRequest struct {
 	id, fingerprint, route string
 	first, took            time.Duration
-	broke                  map[string]time.Time // by server
+	failedAt               map[string]time.Time // by server
 }
 
-// crashFinder gathers lines; they may come in any order.
+// crashFinder collects log lines, which may arrive in any order.
 type crashFinder struct {
-	requests map[string]*tried
-	ended    map[string]time.Time
-	answered map[string]int
-	held     map[string]bool
+	requests    map[string]*trackedRequest
+	crashedAt   map[string]time.Time
+	answered    map[string]int
+	quarantined map[string]bool
 }
 
-func (f *crashFinder) take(l Line) {
+func (f *crashFinder) addLine(l Line) {
 	switch {
-	case l.Message == serverEnded:
-		if at, known := f.ended[l.Server]; !known || l.Time.Before(at) {
-			f.ended[l.Server] = l.Time
+	case l.Message == messageServerEnded:
+		if at, known := f.crashedAt[l.Server]; !known || l.Time.Before(at) {
+			f.crashedAt[l.Server] = l.Time
 		}
-	case brokeOff[l.Message] && l.Reason == "outcomeLost":
-		r := f.request(l)
-		r.broke[cmp.Or(prefillOf(l), l.Server)] = l.Time
-	case l.Message == answered:
-		f.answer(l)
+	case failedSendMessages[l.Message] && l.Reason == "outcomeLost":
+		r := f.trackRequest(l)
+		r.failedAt[cmp.Or(prefillServer(l), l.Server)] = l.Time
+	case l.Message == messageAnswered:
+		f.addAnswer(l)
 	case l.Message == "request held back, servers ended under it":
-		f.held[l.Fingerprint] = true
+		f.quarantined[l.Fingerprint] = true
 	}
 }
 
-// prefillOf is the engine whose reading of a prompt broke off, empty for other lines.
-func prefillOf(l Line) string {
+// prefillServer returns the engine whose prefill failed, or "" for lines of other messages.
+func prefillServer(l Line) string {
 	if l.Message == "prefill brought no result" {
 		return l.Prefill
 	}
 	return ""
 }
 
-func (f *crashFinder) answer(l Line) {
-	r := f.request(l)
+func (f *crashFinder) addAnswer(l Line) {
+	r := f.trackRequest(l)
 	r.first, r.took = l.FirstMs.duration(), l.TookMs.duration()
 	if l.Status >= http.StatusOK && l.Status < http.StatusMultipleChoices {
 		f.answered[l.Fingerprint]++
 	}
 }
 
-func (f *crashFinder) request(l Line) *tried {
+func (f *crashFinder) trackRequest(l Line) *trackedRequest {
 	r := f.requests[l.Request]
 	if r == nil {
-		r = &tried{id: l.Request, broke: map[string]time.Time{}}
+		r = &trackedRequest{id: l.Request, failedAt: map[string]time.Time{}}
 		f.requests[l.Request] = r
 	}
 	r.fingerprint, r.route = cmp.Or(l.Fingerprint, r.fingerprint), cmp.Or(l.Route, r.route)
 	return r
 }
 
-// brokeAt reports whether a request broke off at the end of a server.
-func (f *crashFinder) brokeAt(r *tried, server string) bool {
-	at, ended := f.ended[server]
-	broke, here := r.broke[server]
-	return ended && here && at.Sub(broke).Abs() <= together
+// failedInCrash reports whether a request failed in the crash of a server.
+func (f *crashFinder) failedInCrash(r *trackedRequest, server string) bool {
+	crashedAt, crashed := f.crashedAt[server]
+	failedAt, failedHere := r.failedAt[server]
+	return crashed && failedHere && crashedAt.Sub(failedAt).Abs() <= crashWindow
 }
 
-// justBegun reports whether no server had answered a request for long when it broke off.
-func (r *tried) justBegun() bool { return r.first == 0 || r.took-r.first < justBegun }
+// justStarted reports whether the response to a request had just started, or not started at
+// all, when the request failed.
+func (r *trackedRequest) justStarted() bool { return r.first == 0 || r.took-r.first < justStartedLimit }
 
 func (f *crashFinder) crashes() []Crash {
 	list := []Crash{}
-	for server, at := range f.ended {
+	for server, at := range f.crashedAt {
 		c := Crash{Server: server, At: at, JustBegun: []string{}}
 		for _, r := range f.requests {
-			if !f.brokeAt(r, server) {
+			if !f.failedInCrash(r, server) {
 				continue
 			}
 			c.Lost++
-			if r.justBegun() {
+			if r.justStarted() {
 				c.JustBegun = append(c.JustBegun, r.fingerprint)
 			}
 		}
@@ -159,18 +162,18 @@
 	return list
 }
 
-// suspects lists what was just begun at a server that ended: at more servers first, then
-// what was answered less.
+// suspects returns the fingerprints that had just started at a server that crashed, ordered
+// by descending number of servers, then by ascending number of successful responses.
 func (f *crashFinder) suspects() []Suspect {
 	byFingerprint := map[string]*Suspect{}
 	for _, r := range f.requests {
-		for server := range r.broke {
-			if !f.brokeAt(r, server) || !r.justBegun() {
+		for server := range r.failedAt {
+			if !f.failedInCrash(r, server) || !r.justStarted() {
 				continue
 			}
 			s := byFingerprint[r.fingerprint]
 			if s == nil {
-				s = &Suspect{Fingerprint: r.fingerprint, Answered: f.answered[r.fingerprint], Held: f.held[r.fingerprint]}
+				s = &Suspect{Fingerprint: r.fingerprint, Answered: f.answered[r.fingerprint], Held: f.quarantined[r.fingerprint]}
 				byFingerprint[r.fingerprint] = s
 			}
 			s.Route = cmp.Or(s.Route, r.route)
--- a/internal/requestlog/crashes_test.go
+++ b/internal/requestlog/crashes_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// TestFindCrashes reads the logs of each file of testdata/crashes and compares what is found
-// with what is wanted.
+// TestFindCrashes reads the logs in each file of testdata/crashes and compares the result with
+// the expected one.
 func TestFindCrashes(t *testing.T) {
-	eachCase(t, "testdata/crashes/*.txtar", func(t *testing.T, c logCase) {
+	runCases(t, "testdata/crashes/*.txtar", func(t *testing.T, c logCase) {
 		is := is.New(t)
 		found, err := FindCrashes(c.logs...)
 		is.NoErr(err)
@@ -21,8 +21,8 @@
 	})
 }
 
-// Logs without any end give empty lists, not null.
-func TestFindNoCrashes(t *testing.T) {
+// Logs without any crash result in empty lists, not null.
+func TestFindCrashesInEmptyLog(t *testing.T) {
 	is := is.New(t)
 	found, err := FindCrashes(Log{Name: "log", Reader: strings.NewReader("")})
 	is.NoErr(err)
--- a/internal/requestlog/life.go
+++ b/internal/requestlog/life.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// The surroundings of a request: what the system believed changes some seconds
-// before it shows in a request, as a silent server is noticed after 2 s, and the
-// restart of a process follows a moment after its requests are lost.
+// Margins around the time of a request in which related events are included. A fault
+// affects requests seconds before or after it is logged: an unresponsive server is
+// detected after 2 s, and a process restarts shortly after its requests are lost.
 const (
-	before = 5 * time.Second
-	after  = 3 * time.Second
+	marginBefore = 5 * time.Second
+	marginAfter  = 3 * time.Second
 )
 
-// answered is the message of the line that ends a request.
-const answered = "request answered"
+// messageAnswered is the message of the line that ends a request.
+const messageAnswered = "request answered"
 
-// Messages of lines that are part of a request's surroundings.
+// Messages of the related events that are included in the history of a request.
 var (
-	// ofServers are told if they name a server that the request was sent to.
-	ofServers = map[string]bool{"backend server": true, "engine ordered to change its role": true}
-	// ofProcess are told if they are of a process that handled the request.
-	ofProcess = map[string]bool{
+	// serverMessages are included if they name a server that the request was sent to.
+	serverMessages = map[string]bool{"backend server": true, "engine ordered to change its role": true}
+	// processMessages are included if a process that handled the request logged them.
+	processMessages = map[string]bool{
 		"started": true, "stopping": true, "stopped": true, "settings taken up": true,
 		"routing in force": true, "control VM lost": true, "control VM watched": true,
 	}
-	// ofMemory are told if the request found no memory.
-	ofMemory = map[string]bool{"places are short": true}
+	// memoryMessages are included if the request was refused for lack of memory or queue space.
+	memoryMessages = map[string]bool{"places are short": true}
 )
 
 // Log is the log of one process.
@@ -39,15 +39,15 @@
 	Reader io.Reader
 }
 
-// Life is what logs tell of a request, in order of time.
+// Life is the history of a request, with its lines in order of time.
 type Life struct {
 	Request string
 	Lines   []Line
-	Unread  int // lines that are no JSON of ours
+	Unread  int // number of lines that are not valid JSON log lines
 	Cause   string
 }
 
-// NotFoundError says that no line carries the id of a request.
+// NotFoundError reports that no log line has the ID of a request.
 type NotFoundError struct {
 	Request string
 	Read    int // lines read
@@ -60,16 +60,16 @@
 		"a forwarder that was killed loses the lines of its last moment", e.Read, e.Request, e.Unread)
 }
 
-// Tell reads logs and puts the life of a request together. It fails with a
-// *NotFoundError if no line carries its id.
+// Tell reads logs and reconstructs the history of a request. It returns a
+// *NotFoundError if no line has the ID of the request.
 func Tell(request string, logs ...Log) (Life, error) {
 	life := Life{Request: request}
-	var all []Line // of the surroundings or of the request
+	var all []Line // lines of the request and lines of events that may be related
 	read := 0
 	for _, log := range logs {
 		unread, err := scan(log.Reader, func(l Line) {
 			read++
-			if l.Request == request || l.Request == "" && mayExplain(l) {
+			if l.Request == request || l.Request == "" && isContextMessage(l) {
 				all = append(all, l)
 			}
 		})
@@ -83,64 +83,66 @@
 	if len(own) == 0 {
 		return life, &NotFoundError{Request: request, Read: read, Unread: life.Unread}
 	}
-	around := surroundingsOf(own)
+	filter := newContextFilter(own)
 	for _, l := range all {
-		if l.Request == request || around.hold(l) {
+		if l.Request == request || filter.matches(l) {
 			life.Lines = append(life.Lines, l)
 		}
 	}
-	life.Cause = cause(own, life.Lines)
+	life.Cause = explainEnd(own, life.Lines)
 	return life, nil
 }
 
-// mayExplain reports whether a line of no request is worth keeping: logs are
-// larger than what explains one request.
-func mayExplain(l Line) bool {
-	return ofServers[l.Message] || ofProcess[l.Message] || ofMemory[l.Message]
+// isContextMessage reports whether a line without a request is kept as a possible related
+// event. Other lines are dropped, because logs are much larger than one history.
+func isContextMessage(l Line) bool {
+	return serverMessages[l.Message] || processMessages[l.Message] || memoryMessages[l.Message]
 }
 
-// surroundings choose the lines that may explain a request.
-type surroundings struct {
-	from, to  time.Time
-	servers   map[string]bool
-	processes map[string]bool
-	memory    bool
+// contextFilter selects the related events of a request.
+type contextFilter struct {
+	start, end time.Time
+	servers    map[string]bool
+	processes  map[string]bool
+	memory     bool
 }
 
-func surroundingsOf(own []Line) surroundings {
-	s := surroundings{
-		from: own[0].Time.Add(-before), to: own[len(own)-1].Time.Add(after),
+// newContextFilter returns the filter for a request with the given lines.
+func newContextFilter(own []Line) contextFilter {
+	f := contextFilter{
+		start: own[0].Time.Add(-marginBefore), end: own[len(own)-1].Time.Add(marginAfter),
 		servers: map[string]bool{}, processes: map[string]bool{},
 	}
 	for _, l := range own {
 		for _, name := range []string{l.Server, l.Prefill, l.Instance} {
 			if name != "" {
-				s.servers[name] = true
+				f.servers[name] = true
 			}
 		}
-		s.processes[l.Node+"/"+l.Role] = true
-		s.memory = s.memory || l.Reason == "noMemory" || l.Reason == "queueFull"
+		f.processes[l.Node+"/"+l.Role] = true
+		f.memory = f.memory || l.Reason == "noMemory" || l.Reason == "queueFull"
 	}
-	return s
+	return f
 }
 
-func (s surroundings) hold(l Line) bool {
-	if l.Time.Before(s.from) || l.Time.After(s.to) {
+// matches reports whether a line is a related event of the request.
+func (f contextFilter) matches(l Line) bool {
+	if l.Time.Before(f.start) || l.Time.After(f.end) {
 		return false
 	}
-	return ofServers[l.Message] && l.names(s.servers) ||
-		ofProcess[l.Message] && s.processes[l.Node+"/"+l.Role] ||
-		ofMemory[l.Message] && s.memory
+	return serverMessages[l.Message] && l.namesServer(f.servers) ||
+		processMessages[l.Message] && f.processes[l.Node+"/"+l.Role] ||
+		memoryMessages[l.Message] && f.memory
 }
 
-// cause says why a request ended as it did.
-func cause(own, all []Line) string {
-	ends := slices.DeleteFunc(slices.Clone(own), func(l Line) bool { return l.Message != answered })
+// explainEnd returns the explanation of a request's outcome.
+func explainEnd(own, all []Line) string {
+	ends := slices.DeleteFunc(slices.Clone(own), func(l Line) bool { return l.Message != messageAnswered })
 	if len(ends) == 0 {
-		return causeOfSilence(own, all)
+		return explainMissingEnd(own, all)
 	}
 	end := ends[len(ends)-1]
-	text, known := causes[end.Reason]
+	text, known := causeByReason[end.Reason]
 	switch {
 	case !known:
 		text = "the reason is " + end.Reason
@@ -150,8 +152,8 @@
 	return fmt.Sprintf("status %d, sent %d times, ran: %s: %s", end.Status, end.Sent, cmp.Or(end.Ran, "unknown"), text)
 }
 
-// causeOfSilence explains a request without the line of its end.
-func causeOfSilence(own, all []Line) string {
+// explainMissingEnd returns the explanation for a request without a line that ends it.
+func explainMissingEnd(own, all []Line) string {
 	last := own[len(own)-1]
 	for _, l := range all {
 		same := l.Node == last.Node && l.Role == last.Role && !l.Time.Before(last.Time)
@@ -163,9 +165,9 @@
 	return fmt.Sprintf("no line tells its end: its process on %s ended, or the logs stop before", last.Node)
 }
 
-// causes say in words why the reason of an answer comes about, and where to look
-// further.
-var causes = map[string]string{
+// causeByReason explains each reason of an answer and names the log lines or fields to
+// check next.
+var causeByReason = map[string]string{
 	"":                "it got the answer of its server",
 	"callerCancelled": "the caller left before the answer was whole",
 	"controlAway":     "no control VM that leads answered the forwarder: see its lines on control VMs",
--- a/internal/requestlog/life_test.go
+++ b/internal/requestlog/life_test.go
@@ -13,24 +13,24 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TestTell reads the logs of each file of testdata and compares the life of the
-// request that it names with the one wanted.
-func TestTell(t *testing.T) {
-	eachCase(t, "testdata/*.txtar", func(t *testing.T, c logCase) {
+// TestExplain reads the logs in each file of testdata and compares the history of the
+// request that the file names with the expected one.
+func TestExplain(t *testing.T) {
+	runCases(t, "testdata/*.txtar", func(t *testing.T, c logCase) {
 		life, err := Tell(c.request, c.logs...)
-		is.New(t).Equal(shown(life, err), c.want)
+		is.New(t).Equal(formatHistory(life, err), c.want)
 	})
 }
 
-// logCase is a file of testdata: the logs of some processes, the request that is asked for
-// where there is one, and what is wanted.
+// logCase is one file of testdata: the logs of some processes, the ID of the request to
+// explain if there is one, and the expected output.
 type logCase struct {
 	request, want string
 	logs          []Log
 }
 
-// eachCase runs a test on each file that a pattern names; there must be one.
-func eachCase(t *testing.T, pattern string, test func(t *testing.T, c logCase)) {
+// runCases runs a test on each file that matches a pattern. At least one must match.
+func runCases(t *testing.T, pattern string, test func(t *testing.T, c logCase)) {
 	t.Helper()
 	paths, err := filepath.Glob(pattern)
 	if err != nil || len(paths) == 0 {
@@ -56,8 +56,8 @@
 	}
 }
 
-// shown writes a life as the cases do.
-func shown(life Life, err error) string {
+// formatHistory formats a history like the expected output of the cases.
+func formatHistory(life Life, err error) string {
 	if _, ok := errors.AsType[*NotFoundError](err); ok {
 		return err.Error() + "\n"
 	}
@@ -72,9 +72,9 @@
 	return b.String()
 }
 
-// TestLongLineIsPassedOver: a line over the bound is counted, and the lines after
-// it are read.
-func TestLongLineIsPassedOver(t *testing.T) {
+// TestLongLineIsSkipped checks that a line longer than maxLineBytes is counted as unread and
+// that the lines after it are read.
+func TestLongLineIsSkipped(t *testing.T) {
 	is := is.New(t)
 	log := strings.Repeat("x", 3*maxLineBytes) + "\n" +
 		`{"time":"2026-07-27T01:40:18Z","msg":"request answered","request":"a","status":200,"ran":"yes","sent":1}`
@@ -84,9 +84,9 @@
 	is.Equal(life.Cause, "status 200, sent 1 times, ran: yes: it got the answer of its server")
 }
 
-// TestEveryReasonOfAForwarderIsExplained: each reason that a forwarder answers
-// with has its words.
-func TestEveryReasonOfAForwarderIsExplained(t *testing.T) {
+// TestEveryForwarderReasonHasACause checks that each reason with which a forwarder responds
+// has an explanation.
+func TestEveryForwarderReasonHasACause(t *testing.T) {
 	for _, reason := range []oriolebend.Reason{
 		oriolebend.ReasonCallerCancelled, oriolebend.ReasonControlAway, oriolebend.ReasonCrashesServers, oriolebend.ReasonDeadline,
 		oriolebend.ReasonEngineFailed, oriolebend.ReasonInternal, oriolebend.ReasonMalformed,
@@ -94,8 +94,8 @@
 		oriolebend.ReasonQueueFull, oriolebend.ReasonResultExpired, oriolebend.ReasonRetryBudget,
 		oriolebend.ReasonServerLost, oriolebend.ReasonStopping, oriolebend.ReasonUnknownService,
 	} {
-		if causes[string(reason)] == "" {
-			t.Errorf("%s has no words", reason)
+		if causeByReason[string(reason)] == "" {
+			t.Errorf("reason %s has no explanation", reason)
 		}
 	}
 }
--- a/internal/requestlog/line.go
+++ b/internal/requestlog/line.go
@@ -1,6 +1,7 @@
-// Package requestlog reads the logs of several processes and tells the life of
-// one request from them: its own lines, what else happened to the servers and
-// processes that they name, and the cause of its end.
+// Package requestlog reconstructs the history of one request from the logs of several
+// processes: the lines of the request, related events of the servers and processes that
+// these lines name, and the reason for the request's outcome. It also finds crashes of
+// servers and the requests that may have caused them.
 package requestlog
 
 import (
@@ -12,11 +13,11 @@
 	"time"
 )
 
-// maxLineBytes bounds a line of a log; longer ones are not the system's own and
-// are counted as unread.
+// maxLineBytes bounds a line of a log. The system writes no longer lines; such lines are
+// counted as unread.
 const maxLineBytes = 1 << 20
 
-// Line is a line of a log.
+// Line is one decoded log line.
 type Line struct {
 	Time        time.Time `json:"time"`
 	Message     string    `json:"msg"`
@@ -32,28 +33,28 @@
 	Sent        int       `json:"sent"`
 	Fingerprint string    `json:"fingerprint"`
 	Route       string    `json:"route"`
-	// FirstMs and TookMs are when the first event and the end of an answer came, counted
-	// from the request's arrival.
+	// FirstMs and TookMs are the times from the arrival of the request to the first
+	// event and to the end of its response.
 	FirstMs milliseconds `json:"firstMs"`
 	TookMs  milliseconds `json:"tookMs"`
 
-	Text string `json:"-"` // the whole line
+	Text string `json:"-"` // the complete line, from its first brace
 }
 
-// milliseconds is a time as lines carry it.
+// milliseconds is a duration in a log line.
 type milliseconds int64
 
 func (m milliseconds) duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// names reports whether a line concerns one of some servers.
-func (l Line) names(servers map[string]bool) bool {
+// namesServer reports whether the line names one of the given servers.
+func (l Line) namesServer(servers map[string]bool) bool {
 	return servers[l.Server] || servers[l.Instance]
 }
 
-// scan hands each line of a log to a function and returns how many could not be
-// read. What stands before the first brace of a line is passed over: collectors
-// of logs put a time or a name there.
-func scan(log io.Reader, each func(Line)) (unread int, err error) {
+// scan calls visit for each line of a log and returns the number of lines that could not
+// be read. It skips any text before the first brace of a line, because log collectors put
+// a time or a name there.
+func scan(log io.Reader, visit func(Line)) (unread int, err error) {
 	reader := bufio.NewReaderSize(log, maxLineBytes)
 	for {
 		text, err := reader.ReadSlice('\n')
@@ -67,7 +68,7 @@
 		case err != nil && err != io.EOF:
 			return unread, fmt.Errorf("read the log: %w", err)
 		}
-		if !take(text, each) {
+		if !parseLine(text, visit) {
 			unread++
 		}
 		if err == io.EOF {
@@ -76,7 +77,7 @@
 	}
 }
 
-// skipLine reads to the end of a line that is too long.
+// skipLine skips the rest of a line that is too long.
 func skipLine(reader *bufio.Reader) error {
 	for {
 		_, err := reader.ReadSlice('\n')
@@ -90,9 +91,9 @@
 	}
 }
 
-// take hands a line on and reports whether it could be read. Empty lines count
-// as read.
-func take(text []byte, each func(Line)) bool {
+// parseLine decodes a line, passes it to visit and reports whether it could be read. Empty
+// lines count as read.
+func parseLine(text []byte, visit func(Line)) bool {
 	text = bytes.TrimSpace(text)
 	if len(text) == 0 {
 		return true
@@ -106,6 +107,6 @@
 		return false
 	}
 	line.Text = string(text[begin:])
-	each(line)
+	visit(line)
 	return true
 }
