--- a/internal/forwarder/explain_test.go
+++ b/internal/forwarder/explain_test.go
@@ -102,7 +102,7 @@
 			s.send(failure.path, failure.header)
 			s.callers.Stop(t.Context()) // the line is written a moment after the answer
 			s.forwarder.Wait()
-			life, err := requestlog.Tell("r1", requestlog.Log{Name: "forwarder", Reader: strings.NewReader(s.log.String())})
+			life, err := requestlog.Explain("r1", requestlog.Log{Name: "forwarder", Reader: strings.NewReader(s.log.String())})
 			is.NoErr(err)
 			if !strings.HasPrefix(life.Cause, failure.cause) {
 				t.Fatalf("cause %q, want %q", life.Cause, failure.cause)
--- a/internal/operator/command/request.go
+++ b/internal/operator/command/request.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	life, err := requestlog.Tell(request, logs...)
+	life, err := requestlog.Explain(request, logs...)
 	if notFound, ok := errors.AsType[*requestlog.NotFoundError](err); ok {
 		return &ExitError{Code: ExitNotFound, Cause: notFound}
 	}
--- a/internal/requestlog/life.go
+++ b/internal/requestlog/life.go
@@ -60,9 +60,9 @@
 		"a forwarder that was killed loses the lines of its last moment", e.Read, e.Request, e.Unread)
 }
 
-// Tell reads logs and reconstructs the history of a request. It returns a
+// Explain reads logs and reconstructs the history of a request. It returns a
 // *NotFoundError if no line has the ID of the request.
-func Tell(request string, logs ...Log) (Life, error) {
+func Explain(request string, logs ...Log) (Life, error) {
 	life := Life{Request: request}
 	var all []Line // lines of the request and lines of events that may be related
 	read := 0
--- a/internal/requestlog/life_test.go
+++ b/internal/requestlog/life_test.go
@@ -17,7 +17,7 @@
 // request that the file names with the expected one.
 func TestExplain(t *testing.T) {
 	runCases(t, "testdata/*.txtar", func(t *testing.T, c logCase) {
-		life, err := Tell(c.request, c.logs...)
+		life, err := Explain(c.request, c.logs...)
 		is.New(t).Equal(formatHistory(life, err), c.want)
 	})
 }
@@ -78,7 +78,7 @@
 	is := is.New(t)
 	log := strings.Repeat("x", 3*maxLineBytes) + "\n" +
 		`{"time":"2026-07-27T01:40:18Z","msg":"request answered","request":"a","status":200,"ran":"yes","sent":1}`
-	life, err := Tell("a", Log{Name: "log", Reader: strings.NewReader(log)})
+	life, err := Explain("a", Log{Name: "log", Reader: strings.NewReader(log)})
 	is.NoErr(err)
 	is.Equal(life.Unread, 1)
 	is.Equal(life.Cause, "status 200, sent 1 times, ran: yes: it got the answer of its server")
