--- a/internal/requestlog/life.go
+++ b/internal/requestlog/history.go
@@ -39,8 +39,8 @@
 	Reader io.Reader
 }
 
-// Life is the history of a request, with its lines in order of time.
-type Life struct {
+// History is the history of a request, with its lines in order of time.
+type History struct {
 	Request string
 	Lines   []Line
 	Unread  int // number of lines that are not valid JSON log lines
@@ -62,8 +62,8 @@
 
 // Explain reads logs and reconstructs the history of a request. It returns a
 // *NotFoundError if no line has the ID of the request.
-func Explain(request string, logs ...Log) (Life, error) {
-	life := Life{Request: request}
+func Explain(request string, logs ...Log) (History, error) {
+	history := History{Request: request}
 	var all []Line // lines of the request and lines of events that may be related
 	read := 0
 	for _, log := range logs {
@@ -73,24 +73,24 @@
 				all = append(all, l)
 			}
 		})
-		life.Unread += unread
+		history.Unread += unread
 		if err != nil {
-			return life, fmt.Errorf("%s: %w", log.Name, err)
+			return history, fmt.Errorf("%s: %w", log.Name, err)
 		}
 	}
 	slices.SortStableFunc(all, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	own := slices.DeleteFunc(slices.Clone(all), func(l Line) bool { return l.Request != request })
 	if len(own) == 0 {
-		return life, &NotFoundError{Request: request, Read: read, Unread: life.Unread}
+		return history, &NotFoundError{Request: request, Read: read, Unread: history.Unread}
 	}
 	filter := newContextFilter(own)
 	for _, l := range all {
 		if l.Request == request || filter.matches(l) {
-			life.Lines = append(life.Lines, l)
+			history.Lines = append(history.Lines, l)
 		}
 	}
-	life.Cause = explainEnd(own, life.Lines)
-	return life, nil
+	history.Cause = explainEnd(own, history.Lines)
+	return history, nil
 }
 
 // isContextMessage reports whether a line without a request is kept as a possible related
--- a/internal/requestlog/life_test.go
+++ b/internal/requestlog/history_test.go
@@ -17,8 +17,8 @@
 // request that the file names with the expected one.
 func TestExplain(t *testing.T) {
 	runCases(t, "testdata/*.txtar", func(t *testing.T, c logCase) {
-		life, err := Explain(c.request, c.logs...)
-		is.New(t).Equal(formatHistory(life, err), c.want)
+		history, err := Explain(c.request, c.logs...)
+		is.New(t).Equal(formatHistory(history, err), c.want)
 	})
 }
 
@@ -57,7 +57,7 @@
 }
 
 // formatHistory formats a history like the expected output of the cases.
-func formatHistory(life Life, err error) string {
+func formatHistory(history History, err error) string {
 	if _, ok := errors.AsType[*NotFoundError](err); ok {
 		return err.Error() + "\n"
 	}
@@ -65,10 +65,10 @@
 		return "unexpected: " + err.Error()
 	}
 	var b strings.Builder
-	for _, l := range life.Lines {
+	for _, l := range history.Lines {
 		fmt.Fprintf(&b, "%s %s\n", l.Role, l.Message)
 	}
-	fmt.Fprintf(&b, "unread %d\n%s\n", life.Unread, life.Cause)
+	fmt.Fprintf(&b, "unread %d\n%s\n", history.Unread, history.Cause)
 	return b.String()
 }
 
@@ -78,10 +78,10 @@
 	is := is.New(t)
 	log := strings.Repeat("x", 3*maxLineBytes) + "\n" +
 		`{"time":"2026-07-27T01:40:18Z","msg":"request answered","request":"a","status":200,"ran":"yes","sent":1}`
-	life, err := Explain("a", Log{Name: "log", Reader: strings.NewReader(log)})
+	history, err := Explain("a", Log{Name: "log", Reader: strings.NewReader(log)})
 	is.NoErr(err)
-	is.Equal(life.Unread, 1)
-	is.Equal(life.Cause, "status 200, sent 1 times, ran: yes: it got the answer of its server")
+	is.Equal(history.Unread, 1)
+	is.Equal(history.Cause, "status 200, sent 1 times, ran: yes: it got the answer of its server")
 }
 
 // TestEveryForwarderReasonHasACause checks that each reason with which a forwarder responds
