--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestHashesAreSomeOfTheBlocks(t *testing.T) {
+func TestHashesMatchBlocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prompt := strings.Join(rapid.SliceOfN(rapid.StringMatching(`[a-z]{1,20}`), 0, 200).Draw(t, "words"), " ")
 		blocks := Blocks("planner-lm", prompt, 4)
@@ -47,11 +47,11 @@
 	a := Hashes("m", head+"north road open to all", 4, 9)
 	b := Hashes("m", head+"south road shut by mud", 4, 9)
 	is.Equal(len(a), 2) // 13 tokens: blocks of 4 and 8
-	is.Equal(a, b)      // both lie within the common head
+	is.Equal(a, b)      // both are within the common prefix
 	is.True(Blocks("m", head+"a b c d", 4)[2] != Blocks("m", head+"a b c e", 4)[2])
-	is.True(Hashes("other", head, 4, 9)[0] != a[0])         // another model shares nothing
-	is.Equal(len(Hashes("m", head, 4, 1)), 1)               // bounded
-	is.Equal(Hashes("m", "too short", 4, 9), []uint64(nil)) // no whole block
+	is.True(Hashes("other", head, 4, 9)[0] != a[0])         // another model has other hashes
+	is.Equal(len(Hashes("m", head, 4, 1)), 1)               // bounded by maxHashes
+	is.Equal(Hashes("m", "too short", 4, 9), []uint64(nil)) // no complete block
 }
 
 func BenchmarkHashes(b *testing.B) {
--- a/internal/prefix/token.go
+++ b/internal/prefix/token.go
@@ -1,12 +1,13 @@
 package prefix
 
-// maxTokenBytes splits words that are longer than a token.
+// maxTokenBytes is the maximum length of a token without its leading white space, in
+// bytes. Longer words count as several tokens.
 const maxTokenBytes = 16
 
-// CountTokens counts the tokens of a text. A token is a word with the white
-// space before it; words of more than 16 bytes count as several. Real engines
-// have tokenisers of their own: the count sizes memory and orders queues, and
-// need not be exact.
+// CountTokens returns the number of tokens in a text. A token is a word with the
+// white space before it; a word of more than 16 bytes counts as several tokens. Real
+// engines use their own tokenisers. The count is used to size memory and to order
+// queues, and need not be exact.
 func CountTokens(text string) int {
 	count := 0
 	eachToken(text, func(int) bool {
@@ -16,7 +17,7 @@
 	return count
 }
 
-// eachToken calls visit with the end of each token until it returns false.
+// eachToken calls visit with the end offset of each token until visit returns false.
 func eachToken(text string, visit func(end int) bool) {
 	length := 0
 	for i := range len(text) {
--- a/internal/requestlog/history.go
+++ b/internal/requestlog/history.go
@@ -39,7 +39,8 @@
 	Reader io.Reader
 }
 
-// History is the history of a request, with its lines in order of time.
+// History holds the log lines that explain one request, in order of time, and the cause of
+// its outcome.
 type History struct {
 	Request string
 	Lines   []Line
