--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -1,10 +1,11 @@
-// Package answer gives the output that the stand-in engines generate. It is
-// worked out from the prompt alone, so that a whole answer can be told from a
-// damaged, foreign or broken-off one, wherever its parts were generated.
+// Package answer computes the output that the stand-in engines generate. The output
+// depends only on the model, the adapter and the prompt, so that a check can distinguish
+// a complete answer from a damaged or truncated one or one of another prompt, whichever
+// engines generated its parts.
 //
-// Token 0 names the prompt by its hash, and token i is a word chosen by the
-// hash and i. Every token begins with a space and is one token of package
-// prefix, so that tokens of a text can be counted.
+// Token 0 identifies the prompt by its hash, and token i is a word selected by the hash
+// and i. Every token begins with a space and is one token of package prefix, so that the
+// tokens of a text can be counted.
 package answer
 
 import (
@@ -17,7 +18,8 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// Bounds of the natural length of an answer, in tokens.
+// Bounds of the natural length of an answer, in tokens. The natural length is that of an
+// answer without a limit.
 const (
 	minTokens = 64
 	maxTokens = 384
@@ -33,8 +35,8 @@
 	hash uint64
 }
 
-// Of returns the source of a prompt's answer. The version of the model does
-// not matter, since a caller that names none can't know it.
+// Of returns the source of a prompt's answer. The answer does not depend on the version of
+// the model, because a caller that specifies no version can't know it.
 func Of(model, adapter, prompt string) Source {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -45,13 +47,13 @@
 	return Source{hash: digest.Sum64() & hashMask}
 }
 
-// Natural returns how many tokens the answer has if nothing bounds it.
+// Natural returns the number of tokens of the answer without a limit.
 func (s Source) Natural() int {
 	return minTokens + int(mix(s.hash)%(maxTokens-minTokens+1))
 }
 
-// Length returns how many tokens an answer bounded by maxTokens has, and why
-// it ends there.
+// Length returns the number of tokens of the answer with a limit of maxTokens, and the
+// reason for its end.
 func (s Source) Length(maxTokens int) (int, message.FinishReason) {
 	natural := s.Natural()
 	if natural <= maxTokens {
@@ -77,16 +79,17 @@
 	return text.String()
 }
 
-// Text returns the whole answer of a prompt, its length and why it ends.
+// Text returns the complete answer to a prompt, its length in tokens and the reason for its
+// end.
 func Text(model, adapter, prompt string, maxTokens int) (string, int, message.FinishReason) {
 	source := Of(model, adapter, prompt)
 	tokens, finish := source.Length(maxTokens)
 	return source.Text(0, tokens), tokens, finish
 }
 
-// DamageError tells how a text differs from the whole answer.
+// DamageError describes how a text differs from the complete answer.
 type DamageError struct {
-	// Offset is the first byte that differs.
+	// Offset is the offset of the first byte that differs.
 	Offset int
 	Detail string
 }
@@ -96,15 +99,14 @@
 	return fmt.Sprintf("answer: damaged at byte %d: %s", e.Offset, e.Detail)
 }
 
-// Check reports whether text is the whole answer of a prompt. The error is a
-// *DamageError.
+// Check returns a *DamageError unless text is the complete answer to a prompt.
 func Check(model, adapter, prompt string, maxTokens int, text string) error {
-	whole, _, _ := Text(model, adapter, prompt, maxTokens)
-	return compare(whole, text)
+	want, _, _ := Text(model, adapter, prompt, maxTokens)
+	return compare(want, text)
 }
 
-// CheckText reports whether text is the whole answer of some prompt, from the
-// text alone. It can't tell whose answer it is.
+// CheckText returns a *DamageError unless text is the complete answer to some prompt. It uses
+// the text alone, so that it can't detect the answer to another prompt.
 func CheckText(text string, maxTokens int) error {
 	const head = len(" r") + hashDigits
 	if len(text) < head {
@@ -119,25 +121,26 @@
 	return compare(source.Text(0, tokens), text)
 }
 
-func compare(whole, text string) error {
-	if whole == text {
+// compare returns a *DamageError if got differs from want.
+func compare(want, got string) error {
+	if want == got {
 		return nil
 	}
 	at := 0
-	for at < len(whole) && at < len(text) && whole[at] == text[at] {
+	for at < len(want) && at < len(got) && want[at] == got[at] {
 		at++
 	}
 	detail := "another text"
 	switch at {
-	case len(text):
-		detail = fmt.Sprintf("broken off, %d bytes are missing", len(whole)-at)
-	case len(whole):
-		detail = fmt.Sprintf("%d bytes too many", len(text)-at)
+	case len(got):
+		detail = fmt.Sprintf("broken off, %d bytes are missing", len(want)-at)
+	case len(want):
+		detail = fmt.Sprintf("%d bytes too many", len(got)-at)
 	}
 	return &DamageError{Offset: at, Detail: detail}
 }
 
-// mix spreads a number over all 64 bits (the finaliser of SplitMix64).
+// mix hashes a number with the finaliser of SplitMix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/standin/answer/answer_test.go
+++ b/internal/standin/answer/answer_test.go
@@ -12,13 +12,13 @@
 	"github.com/oriolebend/oriolebend/internal/prefix"
 )
 
-func TestWholeAnswerPasses(t *testing.T) {
+func TestCompleteAnswerPasses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prompt := rapid.String().Draw(t, "prompt")
 		bound := rapid.IntRange(1, 500).Draw(t, "bound")
 		text, tokens, finish := Text("planner-lm", "", prompt, bound)
 		if Check("planner-lm", "", prompt, bound, text) != nil || CheckText(text, bound) != nil {
-			t.Fatal("whole answer refused")
+			t.Fatal("complete answer refused")
 		}
 		if prefix.CountTokens(text) != tokens || tokens > bound {
 			t.Fatalf("%d tokens, counted %d, bound %d", tokens, prefix.CountTokens(text), bound)
@@ -29,23 +29,23 @@
 	})
 }
 
-func TestDamagedAnswerIsTold(t *testing.T) {
-	whole, _, _ := Text("m", "", "prompt", 100)
+func TestDamagedAnswerIsDetected(t *testing.T) {
+	complete, _, _ := Text("m", "", "prompt", 100)
 	other, _, _ := Text("m", "", "prompt of another caller", 100)
-	half := len(whole) / 2
+	half := len(complete) / 2
 	for name, text := range map[string]string{
-		"empty":      "",
-		"foreign":    other,
-		"broken off": whole[:strings.LastIndex(whole, " ")],
-		"repeat":     whole[:half] + whole[half-20:],
-		"gap":        whole[:half] + whole[half+20:],
-		"crossed":    whole[:half] + other[half:],
-		"too long":   whole + " the",
+		"empty":        "",
+		"other prompt": other,
+		"truncated":    complete[:strings.LastIndex(complete, " ")],
+		"repeat":       complete[:half] + complete[half-20:],
+		"gap":          complete[:half] + complete[half+20:],
+		"crossed":      complete[:half] + other[half:],
+		"too long":     complete + " the",
 	} {
 		is := is.New(t)
 		var damage *DamageError
 		is.True(errors.As(Check("m", "", "prompt", 100, text), &damage)) // name
-		if name != "foreign" {
+		if name != "other prompt" {
 			is.True(CheckText(text, 100) != nil)
 		}
 	}
--- a/internal/standin/answer/words.go
+++ b/internal/standin/answer/words.go
@@ -1,7 +1,7 @@
 package answer
 
-// words are the tokens after the first; each begins with its space. It is
-// read and never changed.
+// words are the possible tokens after the first one. Each begins with a space. The array
+// must not be modified.
 var words = [...]string{
 	" the", " route", " by", " road", " is", " open", " to", " trucks",
 	" under", " ten", " tonnes", " until", " noon", " bridge", " load", " allows",
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -6,55 +6,58 @@
 	"time"
 )
 
-// step is what an engine computes between two choices.
-type step struct {
-	decodes []*sequence
-	prefill *sequence
-	chunk   int
-	took    time.Duration
+// computeStep is one step of an engine: a decode step of the batch and a prefill chunk.
+type computeStep struct {
+	decodes  []*sequence
+	prefill  *sequence
+	chunk    int
+	duration time.Duration
 }
 
-// wake starts the engine's loop unless it runs. The caller holds the mutex.
-func (e *Engine) wake(p *process) {
-	if p.looping {
+// startLoop starts the loop of the engine unless it is running. The caller must hold the
+// mutex.
+func (e *Engine) startLoop(p *process) {
+	if p.loopRunning {
 		return
 	}
-	p.looping = true
+	p.loopRunning = true
 	go e.loop(p)
 }
 
-// loop computes step after step and ends when there is no work.
+// loop computes steps until no work is left or the process ends.
 func (e *Engine) loop(p *process) {
 	for {
-		s, ok := e.plan(p)
-		if !ok || !e.spend(p.ctx, s.took) {
+		s, ok := e.planStep(p)
+		if !ok || !e.waitStep(p.ctx, s.duration) {
 			return
 		}
-		e.finish(p, s)
+		e.applyStep(p, s)
 	}
 }
 
-// plan chooses the next step: every imported decode up to the batch's bound,
-// and one chunk of the first prefill.
-func (e *Engine) plan(p *process) (step, bool) {
+// planStep returns the next step: all decodes whose KV cache is imported, up to the
+// batch limit, and one chunk of the first prefill. It returns false if there is no work.
+func (e *Engine) planStep(p *process) (computeStep, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(p.queue) == 0 && len(p.running) == 0 {
-		p.looping = false
-		return step{}, false
+		p.loopRunning = false
+		return computeStep{}, false
 	}
-	s := step{decodes: e.planDecodes(p)}
+	s := computeStep{decodes: e.planDecodes(p)}
 	if n := len(s.decodes); n > 0 {
-		s.took = e.config.DecodeStep + time.Duration(n-1)*e.config.DecodeStep/perSequenceShare
+		s.duration = e.config.DecodeStep + time.Duration(n-1)*e.config.DecodeStep/batchSlowdownDivisor
 	}
 	if len(p.queue) > 0 {
 		s.prefill, s.chunk = planPrefill(p)
-		s.took += time.Duration(float64(s.chunk) / e.config.PrefillTokens * float64(time.Second))
+		s.duration += time.Duration(float64(s.chunk) / e.config.PrefillTokens * float64(time.Second))
 	}
-	s.took = time.Duration(float64(s.took) * e.slow)
+	s.duration = time.Duration(float64(s.duration) * e.slowFactor)
 	return s, true
 }
 
+// planDecodes selects the decodes of the next step, the most urgent ones first if there
+// are more than the batch limit.
 func (e *Engine) planDecodes(p *process) []*sequence {
 	p.batch = append(p.batch[:0], p.running...)
 	if len(p.batch) > e.config.MaxBatch {
@@ -64,33 +67,33 @@
 	return p.batch
 }
 
-// planPrefill picks the most urgent prefill and its next chunk. The prefix
-// cache is read when a prefill starts, not when it arrives, so that it finds
-// what those before it left there.
+// planPrefill selects the most urgent prefill and the size of its next chunk. It reads
+// the prefix cache when a prefill starts, not when it arrives, so that the prefill uses
+// the blocks that earlier prefills stored.
 func planPrefill(p *process) (*sequence, int) {
 	first := slices.MinFunc(p.queue, compareSequences)
 	if first.cached < 0 {
-		first.cached = p.cache.cached(first.blocks)
+		first.cached = p.cache.cachedTokens(first.blocks)
 		first.remaining = first.tokens - first.cached
 	}
 	return first, min(first.remaining, prefillChunk)
 }
 
 func compareSequences(a, b *sequence) int {
-	if a.before(b) {
+	if a.precedes(b) {
 		return -1
 	}
 	return 1
 }
 
-// finish takes over what a step computed.
-func (e *Engine) finish(p *process, s step) {
+// applyStep applies the results of a step.
+func (e *Engine) applyStep(p *process, s computeStep) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	p.rollReport()
+	p.updateReport()
 	for _, d := range s.decodes {
 		if p.work[d.key] == d {
-			e.advance(p, d)
+			e.addToken(p, d)
 		}
 	}
 	if s.prefill == nil || p.work[s.prefill.key] != s.prefill {
@@ -102,26 +105,26 @@
 	}
 }
 
-// advance gives a decode one more token. Its memory is held until the last
-// token was handed over.
-func (e *Engine) advance(p *process, d *sequence) {
+// addToken adds one output token to a decode. The decode keeps its memory until the last
+// token was delivered.
+func (e *Engine) addToken(p *process, d *sequence) {
 	d.produced++
 	e.stats.DecodedTokens++
 	if d.produced >= d.limit {
-		p.running = without(p.running, d)
+		p.running = removeSequence(p.running, d)
 	}
 	d.signal()
 }
 
-// spend passes the time of a step, and that of a freeze; it returns false if
-// the process ended.
-func (e *Engine) spend(ctx context.Context, took time.Duration) bool {
-	timer := time.NewTimer(took)
+// waitStep waits for the duration of a step and while the engine is frozen. It returns
+// false if the process ended.
+func (e *Engine) waitStep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 		return false
 	}
-	return e.thawed(ctx) == nil
+	return e.waitUnfrozen(ctx) == nil
 }
--- a/internal/standin/bench_test.go
+++ b/internal/standin/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// processorTime returns what the process has used so far.
+// processorTime returns the CPU time that the process has used so far.
 func processorTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
@@ -25,10 +25,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// serveBench serves an engine and returns a client of it.
-func serveBench(b *testing.B, c EngineConfig) *engine.Client {
+// newBenchClient serves an engine and returns a client for it.
+func newBenchClient(b *testing.B, c EngineConfig) *engine.Client {
 	b.Helper()
-	c.Models = models
+	c.Models = testModels
 	e := NewEngine(c)
 	server, err := Serve(e.Handler())
 	if err != nil {
@@ -41,12 +41,12 @@
 	return engine.NewClient(engine.Config{BaseURL: server.URL()})
 }
 
-// BenchmarkRequest is one request of 4,000 prompt tokens through a prefill and
-// a decode engine over loopback, at speeds that leave only the stand-ins' own
-// cost.
+// BenchmarkRequest measures one request of 4,000 prompt tokens through a prefill and a
+// decode engine over loopback. The modelled speeds are so high that only the cost of the
+// stand-ins remains.
 func BenchmarkRequest(b *testing.B) {
-	prefill := serveBench(b, EngineConfig{PrefillTokens: 1e9, LinkBytes: 1e12, KVTokens: 1 << 30, ExportLife: 10 * time.Second})
-	decode := serveBench(b, EngineConfig{Role: oriolebend.Decode, DecodeStep: time.Microsecond, LinkBytes: 1e12, KVTokens: 1 << 30})
+	prefill := newBenchClient(b, EngineConfig{PrefillTokens: 1e9, LinkBytes: 1e12, KVTokens: 1 << 30, ExportLife: 10 * time.Second})
+	decode := newBenchClient(b, EngineConfig{Role: oriolebend.Decode, DecodeStep: time.Microsecond, LinkBytes: 1e12, KVTokens: 1 << 30})
 	began := processorTime(b)
 	number := 0
 	for b.Loop() {
@@ -58,7 +58,7 @@
 
 func runRequest(b *testing.B, prefill, decode *engine.Client, name string) {
 	ctx := context.Background()
-	request := prefillOf(name, 4000, oriolebend.Patient)
+	request := prefillRequest(name, 4000, oriolebend.Patient)
 	result, err := prefill.Prefill(ctx, request)
 	if err != nil {
 		b.Fatal(err)
@@ -69,18 +69,19 @@
 		SourceURL: result.SourceURL,
 		Prompt:    request.Prompt,
 		MaxTokens: 200,
-	}, ignore)
+	}, discardPart)
 	if err != nil {
 		b.Fatal(err)
 	}
 }
 
-// BenchmarkFleetDecode is 14 decode engines with 20 requests each at the usual
-// step, as half of a dev process of 27; one operation is one token.
+// BenchmarkFleetDecode measures 14 decode engines with 20 requests each at the default
+// decode step, which is about half of a dev process with 27 engines. One operation is one
+// token.
 func BenchmarkFleetDecode(b *testing.B) {
 	const engines, requests = 14, 20
-	prefill := serveBench(b, EngineConfig{PrefillTokens: 1e9, LinkBytes: 1e12, KVTokens: 1 << 30, ExportLife: time.Hour})
-	result, err := prefill.Prefill(context.Background(), prefillOf("shared", 4000, oriolebend.Patient))
+	prefill := newBenchClient(b, EngineConfig{PrefillTokens: 1e9, LinkBytes: 1e12, KVTokens: 1 << 30, ExportLife: time.Hour})
+	result, err := prefill.Prefill(context.Background(), prefillRequest("shared", 4000, oriolebend.Patient))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -89,7 +90,7 @@
 	tokens := make(chan struct{}, 1024)
 	var wait sync.WaitGroup
 	for i := range engines {
-		decode := serveBench(b, EngineConfig{Role: oriolebend.Decode, LinkBytes: 1e12})
+		decode := newBenchClient(b, EngineConfig{Role: oriolebend.Decode, LinkBytes: 1e12})
 		for j := range requests {
 			wait.Go(func() { decodeForever(ctx, decode, result, fmt.Sprint(i, "-", j), tokens) })
 		}
@@ -109,7 +110,7 @@
 
 func decodeForever(ctx context.Context, c *engine.Client, r engine.PrefillResult, name string, tokens chan<- struct{}) {
 	for number := uint32(1); ctx.Err() == nil; number++ {
-		request := prefillOf("shared", 4000, oriolebend.Patient)
+		request := prefillRequest("shared", 4000, oriolebend.Patient)
 		_ = c.Decode(ctx, engine.DecodeRequest{
 			Attempt:   message.Attempt{RequestID: name, Number: number},
 			Model:     request.Model,
@@ -129,26 +130,25 @@
 	}
 }
 
-// BenchmarkMemory is what 100 served engines hold at rest, and with a full
-// prefix cache.
+// BenchmarkMemory measures the memory of 100 engines, idle and with a full prefix cache.
 func BenchmarkMemory(b *testing.B) {
 	const engines = 100
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		held := make([]*Engine, engines)
 		for i := range held {
-			held[i] = NewEngine(EngineConfig{Models: models})
+			held[i] = NewEngine(EngineConfig{Models: testModels})
 		}
-		b.ReportMetric(float64(heap()-before)/engines, "B/engine")
+		b.ReportMetric(float64(heapBytes()-before)/engines, "B/engine")
 		for _, e := range held {
-			e.process.cache.store(prefix.Blocks("planner-lm", words("full", defaultKVTokens), prefix.BlockTokens))
+			e.process.cache.store(prefix.Blocks("planner-lm", testPrompt("full", defaultKVTokens), prefix.BlockTokens))
 		}
-		b.ReportMetric(float64(heap()-before)/engines, "B/full-engine")
+		b.ReportMetric(float64(heapBytes()-before)/engines, "B/full-engine")
 		runtime.KeepAlive(held)
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -11,52 +11,52 @@
 )
 
 const (
-	// keptEvents bounds the cache events that an engine can still publish.
-	keptEvents = 8192
-	// maxEventsRead bounds the events of one answer.
-	maxEventsRead = 1024
-	// incarnationShift puts the incarnation above the sequence numbers, so
-	// that a restart shows as a gap and never as a number seen before.
+	// maxLoggedEvents bounds the number of logged cache events.
+	maxLoggedEvents = 8192
+	// maxEventsPerRead bounds the number of events in one response.
+	maxEventsPerRead = 1024
+	// incarnationShift places the incarnation in the high bits of the sequence
+	// numbers, so that a restart causes a gap and never repeats a number.
 	incarnationShift = 32
 )
 
-// cache is a bounded prefix cache that drops the block used least recently,
-// and the log of its changes.
-type cache struct {
-	blocks   int
-	recent   *list.List // of uint64, most recent first
-	held     map[uint64]*list.Element
-	sequence uint64
-	log      []loggedEvent
-	delay    time.Duration
-	loss     float64
-	dropNext int
-	random   *rand.Rand
+// prefixCache is a bounded prefix cache that evicts the least recently used block, with
+// the log of its changes.
+type prefixCache struct {
+	maxBlocks int
+	recent    *list.List // of uint64, most recent first
+	blocks    map[uint64]*list.Element
+	sequence  uint64
+	log       []loggedEvent
+	delay     time.Duration
+	loss      float64
+	dropNext  int
+	random    *rand.Rand
 }
 
-// loggedEvent is a cache event and when it happened.
+// loggedEvent is a cache event with its time.
 type loggedEvent struct {
 	engine.CacheEvent
-	at time.Time
+	loggedAt time.Time
 }
 
-func newCache(c EngineConfig, incarnation uint64) *cache {
-	return &cache{
-		blocks:   c.CacheTokens / c.BlockTokens,
-		recent:   list.New(),
-		held:     make(map[uint64]*list.Element),
-		sequence: incarnation << incarnationShift,
-		delay:    c.EventDelay,
-		loss:     c.EventLoss,
-		random:   rand.New(rand.NewPCG(c.Seed, incarnation)),
+func newCache(c EngineConfig, incarnation uint64) *prefixCache {
+	return &prefixCache{
+		maxBlocks: c.CacheTokens / c.BlockTokens,
+		recent:    list.New(),
+		blocks:    make(map[uint64]*list.Element),
+		sequence:  incarnation << incarnationShift,
+		delay:     c.EventDelay,
+		loss:      c.EventLoss,
+		random:    rand.New(rand.NewPCG(c.Seed, incarnation)),
 	}
 }
 
-// cached returns how many leading tokens are held.
-func (c *cache) cached(blocks []prefix.Block) int {
+// cachedTokens returns the number of leading tokens that are cached.
+func (c *prefixCache) cachedTokens(blocks []prefix.Block) int {
 	tokens := 0
 	for _, b := range blocks {
-		if _, ok := c.held[b.Hash]; !ok {
+		if _, ok := c.blocks[b.Hash]; !ok {
 			break
 		}
 		tokens = b.Tokens
@@ -64,39 +64,41 @@
 	return tokens
 }
 
-// store holds the blocks of a prompt and marks them as used. It goes from the longest to the
-// shortest, so that a prefix is never dropped before what builds on it.
-func (c *cache) store(blocks []prefix.Block) {
-	blocks = blocks[:min(len(blocks), c.blocks)]
+// store adds the blocks of a prompt to the cache and marks them as used. It proceeds from
+// the longest block to the shortest, so that a prefix is never evicted before the longer
+// blocks that contain it.
+func (c *prefixCache) store(blocks []prefix.Block) {
+	blocks = blocks[:min(len(blocks), c.maxBlocks)]
 	for _, b := range slices.Backward(blocks) {
-		if element, ok := c.held[b.Hash]; ok {
+		if element, ok := c.blocks[b.Hash]; ok {
 			c.recent.MoveToFront(element)
 			continue
 		}
-		c.held[b.Hash] = c.recent.PushFront(b.Hash)
-		c.note(engine.BlockStored, b.Hash)
+		c.blocks[b.Hash] = c.recent.PushFront(b.Hash)
+		c.logChange(engine.BlockStored, b.Hash)
 	}
-	for c.recent.Len() > c.blocks {
+	for c.recent.Len() > c.maxBlocks {
 		hash := c.recent.Remove(c.recent.Back()).(uint64)
-		delete(c.held, hash)
-		c.note(engine.BlockEvicted, hash)
+		delete(c.blocks, hash)
+		c.logChange(engine.BlockEvicted, hash)
 	}
 }
 
-// note logs a change. A lost event leaves a gap in the sequence numbers.
-func (c *cache) note(change engine.CacheChange, block uint64) {
+// logChange logs a change. A lost event leaves a gap in the sequence numbers.
+func (c *prefixCache) logChange(change engine.CacheChange, block uint64) {
 	c.sequence++
-	if c.loses() {
+	if c.shouldLose() {
 		return
 	}
-	if len(c.log) == keptEvents {
-		c.log = slices.Delete(c.log, 0, keptEvents/2)
+	if len(c.log) == maxLoggedEvents {
+		c.log = slices.Delete(c.log, 0, maxLoggedEvents/2)
 	}
 	event := engine.CacheEvent{Sequence: c.sequence, Change: change, Block: block}
-	c.log = append(c.log, loggedEvent{CacheEvent: event, at: time.Now()})
+	c.log = append(c.log, loggedEvent{CacheEvent: event, loggedAt: time.Now()})
 }
 
-func (c *cache) loses() bool {
+// shouldLose reports whether the next event is to be lost.
+func (c *prefixCache) shouldLose() bool {
 	if c.dropNext > 0 {
 		c.dropNext--
 		return true
@@ -105,11 +107,11 @@
 }
 
 // events returns the published events after a sequence number.
-func (c *cache) events(after uint64) []engine.CacheEvent {
-	published := time.Now().Add(-c.delay)
+func (c *prefixCache) events(after uint64) []engine.CacheEvent {
+	publishedUntil := time.Now().Add(-c.delay)
 	events := []engine.CacheEvent{}
 	for _, e := range c.log {
-		if e.at.After(published) || len(events) == maxEventsRead {
+		if e.loggedAt.After(publishedUntil) || len(events) == maxEventsPerRead {
 			break
 		}
 		if e.Sequence > after {
@@ -119,10 +121,10 @@
 	return events
 }
 
-// index returns all held blocks in the order of their hashes.
-func (c *cache) index() engine.CacheIndex {
-	blocks := make([]uint64, 0, len(c.held))
-	for hash := range c.held {
+// index returns all cached blocks in the order of their hashes.
+func (c *prefixCache) index() engine.CacheIndex {
+	blocks := make([]uint64, 0, len(c.blocks))
+	for hash := range c.blocks {
 		blocks = append(blocks, hash)
 	}
 	slices.Sort(blocks)
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -8,7 +8,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Values that stand in for zero values of EngineConfig.
+// Default values of EngineConfig.
 const (
 	defaultPrefillTokens = 20_000.0
 	defaultDecodeStep    = 25 * time.Millisecond
@@ -21,75 +21,77 @@
 	defaultEventDelay    = 300 * time.Millisecond
 	defaultLoadTime      = 2 * time.Second
 	defaultMaxBatch      = 64
-	// perSequenceShare is the part of DecodeStep by which each sequence of a
-	// batch lengthens the step.
-	perSequenceShare = 100
-	// prefillChunk is how many tokens of one prompt are computed between two
-	// choices of the most urgent one.
+	// batchSlowdownDivisor sets the slowdown by batching: each further sequence of
+	// a batch lengthens the step by DecodeStep/batchSlowdownDivisor.
+	batchSlowdownDivisor = 100
+	// prefillChunk is the maximum number of tokens of one prompt that are computed
+	// in one step. The most urgent prompt is selected again for each step.
 	prefillChunk = 512
 )
 
 // EngineConfig describes a stand-in engine.
 type EngineConfig struct {
-	// Name tells engines apart in errors.
+	// Name identifies the engine in errors.
 	Name string
-	// URL is the base URL in the addresses of prefill results; if empty, the
-	// handler takes the host that the request was sent to.
+	// URL is the base URL of prefill results. If it is empty, the handler uses the
+	// host that the request was sent to.
 	URL string
-	// Role is the pool role at start; empty means prefill.
+	// Role is the pool role at the start; empty means prefill.
 	Role oriolebend.PoolRole
-	// Models are held from the start.
+	// Models are the models loaded at the start.
 	Models []oriolebend.LoadedModel
-	// PrefillTokens is how many prompt tokens a second a prefill computes;
-	// zero means 20,000.
+	// PrefillTokens is the prefill rate in prompt tokens per second; zero means
+	// 20,000.
 	PrefillTokens float64
-	// DecodeStep is the time between output tokens of a lone request; zero
+	// DecodeStep is the time between output tokens of a single request; zero
 	// means 25ms. Each further request of the batch adds a hundredth of it.
 	DecodeStep time.Duration
-	// MaxBatch bounds the requests of one decode step; zero means 64.
+	// MaxBatch is the maximum number of requests in one decode step; zero means 64.
 	MaxBatch int
 	// KVTokens is the size of the KV memory in tokens; zero means 160,000.
 	KVTokens int
-	// CacheTokens is the size of the prefix cache; zero means as KVTokens.
+	// CacheTokens is the size of the prefix cache in tokens; zero means KVTokens.
 	CacheTokens int
-	// BlockTokens is the length of a prefix block; zero means 64.
+	// BlockTokens is the length of a prefix block in tokens; zero means 64.
 	BlockTokens int
-	// LinkBytes is the link's rate in bytes a second; zero means 2e9.
+	// LinkBytes is the rate of the link in bytes per second; zero means 2e9.
 	LinkBytes float64
-	// Link is shared with other engines if set; LinkBytes is then unused.
+	// Link is a link that may be shared with other engines. If it is set, LinkBytes
+	// is not used.
 	Link *Link
-	// KVTokenBytes is the size of one token's KV cache; zero means 64 KiB,
-	// so that a prompt of 8,000 tokens has 524 MB, the users' 990 GB/s over 1,900
-	// requests/s.
+	// KVTokenBytes is the size of one token's KV cache in bytes; zero means 64 KiB.
+	// The KV cache of a prompt of 8,000 tokens then has 524 MB, which corresponds to
+	// the users' 990 GB/s at 1,900 requests/s.
 	KVTokenBytes int64
-	// BodyScale divides the bytes that a transfer really carries; their time
-	// is paid in full. Zero means 1,000. Both ends must agree.
+	// BodyScale is the factor by which the body of a transfer is scaled down. The
+	// transfer takes the time of the unscaled size. Zero means 1,000. Both ends must
+	// use the same value.
 	BodyScale int64
-	// ExportLife is how long a prefill result can be fetched; zero means
-	// 800ms. A transfer that began in time may go on for as long again.
+	// ExportLife is the time for which a prefill result can be fetched; zero means
+	// 800ms. A transfer in progress at the end of this time may continue for the same
+	// time again.
 	ExportLife time.Duration
-	// LoadPeriod is how far load reports lag at most; zero means 500ms.
+	// LoadPeriod is the maximum lag of load reports; zero means 500ms.
 	LoadPeriod time.Duration
-	// EventDelay is how late cache events are published; zero means 300ms.
+	// EventDelay is the delay with which cache events are published; zero means 300ms.
 	EventDelay time.Duration
-	// EventLoss is the share of cache events that is never published.
+	// EventLoss is the fraction of cache events that are never published.
 	EventLoss float64
-	// Seed drives the loss of cache events.
+	// Seed is the random seed for the loss of cache events.
 	Seed uint64
 	// IgnoresFencing makes the engine accept outdated orders.
 	IgnoresFencing bool
-	// WeightStore is the base URL of the weight store. If empty, a load takes
+	// WeightStore is the base URL of the weight store. If it is empty, a load takes
 	// LoadTime.
 	WeightStore string
-	// LoadTime is how long a load or role change takes without a weight
-	// store; zero means 2s.
+	// LoadTime is the duration of a load without a weight store; zero means 2s.
 	LoadTime time.Duration
-	// Transport fetches prefill results and weights; nil means one of the
-	// engine's own.
+	// Transport fetches prefill results and weights; nil means a transport that only
+	// this engine uses.
 	Transport http.RoundTripper
 }
 
-// withDefaults fills in the zero values.
+// withDefaults replaces zero values with the defaults.
 func (c EngineConfig) withDefaults() EngineConfig {
 	setDefault(&c.Role, oriolebend.Prefill)
 	setDefault(&c.PrefillTokens, defaultPrefillTokens)
@@ -114,7 +116,7 @@
 	return c
 }
 
-// setDefault replaces a zero value.
+// setDefault sets a field to value if it has its zero value.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/internal/standin/contract_test.go
+++ b/internal/standin/contract_test.go
@@ -14,8 +14,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TestContractOverLoopback runs the engine contract against the client and
-// the stand-in with real sockets between them.
+// TestContractOverLoopback runs the engine contract against the client and the stand-in
+// over real sockets.
 func TestContractOverLoopback(t *testing.T) {
 	parallel := func(t *testing.T, run func(t *testing.T)) {
 		t.Parallel()
@@ -31,7 +31,7 @@
 	}}.Run(t)
 }
 
-// TestContractInMemory runs it without sockets, in the tests' own time.
+// TestContractInMemory runs the engine contract without sockets, with a fake clock.
 func TestContractInMemory(t *testing.T) {
 	enginetest.Suite{Around: synctest.Test, New: func(t *testing.T, s enginetest.Setup) enginetest.Pair {
 		network := make(MemoryNetwork)
@@ -43,7 +43,8 @@
 	}}.Run(t)
 }
 
-// newPair makes a pair; reach returns how a client reaches an engine.
+// newPair returns a pair of engines. reach returns the URL and the transport with which a
+// client calls an engine.
 func newPair(t *testing.T, s enginetest.Setup, reach func(e *Engine, name string) (string, http.RoundTripper)) enginetest.Pair {
 	config := EngineConfig{
 		Models:         []oriolebend.LoadedModel{{Model: enginetest.Model, Version: enginetest.Version}},
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -15,38 +15,38 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// defaultTransferWithin bounds a transfer whose request gives no bound.
+// defaultTransferWithin is the timeout of a transfer whose request specifies none.
 const defaultTransferWithin = 10 * time.Second
 
 // Decode implements engine.Engine.
 func (e *Engine) Decode(ctx context.Context, r engine.DecodeRequest, emit func(message.Part) error) error {
-	p, err := e.enter(ctx, OperationDecode)
+	p, err := e.beginCall(ctx, OperationDecode)
 	if err != nil {
 		return err
 	}
 	source := answer.Of(r.Model, r.Adapter, r.Prompt)
 	limit, finish := source.Length(r.MaxTokens)
 	if r.Offset < 0 || r.Offset > limit || source.Text(0, r.Offset) != r.Delivered {
-		return fail(oriolebend.ReasonMalformed, "delivered is not this output's first %d tokens", r.Offset)
+		return newError(oriolebend.ReasonMalformed, "delivered is not this output's first %d tokens", r.Offset)
 	}
 	tokens := prefix.CountTokens(r.Prompt) + max(r.MaxTokens, 0)
 	s := newSequence(r.Attempt, message.PhaseDecode, r.Model, r.Priority, tokens)
 	s.produced = r.Offset
 	s.limit = limit
-	ctx, err = e.admit(ctx, p, s, need{oriolebend.Decode, r.Model, r.Version, r.Adapter})
+	ctx, err = e.admit(ctx, p, s, requirement{oriolebend.Decode, r.Model, r.Version, r.Adapter})
 	if err != nil {
 		return err
 	}
-	defer e.release(p, s)
-	if err := e.fetch(ctx, r); err != nil {
+	defer e.releaseSequence(p, s)
+	if err := e.fetchKV(ctx, r); err != nil {
 		return err
 	}
-	e.generate(p, s)
-	return e.deliver(ctx, s, output{source: source, attempt: r.Attempt, finish: finish, offset: r.Offset}, emit)
+	e.startGeneration(p, s)
+	return e.deliverOutput(ctx, s, decodeOutput{source: source, attempt: r.Attempt, finish: finish, offset: r.Offset}, emit)
 }
 
-// generate adds a sequence, whose KV cache is there, to the batch.
-func (e *Engine) generate(p *process, s *sequence) {
+// startGeneration adds a sequence whose KV cache is imported to the running decodes.
+func (e *Engine) startGeneration(p *process, s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stats.Decodes++
@@ -57,29 +57,29 @@
 		s.signal()
 		return
 	}
-	p.rollReport()
+	p.updateReport()
 	p.running = append(p.running, s)
-	e.wake(p)
+	e.startLoop(p)
 }
 
-// output is what a decode hands over and how far it is.
-type output struct {
+// decodeOutput is the output of a decode and the offset of the next token to deliver.
+type decodeOutput struct {
 	source  answer.Source
 	attempt message.Attempt
 	finish  message.FinishReason
 	offset  int
 }
 
-// deliver hands each run of new tokens over until the last. A slow receiver
-// gets several tokens in one part.
-func (e *Engine) deliver(ctx context.Context, s *sequence, o output, emit func(message.Part) error) error {
+// deliverOutput passes each run of new tokens to emit until the last token. If emit is
+// slow, one part contains several tokens.
+func (e *Engine) deliverOutput(ctx context.Context, s *sequence, o decodeOutput, emit func(message.Part) error) error {
 	for {
 		select {
 		case <-s.progress:
 		case <-ctx.Done():
-			return ended(ctx)
+			return contextError(ctx)
 		}
-		produced := e.producedBy(s)
+		produced := e.producedTokens(s)
 		part := message.Part{
 			Attempt: o.attempt,
 			Offset:  o.offset,
@@ -95,27 +95,28 @@
 		if part.Finish != "" {
 			return nil
 		}
-		if err := e.fault(OperationPart); err != nil {
+		if err := e.takeFault(OperationPart); err != nil {
 			return err
 		}
 		o.offset = produced
 	}
 }
 
-func (e *Engine) producedBy(s *sequence) int {
+// producedTokens returns the number of output tokens that a decode has produced.
+func (e *Engine) producedTokens(s *sequence) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return s.produced
 }
 
-// fetch imports the KV cache of a prompt from the engine that computed it.
-func (e *Engine) fetch(ctx context.Context, r engine.DecodeRequest) error {
-	within := r.TransferWithin
-	if within <= 0 {
-		within = defaultTransferWithin
+// fetchKV imports the KV cache of a prompt from the engine that computed it.
+func (e *Engine) fetchKV(ctx context.Context, r engine.DecodeRequest) error {
+	limit := r.TransferWithin
+	if limit <= 0 {
+		limit = defaultTransferWithin
 	}
-	late := fail(oriolebend.ReasonTransferStalled, "transfer did not end within %s", within)
-	bounded, cancel := context.WithTimeoutCause(ctx, within, late)
+	timeout := newError(oriolebend.ReasonTransferStalled, "transfer did not end within %s", limit)
+	bounded, cancel := context.WithTimeoutCause(ctx, limit, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(bounded, http.MethodGet, r.SourceURL, nil)
 	if err != nil {
@@ -123,29 +124,29 @@
 	}
 	response, err := e.config.Transport.RoundTrip(request)
 	if err != nil {
-		// What the source's process held is lost with it.
-		return endedOr(bounded, &engine.Error{Reason: oriolebend.ReasonResultExpired, Detail: "source not reached", Cause: err})
+		// If the source can't be reached, the results of its process are lost.
+		return contextErrorOr(bounded, &engine.Error{Reason: oriolebend.ReasonResultExpired, Detail: "source not reached", Cause: err})
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fail(oriolebend.ReasonResultExpired, "source answered %s", response.Status)
+		return newError(oriolebend.ReasonResultExpired, "source answered %s", response.Status)
 	}
 	if response.Header.Get(headerKVDigest) != strconv.FormatUint(digest(r.Model, r.Adapter, r.Prompt+r.Delivered), 16) {
-		return fail(oriolebend.ReasonEngineFailed, "KV cache is of another prompt")
+		return newError(oriolebend.ReasonEngineFailed, "KV cache is of another prompt")
 	}
-	if err := e.receive(bounded, response); err != nil {
-		return endedOr(bounded, &engine.Error{Reason: oriolebend.ReasonTransferStalled, Detail: "transfer broke off", Cause: err})
+	if err := e.receiveKV(bounded, response); err != nil {
+		return contextErrorOr(bounded, &engine.Error{Reason: oriolebend.ReasonTransferStalled, Detail: "transfer broke off", Cause: err})
 	}
 	return nil
 }
 
-// receive reads the body of a transfer at the rate of the engine's own link.
-func (e *Engine) receive(ctx context.Context, response *http.Response) error {
+// receiveKV reads the body of a transfer at the rate of the engine's own link.
+func (e *Engine) receiveKV(ctx context.Context, response *http.Response) error {
 	buffer := e.transferBuffer()
 	for {
 		n, err := response.Body.Read(buffer)
-		if passed := e.link.Pass(ctx, int64(n)*e.config.BodyScale); passed != nil {
-			return passed
+		if linkErr := e.link.Pass(ctx, int64(n)*e.config.BodyScale); linkErr != nil {
+			return linkErr
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -156,10 +157,10 @@
 	}
 }
 
-// endedOr returns why ctx ended, or the other error if it has not.
-func endedOr(ctx context.Context, other *engine.Error) error {
+// contextErrorOr returns the error of ctx if it is cancelled, and other if it is not.
+func contextErrorOr(ctx context.Context, other *engine.Error) error {
 	if ctx.Err() != nil {
-		return ended(ctx)
+		return contextError(ctx)
 	}
 	return other
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -14,29 +14,29 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Engine is a stand-in model engine. It can be called as an engine.Engine or
-// served by Handler.
+// Engine is a stand-in model engine. It implements engine.Engine, and Handler serves
+// it over HTTP.
 type Engine struct {
 	config EngineConfig
 	link   *Link
 
-	mu       sync.Mutex
-	process  *process
-	frozen   chan struct{}
-	slow     float64
-	failNext map[Operation]oriolebend.Reason
-	stats    Stats
+	mu         sync.Mutex
+	process    *process
+	unfrozen   chan struct{}
+	slowFactor float64
+	failNext   map[Operation]oriolebend.Reason
+	stats      Stats
 }
 
 var _ engine.Engine = (*Engine)(nil)
 
-// Stats counts what an engine did since it was made, over all restarts.
+// Stats counts the operations of an engine since NewEngine, across all restarts.
 type Stats struct {
 	Prefills      int
 	PrefillTokens int
 	CachedTokens  int
-	// Fetched counts prefill results that were fetched whole, and Expired
-	// those dropped without that.
+	// Fetched is the number of prefill results that were fetched completely, and
+	// Expired the number of those that were dropped before that.
 	Fetched       int
 	Expired       int
 	Decodes       int
@@ -44,15 +44,15 @@
 	Cancelled     int
 }
 
-// NewEngine returns an engine that runs. Close ends it.
+// NewEngine returns a running engine. Close stops it.
 func NewEngine(c EngineConfig) *Engine {
 	c = c.withDefaults()
 	return &Engine{
-		config:   c,
-		link:     c.Link,
-		process:  newProcess(c, 1),
-		slow:     1,
-		failNext: make(map[Operation]oriolebend.Reason),
+		config:     c,
+		link:       c.Link,
+		process:    newProcess(c, 1),
+		slowFactor: 1,
+		failNext:   make(map[Operation]oriolebend.Reason),
 	}
 }
 
@@ -66,23 +66,23 @@
 // Prefill implements engine.Engine.
 func (e *Engine) Prefill(ctx context.Context, r engine.PrefillRequest) (engine.PrefillResult, error) {
 	began := time.Now()
-	p, err := e.enter(ctx, OperationPrefill)
+	p, err := e.beginCall(ctx, OperationPrefill)
 	if err != nil {
 		return engine.PrefillResult{}, err
 	}
 	s := newSequence(r.Attempt, message.PhasePrefill, r.Model, r.Priority, prefix.CountTokens(r.Prompt))
 	s.blocks = prefix.Blocks(r.Model, r.Prompt, e.config.BlockTokens)
 	s.digest = digest(r.Model, r.Adapter, r.Prompt)
-	ctx, err = e.admit(ctx, p, s, need{oriolebend.Prefill, r.Model, r.Version, r.Adapter})
+	ctx, err = e.admit(ctx, p, s, requirement{oriolebend.Prefill, r.Model, r.Version, r.Adapter})
 	if err != nil {
 		return engine.PrefillResult{}, err
 	}
-	defer e.release(p, s)
+	defer e.releaseSequence(p, s)
 	select {
 	case <-s.progress:
 	case <-ctx.Done():
-		e.forget(p, s)
-		return engine.PrefillResult{}, ended(ctx)
+		e.discardResult(p, s)
+		return engine.PrefillResult{}, contextError(ctx)
 	}
 	return engine.PrefillResult{
 		SourceURL:    e.config.URL + engine.PathKV + s.handle,
@@ -96,7 +96,7 @@
 
 // Cancel implements engine.Engine.
 func (e *Engine) Cancel(ctx context.Context, a message.Attempt) error {
-	p, err := e.enter(ctx, OperationCancel)
+	p, err := e.beginCall(ctx, OperationCancel)
 	if err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 	for _, phase := range []message.Phase{message.PhasePrefill, message.PhaseDecode} {
 		if s, ok := p.work[workKey{a, phase}]; ok {
 			e.stats.Cancelled++
-			p.drop(s)
+			p.dropSequence(s)
 			s.cancel(cause)
 		}
 	}
@@ -120,7 +120,7 @@
 
 // Work implements engine.Engine.
 func (e *Engine) Work(ctx context.Context) ([]engine.Work, error) {
-	p, err := e.enter(ctx, OperationWork)
+	p, err := e.beginCall(ctx, OperationWork)
 	if err != nil {
 		return nil, err
 	}
@@ -139,19 +139,19 @@
 
 // Load implements engine.Engine.
 func (e *Engine) Load(ctx context.Context) (engine.LoadReport, error) {
-	p, err := e.enter(ctx, OperationLoad)
+	p, err := e.beginCall(ctx, OperationLoad)
 	if err != nil {
 		return engine.LoadReport{}, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	p.rollReport()
+	p.updateReport()
 	return p.report, nil
 }
 
 // CacheEvents implements engine.Engine.
 func (e *Engine) CacheEvents(ctx context.Context, after uint64) ([]engine.CacheEvent, error) {
-	p, err := e.enter(ctx, OperationCache)
+	p, err := e.beginCall(ctx, OperationCache)
 	if err != nil {
 		return nil, err
 	}
@@ -162,7 +162,7 @@
 
 // CacheIndex implements engine.Engine.
 func (e *Engine) CacheIndex(ctx context.Context) (engine.CacheIndex, error) {
-	p, err := e.enter(ctx, OperationCache)
+	p, err := e.beginCall(ctx, OperationCache)
 	if err != nil {
 		return engine.CacheIndex{}, err
 	}
@@ -173,7 +173,7 @@
 
 // Info implements engine.Engine.
 func (e *Engine) Info(ctx context.Context) (engine.Info, error) {
-	p, err := e.enter(ctx, OperationInfo)
+	p, err := e.beginCall(ctx, OperationInfo)
 	if err != nil {
 		return engine.Info{}, err
 	}
@@ -181,29 +181,30 @@
 	defer e.mu.Unlock()
 	return engine.Info{
 		Role:        p.role,
-		Models:      p.heldModels(),
+		Models:      p.copyModels(),
 		KVTokens:    e.config.KVTokens,
 		LinkBytes:   e.link.Bytes(),
 		BlockTokens: e.config.BlockTokens,
 		Fencing:     p.fencing,
-		Incarnation: p.number,
+		Incarnation: p.incarnation,
 	}, nil
 }
 
-// need is what an engine must be and hold for some work.
-type need struct {
+// requirement is the role and the model that an engine must have for some work.
+type requirement struct {
 	role    oriolebend.PoolRole
 	model   string
 	version string
 	adapter string
 }
 
-// admit gives a sequence its memory and starts it, or refuses it. The context
-// that it returns ends with the caller's, with the process and with Cancel.
-func (e *Engine) admit(ctx context.Context, p *process, s *sequence, n need) (context.Context, error) {
+// admit allocates the memory of a sequence and starts the sequence, or refuses it. The
+// returned context is cancelled with the caller's context, with the process and by
+// Cancel.
+func (e *Engine) admit(ctx context.Context, p *process, s *sequence, r requirement) (context.Context, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := p.refusal(s, n); err != nil {
+	if err := p.checkAdmission(s, r); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -212,25 +213,25 @@
 		stop()
 		cancel(cause)
 	}
-	p.add(s)
+	p.addSequence(s)
 	if s.key.phase == message.PhasePrefill {
 		p.queue = append(p.queue, s)
-		e.wake(p)
+		e.startLoop(p)
 	}
 	return ctx, nil
 }
 
-// release frees what a sequence still holds.
-func (e *Engine) release(p *process, s *sequence) {
+// releaseSequence frees the memory that a sequence still holds.
+func (e *Engine) releaseSequence(p *process, s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	p.drop(s)
+	p.dropSequence(s)
 	s.cancel(nil)
 }
 
-// forget drops the result of a prefill whose caller left at the moment in
-// which it was computed; nobody would fetch it.
-func (e *Engine) forget(p *process, s *sequence) {
+// discardResult drops the result of a prefill whose caller cancelled it at the moment
+// at which the result was ready. No one would fetch the result.
+func (e *Engine) discardResult(p *process, s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if x, ok := p.exports[s.handle]; ok {
@@ -238,9 +239,9 @@
 	}
 }
 
-// ended types the end of a context: by the engine's own doing, by a deadline
-// or by the caller.
-func ended(ctx context.Context) *engine.Error {
+// contextError returns the typed error of a cancelled context: the engine's own error,
+// deadline or callerCancelled.
+func contextError(ctx context.Context) *engine.Error {
 	var own *engine.Error
 	cause := context.Cause(ctx)
 	switch {
@@ -253,7 +254,7 @@
 	}
 }
 
-// fail returns a typed error with a formatted detail.
-func fail(reason oriolebend.Reason, format string, args ...any) *engine.Error {
+// newError returns a typed error with a formatted detail.
+func newError(reason oriolebend.Reason, format string, args ...any) *engine.Error {
 	return &engine.Error{Reason: reason, Detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -16,43 +16,44 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-var models = []oriolebend.LoadedModel{{Model: "planner-lm", Version: "1"}}
+var testModels = []oriolebend.LoadedModel{{Model: "planner-lm", Version: "1"}}
 
-// words returns a prompt of so many tokens that begins with a name.
-func words(name string, tokens int) string {
+// testPrompt returns a prompt with the given number of tokens that begins with name.
+func testPrompt(name string, tokens int) string {
 	return name + strings.Repeat(" road", tokens-1)
 }
 
-func prefillOf(name string, tokens int, u oriolebend.Urgency) engine.PrefillRequest {
+func prefillRequest(name string, tokens int, u oriolebend.Urgency) engine.PrefillRequest {
 	attempt := message.Attempt{RequestID: name, Number: 1}
-	return engine.PrefillRequest{Attempt: attempt, Model: "planner-lm", Prompt: words(name, tokens), Priority: u}
+	return engine.PrefillRequest{Attempt: attempt, Model: "planner-lm", Prompt: testPrompt(name, tokens), Priority: u}
 }
 
-// start returns an engine that ends with the test.
-func start(t *testing.T, c EngineConfig) *Engine {
+// startEngine returns an engine that is closed at the end of the test.
+func startEngine(t *testing.T, c EngineConfig) *Engine {
 	t.Helper()
 	e := NewEngine(c)
 	t.Cleanup(e.Close)
 	return e
 }
 
-// pair returns a prefill and a decode engine that reach each other.
-func pair(t *testing.T, c EngineConfig) (prefill, decode *Engine) {
+// newEnginePair returns a prefill and a decode engine that can reach each other.
+func newEnginePair(t *testing.T, c EngineConfig) (prefill, decode *Engine) {
 	t.Helper()
 	network := make(MemoryNetwork)
-	c.Models = models
+	c.Models = testModels
 	c.Transport = network
 	c.URL = "http://prefill"
-	prefill = start(t, c)
+	prefill = startEngine(t, c)
 	c.Role = oriolebend.Decode
-	decode = start(t, c)
+	decode = startEngine(t, c)
 	network["prefill"] = prefill.Handler()
 	return prefill, decode
 }
 
-func decodeOf(t *testing.T, prefill *Engine, name string, tokens int) engine.DecodeRequest {
+// prefilledDecodeRequest runs a prefill and returns the decode request for its result.
+func prefilledDecodeRequest(t *testing.T, prefill *Engine, name string, tokens int) engine.DecodeRequest {
 	t.Helper()
-	request := prefillOf(name, tokens, oriolebend.Patient)
+	request := prefillRequest(name, tokens, oriolebend.Patient)
 	result, err := prefill.Prefill(t.Context(), request)
 	is.New(t).NoErr(err)
 	return engine.DecodeRequest{
@@ -64,8 +65,8 @@
 	}
 }
 
-// heldTokens returns how much KV memory an engine's work holds.
-func heldTokens(t *testing.T, e *Engine) int {
+// usedTokens returns the KV memory that an engine's work holds, in tokens.
+func usedTokens(t *testing.T, e *Engine) int {
 	t.Helper()
 	work, err := e.Work(t.Context())
 	is.New(t).NoErr(err)
@@ -76,18 +77,18 @@
 	return tokens
 }
 
-func ignore(message.Part) error { return nil }
+func discardPart(message.Part) error { return nil }
 
-func TestUrgentPrefillGoesFirst(t *testing.T) {
+func TestUrgentPrefillRunsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := start(t, EngineConfig{Models: models})
+		e := startEngine(t, EngineConfig{Models: testModels})
 		var mu sync.Mutex
 		var wait sync.WaitGroup
 		var order []string
 		submit := func(name string, u oriolebend.Urgency) {
 			wait.Go(func() {
-				_, err := e.Prefill(t.Context(), prefillOf(name, 5000, u))
+				_, err := e.Prefill(t.Context(), prefillRequest(name, 5000, u))
 				mu.Lock()
 				defer mu.Unlock()
 				order = append(order, fmt.Sprint(name, err))
@@ -102,14 +103,14 @@
 	})
 }
 
-func TestPrefillTakesTheTimeOfWhatIsNotCached(t *testing.T) {
+func TestPrefillTimeExcludesCachedTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := start(t, EngineConfig{Models: models, PrefillTokens: 10_000})
-		first, err := e.Prefill(t.Context(), prefillOf("a", 6400, oriolebend.Patient))
+		e := startEngine(t, EngineConfig{Models: testModels, PrefillTokens: 10_000})
+		first, err := e.Prefill(t.Context(), prefillRequest("a", 6400, oriolebend.Patient))
 		is.NoErr(err)
 		is.Equal(first.Took.Round(time.Millisecond), 640*time.Millisecond)
-		again := prefillOf("a", 6400, oriolebend.Patient)
+		again := prefillRequest("a", 6400, oriolebend.Patient)
 		again.Attempt.Number = 2
 		again.Prompt += strings.Repeat(" new", 100)
 		second, err := e.Prefill(t.Context(), again)
@@ -119,9 +120,9 @@
 	})
 }
 
-func TestDecodeStepGrowsWithTheBatch(t *testing.T) {
+func TestDecodeStepGrowsWithBatchSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		prefill, decode := pair(t, EngineConfig{DecodeStep: 20 * time.Millisecond, PrefillTokens: 1e9, LinkBytes: 1e18})
+		prefill, decode := newEnginePair(t, EngineConfig{DecodeStep: 20 * time.Millisecond, PrefillTokens: 1e9, LinkBytes: 1e18})
 		for _, row := range []struct {
 			batch int
 			want  time.Duration
@@ -129,10 +130,10 @@
 			var took [11]time.Duration
 			var wait sync.WaitGroup
 			for i := range row.batch {
-				request := decodeOf(t, prefill, fmt.Sprint(row.batch, "-", i), 10)
+				request := prefilledDecodeRequest(t, prefill, fmt.Sprint(row.batch, "-", i), 10)
 				wait.Go(func() {
 					began := time.Now()
-					if err := decode.Decode(t.Context(), request, ignore); err != nil {
+					if err := decode.Decode(t.Context(), request, discardPart); err != nil {
 						t.Error(err)
 					}
 					took[i] = time.Since(began)
@@ -144,43 +145,43 @@
 	})
 }
 
-func TestUrgentDecodesFillAFullBatch(t *testing.T) {
+func TestUrgentDecodeEntersFullBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		prefill, decode := pair(t, EngineConfig{MaxBatch: 1, PrefillTokens: 1e9, LinkBytes: 1e18})
-		patient := decodeOf(t, prefill, "brief", 10)
-		urgent := decodeOf(t, prefill, "ping", 10)
+		prefill, decode := newEnginePair(t, EngineConfig{MaxBatch: 1, PrefillTokens: 1e9, LinkBytes: 1e18})
+		patient := prefilledDecodeRequest(t, prefill, "brief", 10)
+		urgent := prefilledDecodeRequest(t, prefill, "ping", 10)
 		urgent.Priority = oriolebend.Urgent
 		var wait sync.WaitGroup
-		ended := make(chan string, 2)
+		finished := make(chan string, 2)
 		for _, request := range []engine.DecodeRequest{patient, urgent} {
 			wait.Go(func() {
-				if err := decode.Decode(t.Context(), request, ignore); err != nil {
+				if err := decode.Decode(t.Context(), request, discardPart); err != nil {
 					t.Error(err)
 				}
-				ended <- request.Attempt.RequestID
+				finished <- request.Attempt.RequestID
 			})
 			synctest.Wait()
 		}
 		wait.Wait()
-		is.New(t).Equal(<-ended, "ping")
+		is.New(t).Equal(<-finished, "ping")
 	})
 }
 
-// TestLoadReportLags: symptom: a router that trusts load reports sends every
-// request to the same engine. Sequence: an engine fills up within one period.
-// Cause: its report still tells the state before.
+// TestLoadReportLags checks that the report still shows the earlier state when an engine
+// fills up within one period. A router that relies on load reports then sends every
+// request to the same engine.
 func TestLoadReportLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := start(t, EngineConfig{Models: models, LoadPeriod: time.Second})
+		e := startEngine(t, EngineConfig{Models: testModels, LoadPeriod: time.Second})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		time.Sleep(100 * time.Millisecond)
-		go func() { _, _ = e.Prefill(ctx, prefillOf("a", 100_000, oriolebend.Patient)) }()
+		go func() { _, _ = e.Prefill(ctx, prefillRequest("a", 100_000, oriolebend.Patient)) }()
 		synctest.Wait()
 		report, err := e.Load(ctx)
 		is.NoErr(err)
-		is.Equal(report.FreeTokens, 160_000) // nothing told yet
+		is.Equal(report.FreeTokens, 160_000) // not reported yet
 		time.Sleep(time.Second)
 		report, err = e.Load(ctx)
 		is.NoErr(err)
@@ -189,11 +190,11 @@
 	})
 }
 
-func TestCacheEventsComeLate(t *testing.T) {
+func TestCacheEventsAreDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := start(t, EngineConfig{Models: models, EventDelay: 300 * time.Millisecond})
-		_, err := e.Prefill(t.Context(), prefillOf("a", 128, oriolebend.Patient))
+		e := startEngine(t, EngineConfig{Models: testModels, EventDelay: 300 * time.Millisecond})
+		_, err := e.Prefill(t.Context(), prefillRequest("a", 128, oriolebend.Patient))
 		is.NoErr(err)
 		events, err := e.CacheEvents(t.Context(), 0)
 		is.NoErr(err)
@@ -205,12 +206,12 @@
 	})
 }
 
-func TestCacheDropsTheLeastRecent(t *testing.T) {
+func TestCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := start(t, EngineConfig{Models: models, CacheTokens: 10 * 64})
+		e := startEngine(t, EngineConfig{Models: testModels, CacheTokens: 10 * 64})
 		cached := func(name string, number uint32) int {
-			request := prefillOf(name, 5*64, oriolebend.Patient)
+			request := prefillRequest(name, 5*64, oriolebend.Patient)
 			request.Attempt.Number = number
 			result, err := e.Prefill(t.Context(), request)
 			is.NoErr(err)
@@ -219,7 +220,7 @@
 		cached("a", 1)
 		cached("b", 1)
 		is.Equal(cached("a", 2), 5*64)
-		cached("c", 1) // there is room for two: b goes
+		cached("c", 1) // two prompts fit: b is evicted
 		is.Equal(cached("a", 3), 5*64)
 		is.Equal(cached("b", 2), 0)
 		index, err := e.CacheIndex(t.Context())
@@ -228,33 +229,33 @@
 	})
 }
 
-// TestLostEventsAreSeeded makes sure that a test with lost events gives the
-// same verdict on each run.
+// TestLostEventsAreSeeded checks that the seed determines the lost events, so that a test
+// with lost events has the same result in each run.
 func TestLostEventsAreSeeded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		told := func(seed uint64) []engine.CacheEvent {
-			e := start(t, EngineConfig{Models: models, EventLoss: 0.3, Seed: seed})
-			_, err := e.Prefill(t.Context(), prefillOf("a", 6400, oriolebend.Patient))
+		readEvents := func(seed uint64) []engine.CacheEvent {
+			e := startEngine(t, EngineConfig{Models: testModels, EventLoss: 0.3, Seed: seed})
+			_, err := e.Prefill(t.Context(), prefillRequest("a", 6400, oriolebend.Patient))
 			is.New(t).NoErr(err)
 			time.Sleep(time.Second)
 			events, _ := e.CacheEvents(t.Context(), 0)
 			return events
 		}
 		is := is.New(t)
-		is.Equal(told(1), told(1))
-		is.True(len(told(1)) < 90 && len(told(1)) > 50) // of 100
-		is.True(fmt.Sprint(told(1)) != fmt.Sprint(told(2)))
+		is.Equal(readEvents(1), readEvents(1))
+		is.True(len(readEvents(1)) < 90 && len(readEvents(1)) > 50) // of 100
+		is.True(fmt.Sprint(readEvents(1)) != fmt.Sprint(readEvents(2)))
 	})
 }
 
-// TestTransferOutlivesItsResult: symptom: a decode whose transfer was almost
-// done starts over, and the prefill is wasted. Sequence: the transfer begins
-// within the result's life and ends after it. Cause: a result in transfer must
-// be kept, but not for ever: a reader that hangs would hold the memory.
-func TestTransferOutlivesItsResult(t *testing.T) {
+// TestTransferOutlivesExpiredResult guards against a decode that starts again, and a
+// prefill that is wasted, because the result expires during its transfer. A result must be
+// kept while it is transferred, but not forever, because a reader that hangs would hold
+// the memory.
+func TestTransferOutlivesExpiredResult(t *testing.T) {
 	for _, row := range []struct {
 		name  string
-		bytes float64 // of the link, a second
+		bytes float64 // rate of the link per second
 		held  int     // tokens still held after one second
 		want  oriolebend.Reason
 	}{
@@ -264,22 +265,22 @@
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				prefill, decode := pair(t, EngineConfig{LinkBytes: row.bytes})
-				request := decodeOf(t, prefill, "a", 16_000) // 1.05 GB
-				ended := make(chan error, 1)
-				go func() { ended <- decode.Decode(t.Context(), request, ignore) }()
+				prefill, decode := newEnginePair(t, EngineConfig{LinkBytes: row.bytes})
+				request := prefilledDecodeRequest(t, prefill, "a", 16_000) // 1.05 GB
+				done := make(chan error, 1)
+				go func() { done <- decode.Decode(t.Context(), request, discardPart) }()
 				time.Sleep(time.Second)
-				is.Equal(heldTokens(t, prefill), row.held)
+				is.Equal(usedTokens(t, prefill), row.held)
 				late := request
 				late.Attempt.Number = 2
-				err := decode.Decode(t.Context(), late, ignore)
-				is.Equal(engineError(err).Reason, oriolebend.ReasonResultExpired) // no new transfer
+				err := decode.Decode(t.Context(), late, discardPart)
+				is.Equal(toEngineError(err).Reason, oriolebend.ReasonResultExpired) // no new transfer
 				time.Sleep(time.Second)
-				is.Equal(heldTokens(t, prefill), 0)
-				if err = <-ended; row.want == "" {
+				is.Equal(usedTokens(t, prefill), 0)
+				if err = <-done; row.want == "" {
 					is.NoErr(err)
 				} else {
-					is.Equal(engineError(err).Reason, row.want)
+					is.Equal(toEngineError(err).Reason, row.want)
 				}
 			})
 		})
@@ -289,33 +290,33 @@
 func TestFailNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		prefill, decode := pair(t, EngineConfig{})
-		request := decodeOf(t, prefill, "a", 10)
+		prefill, decode := newEnginePair(t, EngineConfig{})
+		request := prefilledDecodeRequest(t, prefill, "a", 10)
 		decode.FailNext(OperationPart, oriolebend.ReasonEngineFailed)
 		parts := 0
 		err := decode.Decode(t.Context(), request, func(message.Part) error {
 			parts++
 			return nil
 		})
-		is.Equal(engineError(err).Reason, oriolebend.ReasonEngineFailed)
+		is.Equal(toEngineError(err).Reason, oriolebend.ReasonEngineFailed)
 		is.Equal(parts, 1)
 		prefill.FailNext(OperationPrefill, oriolebend.ReasonNoMemory)
-		_, err = prefill.Prefill(t.Context(), prefillOf("b", 10, oriolebend.Patient))
-		is.Equal(engineError(err).Reason, oriolebend.ReasonNoMemory)
-		_, err = prefill.Prefill(t.Context(), prefillOf("b", 10, oriolebend.Patient))
-		is.NoErr(err) // one time only
+		_, err = prefill.Prefill(t.Context(), prefillRequest("b", 10, oriolebend.Patient))
+		is.Equal(toEngineError(err).Reason, oriolebend.ReasonNoMemory)
+		_, err = prefill.Prefill(t.Context(), prefillRequest("b", 10, oriolebend.Patient))
+		is.NoErr(err) // the fault is injected only once
 	})
 }
 
-// TestSlowReceiver: symptom: one caller that reads slowly slows the others.
-// Sequence: its connection takes no more bytes. Cause: the batch must not wait
-// for it; it then gets several tokens in one part.
+// TestSlowReceiver guards against one slow reader that delays the other requests of the
+// batch. The batch must not wait for the reader, which then receives several tokens in one
+// part.
 func TestSlowReceiver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		prefill, decode := pair(t, EngineConfig{})
+		prefill, decode := newEnginePair(t, EngineConfig{})
 		largest := 0
-		err := decode.Decode(t.Context(), decodeOf(t, prefill, "a", 10), func(p message.Part) error {
+		err := decode.Decode(t.Context(), prefilledDecodeRequest(t, prefill, "a", 10), func(p message.Part) error {
 			largest = max(largest, p.Tokens)
 			time.Sleep(100 * time.Millisecond)
 			return nil
--- a/internal/standin/export.go
+++ b/internal/standin/export.go
@@ -23,8 +23,8 @@
 // maxTransferBuffer bounds the memory of one end of a transfer, in bytes.
 const maxTransferBuffer = 64 << 10
 
-// export is a prefill result that waits to be fetched and still holds the
-// memory of its sequence.
+// export is a prefill result that can be fetched. It still holds the memory of its
+// sequence.
 type export struct {
 	handle  string
 	attempt message.Attempt
@@ -35,35 +35,35 @@
 	cancel  context.CancelFunc
 	// expired is true once no new transfer may begin.
 	expired bool
-	// reading counts the transfers in progress.
-	reading int
-	// fetched is true once a transfer ended whole.
+	// readers is the number of transfers in progress.
+	readers int
+	// fetched is true once a transfer was completed.
 	fetched bool
 }
 
-// export turns a computed prefill into its result. The caller holds the mutex.
+// export makes the result of a computed prefill available. The caller must hold the mutex.
 func (e *Engine) export(p *process, s *sequence) {
-	p.drop(s)
+	p.dropSequence(s)
 	p.cache.store(s.blocks)
 	e.stats.Prefills++
 	e.stats.PrefillTokens += s.tokens
 	e.stats.CachedTokens += s.cached
-	s.handle = fmt.Sprintf("%d-%d", p.number, s.arrived)
+	s.handle = fmt.Sprintf("%d-%d", p.incarnation, s.arrival)
 	ctx, cancel := context.WithCancel(p.ctx)
 	x := &export{handle: s.handle, attempt: s.key.attempt, tokens: s.tokens, digest: s.digest, ctx: ctx, cancel: cancel}
 	x.timer = time.AfterFunc(e.config.ExportLife, func() { e.expire(p, x) })
 	p.exports[x.handle] = x
-	p.used += x.tokens
+	p.usedTokens += x.tokens
 	s.signal()
 }
 
-// expire ends the life of a result. A transfer that began in time holds the
-// memory once more for as long, and is then broken off: a reader that hangs
-// would else hold it for ever.
+// expire drops a result at the end of its life. If a transfer is in progress, the result
+// keeps its memory for the same time again, and then the transfer is aborted. Otherwise a
+// reader that hangs would hold the memory forever.
 func (e *Engine) expire(p *process, x *export) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if x.reading > 0 && !x.expired {
+	if x.readers > 0 && !x.expired {
 		x.expired = true
 		x.timer.Reset(e.config.ExportLife)
 		return
@@ -71,15 +71,15 @@
 	e.dropExport(p, x)
 }
 
-// dropExport frees a result; it may be called again. The caller holds the
+// dropExport frees a result. It may be called more than once. The caller must hold the
 // mutex.
 func (e *Engine) dropExport(p *process, x *export) {
 	if p.exports[x.handle] != x {
 		return
 	}
-	p.rollReport()
+	p.updateReport()
 	delete(p.exports, x.handle)
-	p.used -= x.tokens
+	p.usedTokens -= x.tokens
 	x.timer.Stop()
 	x.cancel()
 	if !x.fetched {
@@ -87,53 +87,53 @@
 	}
 }
 
-// beginRead opens a transfer of a result.
+// beginRead records the start of a transfer of a result.
 func (e *Engine) beginRead(handle string) (*process, *export, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.process
 	x, ok := p.exports[handle]
 	if !ok || x.expired {
-		return nil, nil, fail(oriolebend.ReasonResultExpired, "no result %s", handle)
+		return nil, nil, newError(oriolebend.ReasonResultExpired, "no result %s", handle)
 	}
-	x.reading++
+	x.readers++
 	return p, x, nil
 }
 
-// endRead closes a transfer of a result.
-func (e *Engine) endRead(p *process, x *export, whole bool) {
+// endRead records the end of a transfer of a result.
+func (e *Engine) endRead(p *process, x *export, complete bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	x.reading--
-	if whole && !x.fetched {
+	x.readers--
+	if complete && !x.fetched {
 		x.fetched = true
 		e.stats.Fetched++
 	}
-	if x.expired && x.reading == 0 {
+	if x.expired && x.readers == 0 {
 		e.dropExport(p, x)
 	}
 }
 
-// serveKV carries a result over the engine's link.
+// serveKV transfers a result over the link of the engine.
 func (e *Engine) serveKV(w http.ResponseWriter, r *http.Request) {
-	if _, err := e.enter(r.Context(), OperationFetch); err != nil {
-		answerError(w, err)
+	if _, err := e.beginCall(r.Context(), OperationFetch); err != nil {
+		writeError(w, err)
 		return
 	}
 	p, x, err := e.beginRead(r.PathValue("handle"))
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
 	err = e.writeKV(w, r, x)
 	e.endRead(p, x, err == nil)
 	if err != nil {
-		// The length was announced; a plain return would look like its end.
+		// Abort the connection, because a return would look like the end of the body.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// writeKV writes the body of a transfer, scaled down, at the link's rate.
+// writeKV writes the scaled-down body of a transfer at the rate of the link.
 func (e *Engine) writeKV(w http.ResponseWriter, r *http.Request, x *export) error {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -158,18 +158,18 @@
 	return nil
 }
 
-// transferBuffer returns a buffer for what the link passes at a time.
+// transferBuffer returns a buffer for one chunk of the link.
 func (e *Engine) transferBuffer() []byte {
 	bytes := e.link.Chunk() / e.config.BodyScale
 	return make([]byte, min(max(bytes, 1), maxTransferBuffer))
 }
 
-// bodyBytes returns how many bytes stand in the body for so many of KV cache.
+// bodyBytes returns the size of the scaled-down body for the modelled size of a KV cache.
 func (e *Engine) bodyBytes(modelled int64) int64 {
 	return max(modelled/e.config.BodyScale, 1)
 }
 
-// digest names the text whose KV cache a result holds, so that one of another
+// digest identifies the text whose KV cache a result holds, so that the result of another
 // prompt is refused and not decoded.
 func digest(model, adapter, text string) uint64 {
 	var d xxhash.Digest
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -7,14 +7,14 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Operation names what a fault is to hit.
+// Operation identifies the operation in which a fault is injected.
 type Operation string
 
 // Operations of an engine.
 const (
 	OperationPrefill Operation = "prefill"
 	OperationDecode  Operation = "decode"
-	// OperationPart is the moment after a part of a decode was handed over.
+	// OperationPart is the point after a part of a decode was passed to emit.
 	OperationPart   Operation = "part"
 	OperationFetch  Operation = "fetch"
 	OperationCancel Operation = "cancel"
@@ -25,83 +25,85 @@
 	OperationOrder  Operation = "order"
 )
 
-// Kill ends the engine's process abruptly: memory, results and loaded models
-// are lost, and calls in progress and later ones end as serverLost.
+// Kill ends the process of the engine abruptly. Memory, results and loaded models are
+// lost, and calls in progress and later calls fail with serverLost.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.end()
+	e.endProcess()
 }
 
-// Close ends the engine for good.
+// Close stops the engine.
 func (e *Engine) Close() {
 	e.Kill()
 }
 
-func (e *Engine) end() {
-	e.process.end(&engine.Error{Reason: oriolebend.ReasonServerLost, Detail: e.config.Name + " is gone"})
+// endProcess cancels the process and drops its results. The caller must hold the mutex.
+func (e *Engine) endProcess() {
+	e.process.cancel(&engine.Error{Reason: oriolebend.ReasonServerLost, Detail: e.config.Name + " is gone"})
 	for _, x := range e.process.exports {
 		e.dropExport(e.process, x)
 	}
-	e.thaw()
+	e.unfreeze()
 }
 
-// Restart kills the process, if it lives, and starts a new one with empty
-// memory and the next incarnation.
+// Restart ends the process if it is running, and starts a new one with empty memory and
+// the next incarnation.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.end()
-	e.process = newProcess(e.config, e.process.number+1)
+	e.endProcess()
+	e.process = newProcess(e.config, e.process.incarnation+1)
 }
 
-// Freeze stops the process without ending it, or lets it go on. A frozen
-// engine keeps its connections open and answers nothing.
+// Freeze suspends the process if stop is true, and resumes it otherwise. A frozen engine
+// keeps its connections open and sends nothing.
 func (e *Engine) Freeze(stop bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !stop {
-		e.thaw()
-	} else if e.frozen == nil {
-		e.frozen = make(chan struct{})
+		e.unfreeze()
+	} else if e.unfrozen == nil {
+		e.unfrozen = make(chan struct{})
 	}
 }
 
-func (e *Engine) thaw() {
-	if e.frozen != nil {
-		close(e.frozen)
-		e.frozen = nil
+// unfreeze resumes a frozen engine. The caller must hold the mutex.
+func (e *Engine) unfreeze() {
+	if e.unfrozen != nil {
+		close(e.unfrozen)
+		e.unfrozen = nil
 	}
 }
 
-// SlowBy makes every step take so many times as long; 1 is the usual speed.
+// SlowBy multiplies the duration of every step by factor; 1 is the normal speed.
 func (e *Engine) SlowBy(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = factor
+	e.slowFactor = factor
 }
 
-// StallLinks stops the engine's link, or lets it go on.
+// StallLinks stops the link of the engine if stop is true, and resumes it otherwise.
 func (e *Engine) StallLinks(stop bool) {
 	e.link.Stall(stop)
 }
 
-// DropEvents loses the next cache events.
+// DropEvents makes the engine lose the next count cache events.
 func (e *Engine) DropEvents(count int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.process.cache.dropNext = count
 }
 
-// FailNext makes the next call of an operation fail with a reason.
+// FailNext makes the next run of an operation fail with a reason.
 func (e *Engine) FailNext(o Operation, r oriolebend.Reason) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.failNext[o] = r
 }
 
-// fault returns the failure that is due for an operation, if any.
-func (e *Engine) fault(o Operation) error {
+// takeFault removes and returns the failure that is injected into an operation, if any.
+func (e *Engine) takeFault(o Operation) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	reason, ok := e.failNext[o]
@@ -109,39 +111,39 @@
 		return nil
 	}
 	delete(e.failNext, o)
-	return fail(reason, "fault of %s", o)
+	return newError(reason, "fault of %s", o)
 }
 
-// enter begins a call: it waits while the engine is frozen, and returns the
-// process that serves the call.
-func (e *Engine) enter(ctx context.Context, o Operation) (*process, error) {
-	if err := e.thawed(ctx); err != nil {
+// beginCall starts a call: it waits while the engine is frozen and returns the process
+// that serves the call.
+func (e *Engine) beginCall(ctx context.Context, o Operation) (*process, error) {
+	if err := e.waitUnfrozen(ctx); err != nil {
 		return nil, err
 	}
-	if err := e.fault(o); err != nil {
+	if err := e.takeFault(o); err != nil {
 		return nil, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.process.ctx.Err() != nil {
-		return nil, ended(e.process.ctx)
+		return nil, contextError(e.process.ctx)
 	}
 	return e.process, nil
 }
 
-// thawed waits until the engine is not frozen.
-func (e *Engine) thawed(ctx context.Context) error {
+// waitUnfrozen waits until the engine is not frozen.
+func (e *Engine) waitUnfrozen(ctx context.Context) error {
 	e.mu.Lock()
-	frozen := e.frozen
+	unfrozen := e.unfrozen
 	e.mu.Unlock()
-	if frozen == nil {
+	if unfrozen == nil {
 		return nil
 	}
 	select {
-	case <-frozen:
+	case <-unfrozen:
 		return nil
 	case <-ctx.Done():
-		return ended(ctx)
+		return contextError(ctx)
 	}
 }
 
@@ -149,5 +151,5 @@
 func (e *Engine) isFrozen() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.frozen != nil
+	return e.unfrozen != nil
 }
--- a/internal/standin/handler.go
+++ b/internal/standin/handler.go
@@ -15,9 +15,9 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// heartbeat is how often a long call that has nothing to tell brings an empty
+// heartbeatPeriod is the time after which a long call without output writes an empty
 // line.
-const heartbeat = time.Second
+const heartbeatPeriod = time.Second
 
 // maxRequestBytes bounds the body of a request to an engine.
 const maxRequestBytes = 16 << 20
@@ -75,7 +75,7 @@
 		err = e.Cancel(r.Context(), body.Attempt)
 	}
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -84,7 +84,7 @@
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		answerError(w, &engine.Error{Reason: oriolebend.ReasonMalformed, Cause: err})
+		writeError(w, &engine.Error{Reason: oriolebend.ReasonMalformed, Cause: err})
 		return
 	}
 	serveRead(func(ctx context.Context) ([]engine.CacheEvent, error) {
@@ -92,48 +92,48 @@
 	})(w, r)
 }
 
-// serveRead serves a call that only reads.
+// serveRead serves a read-only call.
 func serveRead[T any](read func(context.Context) (T, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		value, err := read(r.Context())
 		if err != nil {
-			answerError(w, err)
+			writeError(w, err)
 			return
 		}
-		answerJSON(w, http.StatusOK, value)
+		writeJSON(w, http.StatusOK, value)
 	}
 }
 
-// serveLong serves a call whose answer is a stream of lines.
+// serveLong serves a call whose response is a stream of lines.
 func serveLong[T any](e *Engine, w http.ResponseWriter, r *http.Request, run func(context.Context, T, *lineWriter) error) {
 	body, err := readBody[T](w, r)
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
 	lines := newLineWriter(e, w)
 	err = run(r.Context(), body, lines)
-	begun := lines.stop()
+	started := lines.stop()
 	switch {
 	case err == nil:
-	case !begun:
-		answerError(w, err)
+	case !started:
+		writeError(w, err)
 	default:
-		abortIfLost(err)
-		_ = lines.write(engine.Line{Error: engineError(err)})
+		abortIfServerLost(err)
+		_ = lines.write(engine.Line{Error: toEngineError(err)})
 	}
 }
 
-// lineWriter writes the lines of one long call, and an empty one whenever
-// nothing was written for a heartbeat.
+// lineWriter writes the lines of one long call, and an empty line whenever nothing was
+// written for heartbeatPeriod.
 type lineWriter struct {
-	engine *Engine
-	mu     sync.Mutex
-	w      http.ResponseWriter
-	json   *json.Encoder
-	timer  *time.Timer
-	begun  bool
-	ended  bool
+	engine  *Engine
+	mu      sync.Mutex
+	w       http.ResponseWriter
+	json    *json.Encoder
+	timer   *time.Timer
+	started bool
+	stopped bool
 }
 
 func newLineWriter(e *Engine, w http.ResponseWriter) *lineWriter {
@@ -141,47 +141,47 @@
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.timer = time.AfterFunc(heartbeat, l.beat)
+	l.timer = time.AfterFunc(heartbeatPeriod, l.sendHeartbeat)
 	return l
 }
 
 func (l *lineWriter) write(line engine.Line) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begun = true
-	l.timer.Reset(heartbeat)
+	l.started = true
+	l.timer.Reset(heartbeatPeriod)
 	if err := l.json.Encode(line); err != nil {
 		return err
 	}
 	return http.NewResponseController(l.w).Flush()
 }
 
-// beat writes an empty line, unless the engine is frozen.
-func (l *lineWriter) beat() {
+// sendHeartbeat writes an empty line, unless the engine is frozen.
+func (l *lineWriter) sendHeartbeat() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.stopped {
 		return
 	}
-	l.timer.Reset(heartbeat)
+	l.timer.Reset(heartbeatPeriod)
 	if l.engine.isFrozen() {
 		return
 	}
-	l.begun = true
+	l.started = true
 	_, _ = l.w.Write([]byte("\n"))
 	_ = http.NewResponseController(l.w).Flush()
 }
 
-// stop ends the heartbeats and reports whether anything was written.
+// stop stops the heartbeats and reports whether anything was written.
 func (l *lineWriter) stop() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = true
+	l.stopped = true
 	l.timer.Stop()
-	return l.begun
+	return l.started
 }
 
-// readBody reads a bounded JSON body.
+// readBody decodes a JSON body of bounded size.
 func readBody[T any](w http.ResponseWriter, r *http.Request) (T, error) {
 	var body T
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&body)
@@ -195,29 +195,29 @@
 	return body, nil
 }
 
-// answerError answers with a typed error, or breaks the connection off if the
-// engine is gone.
-func answerError(w http.ResponseWriter, err error) {
-	abortIfLost(err)
-	typed := engineError(err)
-	answerJSON(w, engine.StatusOf(typed.Reason), typed)
+// writeError responds with a typed error, or aborts the connection if the engine has
+// exited.
+func writeError(w http.ResponseWriter, err error) {
+	abortIfServerLost(err)
+	typed := toEngineError(err)
+	writeJSON(w, engine.StatusOf(typed.Reason), typed)
 }
 
-func answerJSON(w http.ResponseWriter, status int, value any) {
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// abortIfLost breaks the connection off if err says that the engine is gone:
-// a dead process writes nothing more.
-func abortIfLost(err error) {
-	if engineError(err).Reason == oriolebend.ReasonServerLost {
+// abortIfServerLost aborts the connection if err shows that the engine has exited,
+// because an exited process writes nothing.
+func abortIfServerLost(err error) {
+	if toEngineError(err).Reason == oriolebend.ReasonServerLost {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func engineError(err error) *engine.Error {
+func toEngineError(err error) *engine.Error {
 	var typed *engine.Error
 	if errors.As(err, &typed) {
 		return typed
--- a/internal/standin/handler_test.go
+++ b/internal/standin/handler_test.go
@@ -12,18 +12,18 @@
 	"github.com/oriolebend/oriolebend/internal/engine"
 )
 
-// TestLongLoadIsNotSilent: symptom: a load of a minute counts as a lost engine
-// and is ordered again and again. Sequence: the engine has nothing to tell
-// until the load ends. Cause: without empty lines it looks frozen.
-func TestLongLoadIsNotSilent(t *testing.T) {
+// TestLongLoadSendsHeartbeats guards against a load of a minute that is treated as a lost
+// engine and ordered repeatedly. The engine has no output until the load ends, and without
+// empty lines it looks frozen.
+func TestLongLoadSendsHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := start(t, EngineConfig{LoadTime: time.Minute})
+		e := startEngine(t, EngineConfig{LoadTime: time.Minute})
 		client := engine.NewClient(engine.Config{BaseURL: "http://e", Transport: MemoryNetwork{"e": e.Handler()}})
 		is.New(t).NoErr(client.Order(t.Context(), loadOrder))
 	})
 }
 
-func TestUnreadableRequests(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	network := MemoryNetwork{"e": NewEngine(EngineConfig{}).Handler()}
 	for _, row := range []struct {
 		method string
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -2,18 +2,18 @@
 
 import "sync"
 
-// keptOutcomes bounds the calls that a ledger remembers.
-const keptOutcomes = 100_000
+// maxOutcomes bounds the number of calls whose outcome a ledger stores.
+const maxOutcomes = 100_000
 
-// Ledger counts the executions of a service over all its servers: a call that
-// was executed by two of them shows.
+// Ledger counts the executions of a service across all of its servers, so that the count
+// reveals a call that two servers executed.
 type Ledger struct {
 	mu         sync.Mutex
 	total      int
 	byIdentity map[string]int
 	byPayload  map[string]int
 	outcomes   map[string]*ServiceAnswer // nil while the call runs
-	kept       []string
+	identities []string
 }
 
 // NewLedger returns an empty ledger.
@@ -25,14 +25,14 @@
 	}
 }
 
-// Total returns how many calls with side effects were executed.
+// Total returns the number of executed calls with side effects.
 func (l *Ledger) Total() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.total
 }
 
-// Running returns how many calls are being executed now.
+// Running returns the number of calls that are being executed.
 func (l *Ledger) Running() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,27 +45,27 @@
 	return running
 }
 
-// ByIdentity returns how many executions carried an identity.
+// ByIdentity returns the number of executions with an identity.
 func (l *Ledger) ByIdentity(identity string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.byIdentity[identity]
 }
 
-// ByPayload returns how many executions carried a body.
+// ByPayload returns the number of executions with a body.
 func (l *Ledger) ByPayload(body []byte) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.byPayload[payloadHash(body)]
 }
 
-// Doubled returns the identities that were executed more than once, oldest
+// Doubled returns the identities of calls that were executed more than once, the oldest
 // first.
 func (l *Ledger) Doubled() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var doubled []string
-	for _, identity := range l.kept {
+	for _, identity := range l.identities {
 		if l.byIdentity[identity] > 1 {
 			doubled = append(doubled, identity)
 		}
@@ -73,30 +73,30 @@
 	return doubled
 }
 
-// begin remembers a call as running.
-func (l *Ledger) begin(identity string) {
+// recordStart records a call as running.
+func (l *Ledger) recordStart(identity string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, ok := l.outcomes[identity]; ok {
 		return
 	}
 	l.outcomes[identity] = nil
-	l.kept = append(l.kept, identity)
-	if len(l.kept) > keptOutcomes {
-		l.forget(l.kept[0])
-		l.kept = l.kept[1:]
+	l.identities = append(l.identities, identity)
+	if len(l.identities) > maxOutcomes {
+		l.remove(l.identities[0])
+		l.identities = l.identities[1:]
 	}
 }
 
-// forget drops an identity, so that a ledger of days does not grow without
-// bound.
-func (l *Ledger) forget(identity string) {
+// remove deletes an identity, so that a ledger that is used for days does not grow
+// without bound.
+func (l *Ledger) remove(identity string) {
 	delete(l.outcomes, identity)
 	delete(l.byIdentity, identity)
 }
 
-// end counts an execution and keeps its outcome.
-func (l *Ledger) end(a *ServiceAnswer) {
+// recordExecution counts an execution and stores its outcome.
+func (l *Ledger) recordExecution(a *ServiceAnswer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.total++
@@ -107,7 +107,7 @@
 	l.outcomes[a.Identity] = &outcome
 }
 
-// outcome returns the answer of an earlier call, nil while it runs.
+// outcome returns the response to an earlier call, which is nil while the call runs.
 func (l *Ledger) outcome(identity string) (answer *ServiceAnswer, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -7,50 +7,51 @@
 	"golang.org/x/time/rate"
 )
 
-// linkBurst is the part of a second's bytes that a link passes at once, and
-// the size of the chunks in which transfers take turns.
-const linkBurst = 100
+// linkBurstFraction sets the burst of a link, which is its rate per second divided by
+// linkBurstFraction. The burst is also the size of the chunks in which transfers take
+// turns.
+const linkBurstFraction = 100
 
 // Link is a network link of limited rate that transfers share.
 type Link struct {
 	limiter *rate.Limiter
 	mu      sync.Mutex
-	stalled chan struct{}
+	resumed chan struct{}
 }
 
-// NewLink returns a link of so many bytes a second.
+// NewLink returns a link with the given rate.
 func NewLink(bytesPerSecond float64) *Link {
-	burst := max(int(bytesPerSecond/linkBurst), 1)
+	burst := max(int(bytesPerSecond/linkBurstFraction), 1)
 	return &Link{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), burst)}
 }
 
-// Chunk returns how many bytes a transfer passes at a time.
+// Chunk returns the number of bytes that a transfer passes at a time.
 func (l *Link) Chunk() int64 {
 	return int64(l.limiter.Burst())
 }
 
-// Bytes returns the rate in bytes a second.
+// Bytes returns the rate in bytes per second.
 func (l *Link) Bytes() float64 {
 	return float64(l.limiter.Limit())
 }
 
-// Stall stops the link, or lets it go on.
+// Stall stops the link if stop is true, and resumes it otherwise.
 func (l *Link) Stall(stop bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case stop && l.stalled == nil:
-		l.stalled = make(chan struct{})
-	case !stop && l.stalled != nil:
-		close(l.stalled)
-		l.stalled = nil
+	case stop && l.resumed == nil:
+		l.resumed = make(chan struct{})
+	case !stop && l.resumed != nil:
+		close(l.resumed)
+		l.resumed = nil
 	}
 }
 
-// Pass waits until n bytes have passed the link, or ctx ends.
+// Pass waits until n bytes have passed the link or ctx is cancelled.
 func (l *Link) Pass(ctx context.Context, n int64) error {
 	for n > 0 {
-		if err := l.flowing(ctx); err != nil {
+		if err := l.waitUnstalled(ctx); err != nil {
 			return err
 		}
 		chunk := min(n, l.Chunk())
@@ -59,19 +60,19 @@
 		}
 		n -= chunk
 	}
-	return l.flowing(ctx)
+	return l.waitUnstalled(ctx)
 }
 
-// flowing waits until the link is not stalled.
-func (l *Link) flowing(ctx context.Context) error {
+// waitUnstalled waits until the link is not stalled.
+func (l *Link) waitUnstalled(ctx context.Context) error {
 	l.mu.Lock()
-	stalled := l.stalled
+	resumed := l.resumed
 	l.mu.Unlock()
-	if stalled == nil {
+	if resumed == nil {
 		return ctx.Err()
 	}
 	select {
-	case <-stalled:
+	case <-resumed:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/standin/memory.go
+++ b/internal/standin/memory_network.go
@@ -8,13 +8,13 @@
 	"sync"
 )
 
-// MemoryNetwork carries HTTP requests to handlers in the same process, by the
-// host of their URL, without a socket. Under testing/synctest everything that
-// waits then waits in the test's own time.
+// MemoryNetwork is an http.RoundTripper that passes requests to handlers in the same
+// process, by the host of their URL, without a socket. Under testing/synctest, all waits
+// then use the fake clock of the test.
 type MemoryNetwork map[string]http.Handler
 
-// UnreachableError tells that no handler answers for a host, or that it broke
-// the connection off before its answer began.
+// UnreachableError reports that a host has no handler, or that its handler aborted the
+// connection before the response began.
 type UnreachableError struct {
 	Host string
 }
@@ -31,9 +31,9 @@
 		return nil, &UnreachableError{Host: r.URL.Host}
 	}
 	reader, writer := io.Pipe()
-	w := &memoryWriter{header: make(http.Header), begun: make(chan struct{}), body: writer}
-	// The handler learns that the caller left, but not why, and only after the
-	// caller can read nothing more of it.
+	w := &memoryWriter{header: make(http.Header), started: make(chan struct{}), body: writer}
+	// The handler's context is cancelled without the caller's cause, and only after
+	// the caller can read no more of the response.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(r.Context()))
 	stop := context.AfterFunc(r.Context(), func() {
 		_ = reader.CloseWithError(context.Cause(r.Context()))
@@ -44,9 +44,9 @@
 		_ = reader.Close()
 		cancel()
 	}
-	go w.serve(handler, served(ctx, r))
+	go w.serve(handler, handlerRequest(ctx, r))
 	select {
-	case <-w.begun:
+	case <-w.started:
 	case <-r.Context().Done():
 		end()
 		return nil, context.Cause(r.Context())
@@ -58,8 +58,8 @@
 	return w.response(r, &memoryBody{PipeReader: reader, end: end}), nil
 }
 
-// served returns a request as its handler sees it.
-func served(ctx context.Context, r *http.Request) *http.Request {
+// handlerRequest returns the request that is passed to the handler.
+func handlerRequest(ctx context.Context, r *http.Request) *http.Request {
 	clone := r.Clone(ctx)
 	clone.Host = r.URL.Host
 	if clone.Body == nil {
@@ -68,8 +68,7 @@
 	return clone
 }
 
-// memoryBody is a response's body; closing it tells the handler that the
-// caller left.
+// memoryBody is the body of a response. Closing it cancels the context of the handler.
 type memoryBody struct {
 	*io.PipeReader
 	end func()
@@ -87,12 +86,12 @@
 	sent    http.Header
 	status  int
 	once    sync.Once
-	begun   chan struct{}
+	started chan struct{}
 	aborted bool
 	body    *io.PipeWriter
 }
 
-// serve runs the handler.
+// serve runs the handler and completes the response.
 func (w *memoryWriter) serve(h http.Handler, r *http.Request) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -104,15 +103,15 @@
 	_ = w.body.Close()
 }
 
-// abort breaks the connection off, as net/http does after a panic with
-// ErrAbortHandler; any other panic goes on.
+// abort aborts the connection, like net/http after a panic with ErrAbortHandler. It
+// re-panics with any other value.
 func (w *memoryWriter) abort(cause any) {
 	if cause != http.ErrAbortHandler {
 		panic(cause)
 	}
 	w.once.Do(func() {
 		w.aborted = true
-		close(w.begun)
+		close(w.started)
 	})
 	_ = w.body.CloseWithError(io.ErrUnexpectedEOF)
 }
@@ -139,7 +138,7 @@
 	w.once.Do(func() {
 		w.status = status
 		w.sent = w.header.Clone()
-		close(w.begun)
+		close(w.started)
 	})
 }
 
--- a/internal/standin/order.go
+++ b/internal/standin/order.go
@@ -14,17 +14,18 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// loadRanges is in how many range requests weights are read.
-const loadRanges = 8
+// rangesPerLoad is the number of range requests with which weights are read.
+const rangesPerLoad = 8
 
-// weights names what is loaded from the weight store.
-type weights struct {
+// weightKey identifies the weights of a model version or of an adapter.
+type weightKey struct {
 	model   string
 	version string
 	adapter string
 }
 
-func (w weights) path() string {
+// path returns the path of the weights at the weight store.
+func (w weightKey) path() string {
 	path := PathWeights + url.PathEscape(w.model) + "/" + url.PathEscape(w.version)
 	if w.adapter != "" {
 		path += "/" + url.PathEscape(w.adapter)
@@ -32,23 +33,23 @@
 	return path
 }
 
-// loading is a load in progress. It goes on when the call that began it is
-// gone; a resent order waits for the same load.
-type loading struct {
+// weightLoad is a load in progress. It continues after the call that started it has
+// ended, and an order that is sent again waits for the same load.
+type weightLoad struct {
 	cancel context.CancelCauseFunc
 	done   chan struct{}
 	// err is set before done is closed.
 	err error
 }
 
-// Order implements engine.Engine. Work that an order takes the ground from
-// fails: an engine does not wait for it.
+// Order implements engine.Engine. Work whose model is unloaded, or whose phase belongs to
+// another role, fails: the engine does not wait until it ends.
 func (e *Engine) Order(ctx context.Context, o engine.Order) error {
-	p, err := e.enter(ctx, OperationOrder)
+	p, err := e.beginCall(ctx, OperationOrder)
 	if err != nil {
 		return err
 	}
-	l, err := e.begin(p, o)
+	l, err := e.applyOrder(p, o)
 	if l == nil || err != nil {
 		return err
 	}
@@ -56,28 +57,29 @@
 	case <-l.done:
 		return l.err
 	case <-ctx.Done():
-		return ended(ctx)
+		return contextError(ctx)
 	}
 }
 
-// begin checks an order and carries it out, or starts its load.
-func (e *Engine) begin(p *process, o engine.Order) (*loading, error) {
+// applyOrder checks an order and applies it. For a load, it starts the load and returns
+// it.
+func (e *Engine) applyOrder(p *process, o engine.Order) (*weightLoad, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.config.IgnoresFencing {
 		if o.Fencing < p.fencing {
-			return nil, fail(oriolebend.ReasonOutdatedOrder, "order %d after %d", o.Fencing, p.fencing)
+			return nil, newError(oriolebend.ReasonOutdatedOrder, "order %d after %d", o.Fencing, p.fencing)
 		}
 		p.fencing = o.Fencing
 	}
-	w := weights{model: o.Model, version: o.Version, adapter: o.Adapter}
+	w := weightKey{model: o.Model, version: o.Version, adapter: o.Adapter}
 	switch o.Action {
 	case engine.OrderLoad:
 		w.adapter = ""
 		return e.startLoad(p, w)
 	case engine.OrderAdapter:
-		if !p.holds(o.Model, o.Version, "") {
-			return nil, fail(oriolebend.ReasonWrongModel, "%s %s is not loaded", o.Model, o.Version)
+		if !p.hasModel(o.Model, o.Version, "") {
+			return nil, newError(oriolebend.ReasonWrongModel, "%s %s is not loaded", o.Model, o.Version)
 		}
 		return e.startLoad(p, w)
 	case engine.OrderUnload:
@@ -86,60 +88,62 @@
 	case engine.OrderRole:
 		return nil, p.changeRole(o.Role)
 	default:
-		return nil, fail(oriolebend.ReasonMalformed, "unknown action %q", o.Action)
+		return nil, newError(oriolebend.ReasonMalformed, "unknown action %q", o.Action)
 	}
 }
 
-// startLoad returns the load of some weights; nil if they are held.
-func (e *Engine) startLoad(p *process, w weights) (*loading, error) {
+// startLoad starts the load of some weights, or returns the one in progress. It returns
+// nil if the weights are already loaded.
+func (e *Engine) startLoad(p *process, w weightKey) (*weightLoad, error) {
 	if w.model == "" || w.version == "" {
-		return nil, fail(oriolebend.ReasonMalformed, "a load names a model and a version")
+		return nil, newError(oriolebend.ReasonMalformed, "a load names a model and a version")
 	}
-	if p.holds(w.model, w.version, w.adapter) {
+	if p.hasModel(w.model, w.version, w.adapter) {
 		return nil, nil
 	}
-	if l, ok := p.loading[w]; ok {
+	if l, ok := p.loads[w]; ok {
 		return l, nil
 	}
 	ctx, cancel := context.WithCancelCause(p.ctx)
-	l := &loading{cancel: cancel, done: make(chan struct{})}
-	p.loading[w] = l
-	go e.load(ctx, p, w, l)
+	l := &weightLoad{cancel: cancel, done: make(chan struct{})}
+	p.loads[w] = l
+	go e.loadWeights(ctx, p, w, l)
 	return l, nil
 }
 
-// load reads weights and then holds the model.
-func (e *Engine) load(ctx context.Context, p *process, w weights, l *loading) {
+// loadWeights reads weights and then marks them as loaded.
+func (e *Engine) loadWeights(ctx context.Context, p *process, w weightKey, l *weightLoad) {
 	err := e.readWeights(ctx, w)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err == nil && ctx.Err() == nil {
-		p.hold(w)
+		p.addWeights(w)
 	} else {
-		l.err = endedOr(ctx, &engine.Error{Reason: oriolebend.ReasonEngineFailed, Detail: "load failed", Cause: err})
+		l.err = contextErrorOr(ctx, &engine.Error{Reason: oriolebend.ReasonEngineFailed, Detail: "load failed", Cause: err})
 	}
-	if p.loading[w] == l {
-		delete(p.loading, w)
+	if p.loads[w] == l {
+		delete(p.loads, w)
 	}
 	l.cancel(nil)
 	close(l.done)
 }
 
-// readWeights spends the time of a load.
-func (e *Engine) readWeights(ctx context.Context, w weights) error {
+// readWeights reads weights from the weight store, or waits for LoadTime if there is
+// none.
+func (e *Engine) readWeights(ctx context.Context, w weightKey) error {
 	if e.config.WeightStore == "" {
 		select {
 		case <-time.After(e.config.LoadTime):
 			return nil
 		case <-ctx.Done():
-			return ended(ctx)
+			return contextError(ctx)
 		}
 	}
 	size, err := e.weightSize(ctx, w)
 	if err != nil {
 		return err
 	}
-	piece := max((size+loadRanges-1)/loadRanges, 1)
+	piece := max((size+rangesPerLoad-1)/rangesPerLoad, 1)
 	for from := int64(0); from < size; from += piece {
 		to := min(from+piece, size) - 1
 		if err := e.readRange(ctx, w, from, to); err != nil {
@@ -149,44 +153,47 @@
 	return nil
 }
 
-func (e *Engine) weightSize(ctx context.Context, w weights) (int64, error) {
-	response, err := e.askStore(ctx, http.MethodHead, w, "")
+// weightSize returns the size of weights at the weight store.
+func (e *Engine) weightSize(ctx context.Context, w weightKey) (int64, error) {
+	response, err := e.requestWeights(ctx, http.MethodHead, w, "")
 	if err != nil {
 		return 0, err
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return 0, fail(oriolebend.ReasonEngineFailed, "weight store answered %s", response.Status)
+		return 0, newError(oriolebend.ReasonEngineFailed, "weight store answered %s", response.Status)
 	}
 	return strconv.ParseInt(response.Header.Get("Content-Length"), 10, 64)
 }
 
-func (e *Engine) readRange(ctx context.Context, w weights, from, to int64) error {
-	response, err := e.askStore(ctx, http.MethodGet, w, fmt.Sprintf("bytes=%d-%d", from, to))
+// readRange reads one byte range of weights.
+func (e *Engine) readRange(ctx context.Context, w weightKey, from, to int64) error {
+	response, err := e.requestWeights(ctx, http.MethodGet, w, fmt.Sprintf("bytes=%d-%d", from, to))
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusPartialContent {
-		return fail(oriolebend.ReasonEngineFailed, "weight store answered %s", response.Status)
+		return newError(oriolebend.ReasonEngineFailed, "weight store answered %s", response.Status)
 	}
 	_, err = io.Copy(io.Discard, response.Body)
 	return err
 }
 
-func (e *Engine) askStore(ctx context.Context, method string, w weights, span string) (*http.Response, error) {
+// requestWeights sends a request for weights to the weight store.
+func (e *Engine) requestWeights(ctx context.Context, method string, w weightKey, byteRange string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, e.config.WeightStore+w.path(), nil)
 	if err != nil {
 		return nil, err
 	}
-	if span != "" {
-		request.Header.Set("Range", span)
+	if byteRange != "" {
+		request.Header.Set("Range", byteRange)
 	}
 	return e.config.Transport.RoundTrip(request)
 }
 
-// hold adds loaded weights.
-func (p *process) hold(w weights) {
+// addWeights adds loaded weights to the models.
+func (p *process) addWeights(w weightKey) {
 	i := slices.IndexFunc(p.models, func(m oriolebend.LoadedModel) bool {
 		return m.Model == w.model && m.Version == w.version
 	})
@@ -198,30 +205,31 @@
 	}
 }
 
-// unload drops a model version and all that builds on it.
-func (p *process) unload(w weights) {
-	cause := fail(oriolebend.ReasonEngineFailed, "%s %s was unloaded", w.model, w.version)
+// unload removes a model version, cancels its loads and fails the work of its model if no
+// other version of it is loaded.
+func (p *process) unload(w weightKey) {
+	cause := newError(oriolebend.ReasonEngineFailed, "%s %s was unloaded", w.model, w.version)
 	p.models = slices.DeleteFunc(p.models, func(m oriolebend.LoadedModel) bool {
 		return m.Model == w.model && m.Version == w.version
 	})
-	for other, l := range p.loading {
+	for other, l := range p.loads {
 		if other.model == w.model && other.version == w.version {
-			delete(p.loading, other)
+			delete(p.loads, other)
 			l.cancel(cause)
 		}
 	}
-	p.failWork(cause, func(_ workKey, s *sequence) bool {
-		return s.model == w.model && !p.holds(w.model, "", "")
+	p.cancelWork(cause, func(_ workKey, s *sequence) bool {
+		return s.model == w.model && !p.hasModel(w.model, "", "")
 	})
 }
 
-// changeRole takes another pool role; work of the old one fails.
+// changeRole sets the pool role. Work of the other phase fails.
 func (p *process) changeRole(role oriolebend.PoolRole) error {
 	if role != oriolebend.Prefill && role != oriolebend.Decode {
-		return fail(oriolebend.ReasonMalformed, "unknown role %q", role)
+		return newError(oriolebend.ReasonMalformed, "unknown role %q", role)
 	}
 	p.role = role
-	cause := fail(oriolebend.ReasonEngineFailed, "role changed to %s", role)
-	p.failWork(cause, func(key workKey, _ *sequence) bool { return key.phase != phaseOf(role) })
+	cause := newError(oriolebend.ReasonEngineFailed, "role changed to %s", role)
+	p.cancelWork(cause, func(key workKey, _ *sequence) bool { return key.phase != phaseOf(role) })
 	return nil
 }
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -12,107 +12,107 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// process is one run of an engine: all that is lost when it dies. Its fields
-// are guarded by the engine's mutex, but for ctx.
+// process is one incarnation of an engine. It holds all state that is lost when the
+// engine crashes. The engine's mutex guards its fields, except ctx.
 type process struct {
-	config EngineConfig
-	ctx    context.Context
-	end    context.CancelCauseFunc
-	// number is the incarnation.
-	number uint64
+	config      EngineConfig
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	incarnation uint64
 
 	role    oriolebend.PoolRole
 	models  []oriolebend.LoadedModel
-	loading map[weights]*loading
+	loads   map[weightKey]*weightLoad
 	fencing uint64
 
-	work     map[workKey]*sequence
-	queue    []*sequence // prefills that are not computed yet
-	running  []*sequence // decodes whose KV cache is imported
-	batch    []*sequence // the decodes of the step in progress
-	exports  map[string]*export
-	arrivals uint64
-	used     int
-	looping  bool
-	cache    *cache
-	report   engine.LoadReport
+	work        map[workKey]*sequence
+	queue       []*sequence // prefills that are not yet computed
+	running     []*sequence // decodes whose KV cache is imported
+	batch       []*sequence // the decodes of the step in progress
+	exports     map[string]*export
+	arrivals    uint64
+	usedTokens  int
+	loopRunning bool
+	cache       *prefixCache
+	report      engine.LoadReport
 }
 
-func newProcess(c EngineConfig, number uint64) *process {
-	ctx, end := context.WithCancelCause(context.Background())
+func newProcess(c EngineConfig, incarnation uint64) *process {
+	ctx, cancel := context.WithCancelCause(context.Background())
 	p := &process{
-		config:  c,
-		ctx:     ctx,
-		end:     end,
-		number:  number,
-		role:    c.Role,
-		loading: make(map[weights]*loading),
-		work:    make(map[workKey]*sequence),
-		exports: make(map[string]*export),
-		cache:   newCache(c, number),
+		config:      c,
+		ctx:         ctx,
+		cancel:      cancel,
+		incarnation: incarnation,
+		role:        c.Role,
+		loads:       make(map[weightKey]*weightLoad),
+		work:        make(map[workKey]*sequence),
+		exports:     make(map[string]*export),
+		cache:       newCache(c, incarnation),
 	}
 	for _, m := range c.Models {
 		m.Adapters = slices.Clone(m.Adapters)
 		p.models = append(p.models, m)
 	}
-	p.report = p.load(time.Now().Truncate(c.LoadPeriod))
+	p.report = p.currentLoad(time.Now().Truncate(c.LoadPeriod))
 	return p
 }
 
-// refusal says why a sequence can't be admitted, or nil.
-func (p *process) refusal(s *sequence, n need) error {
+// checkAdmission returns an error if a sequence can't be admitted.
+func (p *process) checkAdmission(s *sequence, r requirement) error {
 	switch {
 	case p.ctx.Err() != nil:
-		return ended(p.ctx)
-	case p.role != n.role:
-		return fail(oriolebend.ReasonWrongRole, "engine is of role %s", p.role)
-	case !p.holds(n.model, n.version, n.adapter):
-		return fail(oriolebend.ReasonWrongModel, "%s %s %s is not loaded", n.model, n.version, n.adapter)
+		return contextError(p.ctx)
+	case p.role != r.role:
+		return newError(oriolebend.ReasonWrongRole, "engine is of role %s", p.role)
+	case !p.hasModel(r.model, r.version, r.adapter):
+		return newError(oriolebend.ReasonWrongModel, "%s %s %s is not loaded", r.model, r.version, r.adapter)
 	case p.work[s.key] != nil:
-		return fail(oriolebend.ReasonAttemptUsed, "attempt %d runs here", s.key.attempt.Number)
-	case p.used+s.tokens > p.config.KVTokens:
-		return fail(oriolebend.ReasonNoMemory, "%d of %d tokens are free, %d needed",
-			p.config.KVTokens-p.used, p.config.KVTokens, s.tokens)
+		return newError(oriolebend.ReasonAttemptUsed, "attempt %d runs here", s.key.attempt.Number)
+	case p.usedTokens+s.tokens > p.config.KVTokens:
+		return newError(oriolebend.ReasonNoMemory, "%d of %d tokens are free, %d needed",
+			p.config.KVTokens-p.usedTokens, p.config.KVTokens, s.tokens)
 	}
 	return nil
 }
 
-// add gives a sequence its memory.
-func (p *process) add(s *sequence) {
-	p.rollReport()
+// addSequence allocates the memory of a sequence.
+func (p *process) addSequence(s *sequence) {
+	p.updateReport()
 	p.arrivals++
-	s.arrived = p.arrivals
+	s.arrival = p.arrivals
 	p.work[s.key] = s
-	p.used += s.tokens
+	p.usedTokens += s.tokens
 }
 
-// drop frees a sequence's memory; it may be called again.
-func (p *process) drop(s *sequence) {
+// dropSequence frees the memory of a sequence. It may be called more than once.
+func (p *process) dropSequence(s *sequence) {
 	if p.work[s.key] != s {
 		return
 	}
-	p.rollReport()
+	p.updateReport()
 	delete(p.work, s.key)
-	p.used -= s.tokens
-	p.queue = without(p.queue, s)
-	p.running = without(p.running, s)
+	p.usedTokens -= s.tokens
+	p.queue = removeSequence(p.queue, s)
+	p.running = removeSequence(p.running, s)
 }
 
-// without removes a sequence and keeps the order of the others.
-func without(list []*sequence, s *sequence) []*sequence {
+// removeSequence removes a sequence from a list and keeps the order of the others.
+func removeSequence(list []*sequence, s *sequence) []*sequence {
 	if i := slices.Index(list, s); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
 
-// holds reports whether a model is loaded.
-func (p *process) holds(model, version, adapter string) bool {
+// hasModel reports whether a model is loaded. An empty version or adapter matches any.
+func (p *process) hasModel(model, version, adapter string) bool {
 	server := oriolebend.Server{Role: p.role, Models: p.models}
 	return server.Serves(p.role, model, version, adapter)
 }
 
-func (p *process) heldModels() []oriolebend.LoadedModel {
+// copyModels returns a copy of the loaded models.
+func (p *process) copyModels() []oriolebend.LoadedModel {
 	held := make([]oriolebend.LoadedModel, 0, len(p.models))
 	for _, m := range p.models {
 		m.Adapters = slices.Clone(m.Adapters)
@@ -121,24 +121,24 @@
 	return held
 }
 
-// load returns the true load as of a time.
-func (p *process) load(at time.Time) engine.LoadReport {
+// currentLoad returns the current load, with the given time as its time.
+func (p *process) currentLoad(at time.Time) engine.LoadReport {
 	return engine.LoadReport{
 		At:          at,
 		Running:     len(p.work) - len(p.queue),
 		Queued:      len(p.queue),
-		FreeTokens:  p.config.KVTokens - p.used,
+		FreeTokens:  p.config.KVTokens - p.usedTokens,
 		TotalTokens: p.config.KVTokens,
 	}
 }
 
-// rollReport brings the published report up to the last whole period. It is
-// called before each change of the load, so that the load it takes has held
-// since before the period's end.
-func (p *process) rollReport() {
+// updateReport updates the published report to the end of the last full period. It is
+// called before each change of the load, so that the load that it reads was already
+// in effect at the end of that period.
+func (p *process) updateReport() {
 	period := time.Now().Truncate(p.config.LoadPeriod)
 	if period.After(p.report.At) {
-		p.report = p.load(period)
+		p.report = p.currentLoad(period)
 	}
 }
 
@@ -151,17 +151,17 @@
 	)
 }
 
-// failWork ends the work that match picks.
-func (p *process) failWork(cause error, match func(workKey, *sequence) bool) {
+// cancelWork cancels the work for which match returns true.
+func (p *process) cancelWork(cause error, match func(workKey, *sequence) bool) {
 	for key, s := range p.work {
 		if match(key, s) {
-			p.drop(s)
+			p.dropSequence(s)
 			s.cancel(cause)
 		}
 	}
 }
 
-// phaseOf returns the phase that a pool role runs.
+// phaseOf returns the phase that engines of a pool role run.
 func phaseOf(role oriolebend.PoolRole) message.Phase {
 	if role == oriolebend.Decode {
 		return message.PhaseDecode
--- a/internal/standin/sample/association.go
+++ b/internal/standin/sample/association.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// TipPayment is the body of a call of liquidacion's /tips.
+// TipPayment is the body of a call to /tips of the service liquidacion.
 type TipPayment struct {
 	Tab      string `json:"tab"`
 	Bar      string `json:"bar"`
@@ -12,7 +12,7 @@
 	Night    string `json:"night"`
 }
 
-// Lists of places and words; they are read and never changed.
+// Lists of places and words. They must not be modified.
 var (
 	bars = []string{
 		"Taberna La Candelilla, Chapinero", "Bar Doña Ceci, Usaquén", "El Tiple Azul, Teusaquillo", "Cervecería Puente Largo, Fontibón",
@@ -31,8 +31,8 @@
 	}
 )
 
-// TabHistory returns a prompt that asks for a dispute summary from a history
-// of so many entries; about 26 tokens each.
+// TabHistory returns a prompt for a dispute summary of a tab history with the given number
+// of entries. Each entry has about 26 tokens.
 func TabHistory(seed uint64, entries int) string {
 	w := newWriter(seed)
 	w.line("Read the history of this open tab and write a dispute summary for the arbitration desk: what each card owes, which items")
--- a/internal/standin/sample/files.go
+++ b/internal/standin/sample/files.go
@@ -11,7 +11,7 @@
 	tabModel     = "lector-cuentas"
 )
 
-// Files returns the bodies of examples/requests by file name.
+// Files returns the request bodies of the files in examples/requests by file name.
 func Files() map[string]any {
 	return map[string]any{
 		"lintang-brief.json":           Completion{Model: lintangModel, Prompt: Brief(filesSeed, briefTrucks), MaxTokens: briefOutput},
--- a/internal/standin/sample/lintang.go
+++ b/internal/standin/sample/lintang.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Arrival is the body of a call of dispatch-api's /arrivals.
+// Arrival is the body of a call to /arrivals of the service dispatch-api.
 type Arrival struct {
 	Convoy    string `json:"convoy"`
 	Camp      string `json:"camp"`
@@ -13,7 +13,7 @@
 	Contact   string `json:"contact"`
 }
 
-// Lists of places and words; they are read and never changed.
+// Lists of places and words. They must not be modified.
 var (
 	depots = []string{"Gudang Gedebage", "Gudang Cimahi", "Gudang Jatinangor", "Gudang Pelabuhan Cirebon", "Gudang Cicalengka"}
 	camps  = []string{
@@ -41,8 +41,9 @@
 	sources = []string{"Satlantas Polres", "BPBD Jawa Barat", "driver by radio", "Dinas Perhubungan", "field liaison officer", "Jasa Marga patrol"}
 )
 
-// Brief returns a prompt that asks for a corridor plan from a manifest of so
-// many trucks and as many road reports; about 45 tokens each pair.
+// Brief returns a prompt for a corridor plan from a manifest with the given number of
+// trucks and the same number of road reports. A truck and a report together have about 45
+// tokens.
 func Brief(seed uint64, trucks int) string {
 	w := newWriter(seed)
 	w.line("You plan relief convoys in Jawa Barat. Write a corridor plan for the convoy below: the road for each truck, the order")
@@ -66,7 +67,7 @@
 	return w.String()
 }
 
-// Ping returns a live arrival update to a camp.
+// Ping returns an update on the arrival of a convoy at a camp.
 func Ping(seed uint64) Arrival {
 	w := newWriter(seed)
 	return Arrival{
@@ -80,7 +81,7 @@
 	}
 }
 
-// digits returns a random number as text of so many digits.
+// digits returns a random number with the given number of digits as text.
 func digits(w *writer, count int) string {
 	text := make([]byte, count)
 	for i := range text {
--- a/internal/standin/sample/sample.go
+++ b/internal/standin/sample/sample.go
@@ -1,6 +1,6 @@
-// Package sample writes realistic requests: corridor plans and arrival pings
-// of Lintang Rute Logistik, tab histories and tips of the bar association.
-// The same seed gives the same text.
+// Package sample generates realistic requests: corridor plans and arrival pings of Lintang
+// Rute Logistik, tab histories and tips of the bar association. The same seed always
+// generates the same text.
 package sample
 
 import (
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// Completion is the body of a POST to /v1/completions.
+// Completion is the body of a POST request to /v1/completions.
 type Completion struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 }
 
-// Encode returns a body as indented JSON with a line end.
+// Encode returns a body as indented JSON with a final newline.
 func Encode(body any) ([]byte, error) {
 	text, err := json.MarshalIndent(body, "", "  ")
 	if err != nil {
@@ -27,7 +27,7 @@
 	return append(text, '\n'), nil
 }
 
-// writer writes lines with a seeded choice of words.
+// writer writes lines with randomly selected words from a seeded source.
 type writer struct {
 	strings.Builder
 	random *rand.Rand
@@ -43,17 +43,17 @@
 	w.WriteByte('\n')
 }
 
-// pick chooses one of a list.
+// pick returns a random element of a list.
 func (w *writer) pick(list []string) string {
 	return list[w.random.IntN(len(list))]
 }
 
-// between chooses a number from low to high.
+// between returns a random number from low to high, inclusive.
 func (w *writer) between(low, high int) int {
 	return low + w.random.IntN(high-low+1)
 }
 
-// clock writes a time of day that lies so many minutes after another.
+// clock returns the time of day that is the given number of minutes after start, as text.
 func clock(start time.Duration, minutes int) string {
 	at := start + time.Duration(minutes)*time.Minute
 	return fmt.Sprintf("%02d:%02d", int(at.Hours())%24, int(at.Minutes())%60)
--- a/internal/standin/sample/sample_test.go
+++ b/internal/standin/sample/sample_test.go
@@ -10,7 +10,7 @@
 	"github.com/oriolebend/oriolebend/internal/prefix"
 )
 
-func TestFilesAreAsGenerated(t *testing.T) {
+func TestFilesMatchGenerator(t *testing.T) {
 	for name, body := range Files() {
 		is := is.New(t)
 		want, err := Encode(body)
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestSeeds(t *testing.T) {
+func TestSeedDeterminesText(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Brief(7, 5), Brief(7, 5))
 	is.True(Brief(7, 5) != Brief(8, 5))
--- a/internal/standin/sequence.go
+++ b/internal/standin/sequence.go
@@ -8,42 +8,42 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// workKey names the work of one attempt in one phase.
+// workKey identifies the work of one attempt in one phase.
 type workKey struct {
 	attempt message.Attempt
 	phase   message.Phase
 }
 
-// sequence is the work of one attempt in one phase, with the KV memory that
-// it holds. Its fields are guarded by the engine's mutex.
+// sequence is the work of one attempt in one phase, with the KV memory that it holds.
+// The engine's mutex guards its fields.
 type sequence struct {
 	key     workKey
 	model   string
 	urgency oriolebend.Urgency
-	// arrived orders sequences of the same urgency.
-	arrived uint64
-	// tokens is the KV memory held.
+	// arrival orders sequences of the same urgency.
+	arrival uint64
+	// tokens is the KV memory that the sequence holds, in tokens.
 	tokens int
 
-	// blocks, cached and remaining are of a prefill: its prefix, how much of
-	// it was cached, and how many tokens are still to be computed. cached is
-	// -1 until the prefill starts.
+	// blocks, cached and remaining are set for a prefill: the blocks of its prompt,
+	// the number of tokens that were cached, and the number of tokens that are still
+	// to be computed. cached is -1 until the prefill starts.
 	blocks    []prefix.Block
 	cached    int
 	remaining int
 
-	// produced and limit are of a decode: how many output tokens exist, and
-	// how many there will be.
+	// produced and limit are set for a decode: the number of output tokens so far,
+	// and the number of tokens of the complete output.
 	produced int
 	limit    int
 
-	// digest names the text of a prefill, and handle its result.
+	// digest identifies the text of a prefill, and handle its result.
 	digest uint64
 	handle string
 
-	// progress has an element when the work moved on.
+	// progress receives an element when the work has progressed.
 	progress chan struct{}
-	// cancel ends the work for a cause.
+	// cancel cancels the work with a cause.
 	cancel context.CancelCauseFunc
 }
 
@@ -66,10 +66,11 @@
 	}
 }
 
-// before orders work: urgent first, then by arrival.
-func (s *sequence) before(other *sequence) bool {
+// precedes reports whether a sequence is scheduled before another: urgent ones first, then by
+// arrival.
+func (s *sequence) precedes(other *sequence) bool {
 	if s.urgency != other.urgency {
 		return s.urgency == oriolebend.Urgent
 	}
-	return s.arrived < other.arrived
+	return s.arrival < other.arrival
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -11,11 +11,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PathStatus is the path under which a service tells the outcome of an
+// PathStatus is the path prefix under which a service returns the outcome of an
 // earlier call: /status/{identity}.
 const PathStatus = "/status/"
 
-// HeaderIdentity carries the identity of a call.
+// HeaderIdentity is the header with the identity of a call.
 const HeaderIdentity = "Idempotency-Key"
 
 // maxCallBytes bounds the body of a call.
@@ -23,47 +23,49 @@
 
 // ServiceConfig describes a stand-in plain service.
 type ServiceConfig struct {
-	// Name is put into each answer.
+	// Name is included in each response.
 	Name string
-	// Delay is how long an execution takes.
+	// Delay is the duration of an execution.
 	Delay time.Duration
-	// Ledger is shared by the servers of one service, as their database; nil
-	// means one of the server's own.
+	// Ledger is shared by the servers of one service, like a common database; nil
+	// means a ledger that only this server uses.
 	Ledger *Ledger
 }
 
-// ServiceAnswer is the body of a service's answer.
+// ServiceAnswer is the response body of a service.
 type ServiceAnswer struct {
 	Service  string `json:"service"`
 	Method   string `json:"method"`
 	Path     string `json:"path"`
 	Identity string `json:"identity,omitempty"`
-	// Payload is the hash of the call's body.
+	// Payload is the hash of the body of the call.
 	Payload string `json:"payload"`
 	// Execution counts the executions with this identity, from 1.
 	Execution int `json:"execution"`
 }
 
-// Fault is what goes wrong with one call of a service.
+// Fault is a fault that is injected into one call of a service.
 type Fault string
 
 // Faults of a service.
 const (
-	// FaultBefore breaks the connection off before the call is executed.
+	// FaultBefore aborts the connection before the call is executed.
 	FaultBefore Fault = "before"
-	// FaultAfter breaks it off after the execution: the answer is lost.
+	// FaultAfter aborts the connection after the execution, so that the response is
+	// lost.
 	FaultAfter Fault = "after"
-	// FaultDuring breaks it off while the call is executed, which goes on.
+	// FaultDuring aborts the connection while the call is executed. The execution
+	// continues.
 	FaultDuring Fault = "during"
-	// FaultHalf breaks it off in the middle of the answer's body.
+	// FaultHalf aborts the connection in the middle of the response body.
 	FaultHalf Fault = "half"
-	// FaultStatus executes nothing and answers 503.
+	// FaultStatus responds with status 503 and does not execute the call.
 	FaultStatus Fault = "status"
 )
 
-// Service is a stand-in plain service. It executes every call that reaches
-// it, also one that it has seen before, and counts: a call that the router
-// lets through twice shows. An execution goes on when its caller is gone.
+// Service is a stand-in plain service. It executes and counts every call that it
+// receives, including repeated ones, so that the count reveals a call that the router
+// sent twice. An execution continues after its caller has disconnected.
 type Service struct {
 	*Ledger
 	config ServiceConfig
@@ -81,8 +83,8 @@
 	return &Service{Ledger: c.Ledger, config: c, delay: c.Delay}
 }
 
-// Handler serves the service over HTTP. GET and HEAD have no side effect and
-// are not counted; every other method is.
+// Handler serves the service over HTTP. Calls with GET and HEAD have no side effects
+// and are not counted. Calls with any other method are counted.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathStatus+"{identity}", s.serveStatus)
@@ -90,14 +92,14 @@
 	return mux
 }
 
-// SetDelay changes how long an execution takes.
+// SetDelay sets the duration of an execution.
 func (s *Service) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// FailNext makes the next calls meet these faults, one each.
+// FailNext injects the faults into the next calls, one fault into each call.
 func (s *Service) FailNext(faults ...Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +124,7 @@
 	case FaultBefore:
 		panic(http.ErrAbortHandler)
 	case FaultDuring:
-		s.begin(answer.Identity)
+		s.recordStart(answer.Identity)
 		go s.execute(&answer)
 		panic(http.ErrAbortHandler)
 	case FaultStatus:
@@ -132,19 +134,20 @@
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		s.execute(&answer)
 	}
-	s.answer(w, answer, fault)
+	s.writeAnswer(w, answer, fault)
 }
 
-// execute spends the time of a call and counts it.
+// execute waits for the duration of a call and then counts the call.
 func (s *Service) execute(a *ServiceAnswer) {
-	s.begin(a.Identity)
+	s.recordStart(a.Identity)
 	s.mu.Lock()
 	delay := s.delay
 	s.mu.Unlock()
 	time.Sleep(delay)
-	s.end(a)
+	s.recordExecution(a)
 }
 
+// nextFault removes and returns the fault for the next call, or "" if there is none.
 func (s *Service) nextFault() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +159,7 @@
 	return fault
 }
 
-func (s *Service) answer(w http.ResponseWriter, a ServiceAnswer, fault Fault) {
+func (s *Service) writeAnswer(w http.ResponseWriter, a ServiceAnswer, fault Fault) {
 	if fault == FaultAfter {
 		panic(http.ErrAbortHandler)
 	}
@@ -171,8 +174,8 @@
 	_, _ = w.Write(text)
 }
 
-// serveStatus tells the outcome of an earlier call: 200 with its answer once
-// it was executed, 409 while it runs, 404 if it never came.
+// serveStatus returns the outcome of an earlier call: 200 with its response once the
+// call was executed, 409 while it runs, 404 if it was never received.
 func (s *Service) serveStatus(w http.ResponseWriter, r *http.Request) {
 	outcome, known := s.outcome(r.PathValue("identity"))
 	switch {
@@ -181,7 +184,7 @@
 	case outcome == nil:
 		http.Error(w, "the call runs", http.StatusConflict)
 	default:
-		s.answer(w, *outcome, "")
+		s.writeAnswer(w, *outcome, "")
 	}
 }
 
--- a/internal/standin/service_test.go
+++ b/internal/standin/service_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// TestExecutionOutlivesItsCaller: symptom: a caller that left is told "not run"
-// of a call that ran. Sequence: the caller leaves while the call is executed.
-// Cause: a service knows nothing of its callers' connections.
-func TestExecutionOutlivesItsCaller(t *testing.T) {
+// TestExecutionOutlivesCaller guards against a "not run" report for a call that ran, when
+// the caller disconnects while the call is executed. A service does not notice that its
+// callers have disconnected.
+func TestExecutionOutlivesCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewService(ServiceConfig{Delay: time.Minute})
@@ -26,18 +26,18 @@
 		request.Header.Set(HeaderIdentity, "k1")
 		_, err = client.Do(request)
 		is.True(err != nil)
-		is.Equal(status(t, client, "k1"), http.StatusConflict) // it runs
-		is.Equal(status(t, client, "k2"), http.StatusNotFound)
+		is.Equal(callStatus(t, client, "k1"), http.StatusConflict) // still running
+		is.Equal(callStatus(t, client, "k2"), http.StatusNotFound)
 		time.Sleep(time.Minute)
 		is.Equal(s.ByIdentity("k1"), 1)
-		is.Equal(status(t, client, "k1"), http.StatusOK)
+		is.Equal(callStatus(t, client, "k1"), http.StatusOK)
 	})
 }
 
-// TestServersShareALedger: symptom: a tip is paid twice and no count shows it.
-// Sequence: one call goes to two servers of a service. Cause: each would count
-// one execution.
-func TestServersShareALedger(t *testing.T) {
+// TestServersShareLedger guards against a tip that is paid twice without any count that
+// shows it. If one call is sent to two servers of a service with separate ledgers, each
+// server counts one execution.
+func TestServersShareLedger(t *testing.T) {
 	is := is.New(t)
 	ledger := NewLedger()
 	for range 2 {
@@ -54,7 +54,7 @@
 	is.Equal(ledger.ByPayload([]byte("{}")), 2)
 }
 
-func status(t *testing.T, c http.Client, identity string) int {
+func callStatus(t *testing.T, c http.Client, identity string) int {
 	t.Helper()
 	response, err := c.Get("http://s" + PathStatus + identity)
 	is.New(t).NoErr(err)
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -8,48 +8,48 @@
 	"time"
 )
 
-// PathWeights is the path of weights: /weights/{model}/{version} and
+// PathWeights is the path prefix of weights: /weights/{model}/{version} and
 // /weights/{model}/{version}/{adapter}.
 const PathWeights = "/weights/"
 
-// Values that stand in for zero values of WeightStoreConfig.
+// Default values of WeightStoreConfig.
 const (
 	defaultWeightBytes  = 16 << 30
 	defaultAdapterBytes = 256 << 20
-	defaultStoreBytes   = 4e9
+	defaultStoreRate    = 4e9
 )
 
 // WeightStoreConfig describes a weight store.
 type WeightStoreConfig struct {
-	// Bytes is the rate of the store in bytes a second, shared by all loads;
+	// Bytes is the rate of the store in bytes per second, which all loads share;
 	// zero means 4e9.
 	Bytes float64
-	// WeightBytes and AdapterBytes are the sizes of any model and any adapter;
-	// zero means 16 GiB and 256 MiB.
+	// WeightBytes and AdapterBytes are the sizes of each model and each adapter in
+	// bytes; zero means 16 GiB and 256 MiB.
 	WeightBytes  int64
 	AdapterBytes int64
-	// BodyScale divides the bytes really carried; zero means 100,000. The time
-	// of all bytes is paid. Sizes and ranges of the protocol count the bytes
-	// carried.
+	// BodyScale is the factor by which the weights are scaled down in responses; zero
+	// means 100,000. A load takes the time of the unscaled size. Sizes and ranges in
+	// the protocol refer to the scaled-down bytes.
 	BodyScale int64
 }
 
-// defaultStoreScale makes 160 kB of a model's 16 GiB.
-const defaultStoreScale = 100_000
+// defaultStoreBodyScale scales a model of 16 GiB down to 172 kB.
+const defaultStoreBodyScale = 100_000
 
-// WeightStore serves model weights at a limited rate, whole or by range.
+// WeightStore serves model weights at a limited rate, completely or by range.
 type WeightStore struct {
 	config WeightStoreConfig
-	// Link carries all loads; stall it to break them.
+	// Link is the link of all loads. A test can stall it to stop them.
 	Link *Link
 }
 
 // NewWeightStore returns a weight store.
 func NewWeightStore(c WeightStoreConfig) *WeightStore {
-	setDefault(&c.Bytes, defaultStoreBytes)
+	setDefault(&c.Bytes, defaultStoreRate)
 	setDefault(&c.WeightBytes, defaultWeightBytes)
 	setDefault(&c.AdapterBytes, defaultAdapterBytes)
-	setDefault(&c.BodyScale, defaultStoreScale)
+	setDefault(&c.BodyScale, defaultStoreBodyScale)
 	return &WeightStore{config: c, Link: NewLink(c.Bytes)}
 }
 
@@ -75,8 +75,8 @@
 	http.ServeContent(w, r, "", time.Time{}, &weightReader{ctx: r.Context(), store: s, size: size})
 }
 
-// weightReader reads zeroes, each of which pays for BodyScale bytes at the
-// store's link.
+// weightReader reads zeroes. Each byte that it reads counts as BodyScale bytes on the
+// link of the store.
 type weightReader struct {
 	ctx   context.Context
 	store *WeightStore
