--- a/internal/policy/fair_queue.go
+++ b/internal/policy/fair_queue.go
@@ -7,9 +7,9 @@
 const maxUrgentRun = 7
 
 // FairQueue orders waiting items: urgent before patient, then fairly between
-// organisations by their shares, then in order of arrival. Apart from a scan of one
-// organisation's items or of all flows in Remove, each operation takes logarithmic
-// time in the number of waiting organisations at most.
+// organisations by their shares, then in order of arrival. Push and Pop take
+// logarithmic time in the number of waiting organisations at most. Remove scans the
+// items of one organisation, and all flows if that organisation has no items left.
 type FairQueue[T comparable] struct {
 	urgent  urgencyClass[T]
 	patient urgencyClass[T]
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -140,7 +140,7 @@
 	return &DamageError{Offset: at, Detail: detail}
 }
 
-// mix hashes a number with the finaliser of SplitMix64.
+// mix spreads a number over all 64 bits with the finaliser of SplitMix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -26,7 +26,7 @@
 	fencing uint64
 
 	work        map[workKey]*sequence
-	queue       []*sequence // prefills that are not yet computed
+	queue       []*sequence // prefills that are not computed yet
 	running     []*sequence // decodes whose KV cache is imported
 	batch       []*sequence // the decodes of the step in progress
 	exports     map[string]*export
