--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -183,7 +183,7 @@
 		Role:        p.role,
 		Models:      p.copyModels(),
 		KVTokens:    e.config.KVTokens,
-		LinkBytes:   e.link.Bytes(),
+		LinkBytes:   e.link.BytesPerSecond(),
 		BlockTokens: e.config.BlockTokens,
 		Fencing:     p.fencing,
 		Incarnation: p.incarnation,
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -30,8 +30,8 @@
 	return int64(l.limiter.Burst())
 }
 
-// Bytes returns the rate in bytes per second.
-func (l *Link) Bytes() float64 {
+// BytesPerSecond returns the rate in bytes per second.
+func (l *Link) BytesPerSecond() float64 {
 	return float64(l.limiter.Limit())
 }
 
