--- a/internal/engine/enginetest/cancel.go
+++ b/internal/engine/enginetest/cancel.go
@@ -52,6 +52,7 @@
 	}},
 }
 
+// startPrefill starts a long prefill and returns the channel that receives its error.
 func (b *testbed) startPrefill(ctx context.Context, request string) <-chan error {
 	return runAsync(func() error {
 		_, err := b.Prefill.Prefill(ctx, prefillRequest(request, prompt("long", 2000)))
@@ -59,6 +60,7 @@
 	})
 }
 
+// startDecode starts a decode and returns the channel that receives its error.
 func (b *testbed) startDecode(ctx context.Context, r engine.DecodeRequest) <-chan error {
 	return runAsync(func() error {
 		_, err := b.decode(ctx, r)
@@ -80,7 +82,7 @@
 			b.NoErr(b.Prefill.Cancel(b.ctx, attempt("unknown", 1)))
 		}},
 		{name: "other attempt of the request", run: cancelOtherAttempt},
-		{name: "emit returns an error", run: receiverRefuses},
+		{name: "emit returns an error", run: emitFails},
 	}
 	for _, s := range cancelPoints {
 		cases = append(cases,
@@ -122,11 +124,11 @@
 	b.NoErr(<-done)
 }
 
-func receiverRefuses(b *testbed) {
+func emitFails(b *testbed) {
 	result := b.mustPrefill("r", "text")
-	refusal := &engine.Error{Reason: oriolebend.ReasonLeaseEnded}
-	err := b.Decode.Decode(b.ctx, decodeRequest("r", "text", result), func(message.Part) error { return refusal })
+	emitErr := &engine.Error{Reason: oriolebend.ReasonLeaseEnded}
+	err := b.Decode.Decode(b.ctx, decodeRequest("r", "text", result), func(message.Part) error { return emitErr })
 	b.wantReason(err, oriolebend.ReasonCallerCancelled)
-	b.True(errors.Is(err, refusal)) // the error of emit is the cause
+	b.True(errors.Is(err, emitErr)) // the error of emit is the cause
 	b.waitFreed(b.Decode)
 }
--- a/internal/engine/enginetest/enginetest.go
+++ b/internal/engine/enginetest/enginetest.go
@@ -159,7 +159,7 @@
 	next, finished := r.Offset, false
 	err := b.Decode.Decode(ctx, r, func(p message.Part) error {
 		if p.Attempt != r.Attempt || p.Offset != next || finished {
-			return fmt.Errorf("part %+v where %d of %+v was next: %w", p, next, r.Attempt, errors.ErrUnsupported)
+			return fmt.Errorf("got part %+v, want offset %d of attempt %+v: %w", p, next, r.Attempt, errors.ErrUnsupported)
 		}
 		next += p.Tokens
 		finished = p.Finish != ""
--- a/internal/policy/fair_queue_test.go
+++ b/internal/policy/fair_queue_test.go
@@ -83,25 +83,25 @@
 			case 2:
 				item, found := q.Pop()
 				if found != (len(held) > 0) || found && !held[item] {
-					t.Fatalf("popped %q of %d", item, len(held))
+					t.Fatalf("popped %q from a queue of %d items", item, len(held))
 				}
 				delete(held, item)
 				checkOrder(t, item, lastOf)
 			default:
 				for item := range held {
-					var was bool
-					var of string
+					var itemUrgent bool
+					var itemOrg string
 					var n int
-					_, _ = fmt.Sscanf(item, "%t %s %d", &was, &of, &n)
-					if !q.Remove(was, of, item) {
-						t.Fatalf("%q not found", item)
+					_, _ = fmt.Sscanf(item, "%t %s %d", &itemUrgent, &itemOrg, &n)
+					if !q.Remove(itemUrgent, itemOrg, item) {
+						t.Fatalf("item %q not found", item)
 					}
 					delete(held, item)
 					break
 				}
 			}
 			if q.Len() != len(held) {
-				t.Fatalf("length %d of %d", q.Len(), len(held))
+				t.Fatalf("length is %d, want %d", q.Len(), len(held))
 			}
 		}
 	})
@@ -117,7 +117,7 @@
 	_, _ = fmt.Sscanf(item, "%t %s %d", &urgent, &org, &n)
 	key := fmt.Sprint(urgent, org)
 	if last, seen := lastOf[key]; seen && n < last {
-		t.Fatalf("%q after %d", item, last)
+		t.Fatalf("item %q was popped after item %d", item, last)
 	}
 	lastOf[key] = n
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -62,7 +62,7 @@
 				seen[m] = true
 			}
 			if len(seen) != len(picked) || len(picked) != expected {
-				t.Fatalf("%s picked %d, %d different, of %d", name, len(picked), len(seen), expected)
+				t.Fatalf("policy %s picked %d members, %d of them distinct, want %d", name, len(picked), len(seen), expected)
 			}
 		}
 	})
--- a/internal/policy/pool.go
+++ b/internal/policy/pool.go
@@ -70,8 +70,9 @@
 const loadBound = 1.25
 
 // ringOwner returns the first member at or after a hash on the ring that is neither
-// already picked nor over the load bound. If every such member is over the bound, it
-// returns the first one that is not picked.
+// already picked nor over the load bound. It examines at most 4*ringPoints points. If
+// every member found there is over the bound or picked, it returns the first one that is
+// not picked.
 func (p *Pool[T]) ringOwner(hash uint64, picked []T) (T, bool) {
 	var first T
 	found := false
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -30,12 +30,12 @@
 		prompt := strings.Join(rapid.SliceOfN(rapid.StringMatching(`[a-z]{1,20}`), 0, 200).Draw(t, "words"), " ")
 		blocks := Blocks("planner-lm", prompt, 4)
 		if len(blocks) != CountTokens(prompt)/4 {
-			t.Fatalf("%d blocks of %d tokens", len(blocks), CountTokens(prompt))
+			t.Fatalf("got %d blocks for %d tokens", len(blocks), CountTokens(prompt))
 		}
 		for i, hash := range Hashes("planner-lm", prompt, 4, 20) {
 			block := blocks[1<<i-1]
 			if block.Hash != hash || block.Tokens != Tokens(4, i) {
-				t.Fatalf("hash %d is %x, block %+v", i, hash, block)
+				t.Fatalf("hash %d is %x, want that of block %+v", i, hash, block)
 			}
 		}
 	})
--- a/internal/requestlog/history_test.go
+++ b/internal/requestlog/history_test.go
@@ -34,7 +34,7 @@
 	t.Helper()
 	paths, err := filepath.Glob(pattern)
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no cases: %v", err)
+		t.Fatalf("no test cases: %v", err)
 	}
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
--- a/internal/standin/answer/answer_test.go
+++ b/internal/standin/answer/answer_test.go
@@ -21,10 +21,10 @@
 			t.Fatal("complete answer refused")
 		}
 		if prefix.CountTokens(text) != tokens || tokens > bound {
-			t.Fatalf("%d tokens, counted %d, bound %d", tokens, prefix.CountTokens(text), bound)
+			t.Fatalf("%d tokens, counted as %d, limit %d", tokens, prefix.CountTokens(text), bound)
 		}
 		if (finish == message.FinishLength) != (Of("planner-lm", "", prompt).Natural() > bound) {
-			t.Fatalf("finish %s at %d of bound %d", finish, tokens, bound)
+			t.Fatalf("finish is %s after %d tokens with a limit of %d", finish, tokens, bound)
 		}
 	})
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -22,7 +22,7 @@
 
 	mu         sync.Mutex
 	process    *process
-	unfrozen   chan struct{}
+	unfrozen   chan struct{} // closed when a freeze ends; nil if the engine is not frozen
 	slowFactor float64
 	failNext   map[Operation]oriolebend.Reason
 	stats      Stats
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -16,7 +16,7 @@
 type Link struct {
 	limiter *rate.Limiter
 	mu      sync.Mutex
-	resumed chan struct{}
+	resumed chan struct{} // closed when a stall ends; nil if the link is not stalled
 }
 
 // NewLink returns a link with the given rate.
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -113,12 +113,12 @@
 
 // copyModels returns a copy of the loaded models.
 func (p *process) copyModels() []oriolebend.LoadedModel {
-	held := make([]oriolebend.LoadedModel, 0, len(p.models))
+	models := make([]oriolebend.LoadedModel, 0, len(p.models))
 	for _, m := range p.models {
 		m.Adapters = slices.Clone(m.Adapters)
-		held = append(held, m)
+		models = append(models, m)
 	}
-	return held
+	return models
 }
 
 // currentLoad returns the current load, with the given time as its time.
