--- a/internal/requestlog/history_test.go
+++ b/internal/requestlog/history_test.go
@@ -13,9 +13,9 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TestExplain reads the logs in each file of testdata and compares the history of the
+// TestExplainFromLogs reads the logs in each file of testdata and compares the history of the
 // request that the file names with the expected one.
-func TestExplain(t *testing.T) {
+func TestExplainFromLogs(t *testing.T) {
 	runCases(t, "testdata/*.txtar", func(t *testing.T, c logCase) {
 		history, err := Explain(c.request, c.logs...)
 		is.New(t).Equal(formatHistory(history, err), c.want)
