--- a/internal/policy/fairqueue_test.go
+++ b/internal/policy/fair_queue_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a brief waits forever under a steady load of pings.
-func TestPatientAdvancesUnderUrgent(t *testing.T) {
+// Guards against the starvation of patient items under a steady load of urgent items.
+func TestPatientItemsAdvanceUnderUrgentLoad(t *testing.T) {
 	is := is.New(t)
 	var q FairQueue[string]
 	q.Push(false, "org", 1, "brief")
@@ -22,10 +22,10 @@
 		}
 		taken++
 	}
-	is.Equal(taken, urgentRun)
+	is.Equal(taken, maxUrgentRun)
 }
 
-// Symptom: one organisation's flood makes all others wait.
+// Guards against one organisation's burst of items delaying all other organisations.
 func TestSharesOfOrganisations(t *testing.T) {
 	is := is.New(t)
 	var q FairQueue[string]
@@ -46,8 +46,8 @@
 	is.True(got["flood"] >= 9 && got["flood"] <= 11)
 }
 
-// An organisation that was away has no turns saved up.
-func TestComingBackSavesNoTurns(t *testing.T) {
+// An organisation that had no items for a while gets no extra turns afterwards.
+func TestIdleOrganisationAccumulatesNoTurns(t *testing.T) {
 	is := is.New(t)
 	var q FairQueue[string]
 	for range 50 {
@@ -66,7 +66,7 @@
 	is.True(got["steady"] >= 4)
 }
 
-// Nothing is lost, doubled or reordered within an organisation and urgency.
+// No item is lost, duplicated or reordered within one organisation and urgency.
 func TestFairQueueKeepsItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q FairQueue[string]
@@ -83,25 +83,25 @@
 			case 2:
 				item, found := q.Pop()
 				if found != (len(held) > 0) || found && !held[item] {
-					t.Fatalf("popped %q of %d", item, len(held))
+					t.Fatalf("popped %q from a queue of %d items", item, len(held))
 				}
 				delete(held, item)
 				checkOrder(t, item, lastOf)
 			default:
 				for item := range held {
-					var was bool
-					var of string
+					var itemUrgent bool
+					var itemOrg string
 					var n int
-					_, _ = fmt.Sscanf(item, "%t %s %d", &was, &of, &n)
-					if !q.Remove(was, of, item) {
-						t.Fatalf("%q not found", item)
+					_, _ = fmt.Sscanf(item, "%t %s %d", &itemUrgent, &itemOrg, &n)
+					if !q.Remove(itemUrgent, itemOrg, item) {
+						t.Fatalf("item %q not found", item)
 					}
 					delete(held, item)
 					break
 				}
 			}
 			if q.Len() != len(held) {
-				t.Fatalf("length %d of %d", q.Len(), len(held))
+				t.Fatalf("length is %d, want %d", q.Len(), len(held))
 			}
 		}
 	})
@@ -117,7 +117,7 @@
 	_, _ = fmt.Sscanf(item, "%t %s %d", &urgent, &org, &n)
 	key := fmt.Sprint(urgent, org)
 	if last, seen := lastOf[key]; seen && n < last {
-		t.Fatalf("%q after %d", item, last)
+		t.Fatalf("item %q was popped after item %d", item, last)
 	}
 	lastOf[key] = n
 }
