--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,6 +1,6 @@
-// Package fixedseed has the random tests of a package draw the same on every
-// run, so that one commit gets one verdict. A longer search is a matter of
-// flags: go test -rapid.seed=N -rapid.checks=N.
+// Package fixedseed gives the property-based tests of a package a fixed seed, so that
+// every run of the same commit has the same result. Flags start a longer search:
+// go test -rapid.seed=N -rapid.checks=N.
 package fixedseed
 
 import (
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// seed is what tests draw from unless a flag says otherwise.
+// seed is the seed of tests unless a flag sets another one.
 const seed = "1"
 
 // Run runs the tests of a package that uses pgregory.net/rapid and returns the
-// exit code for os.Exit. A seed given by flag stays.
+// exit code for os.Exit. A seed that is given as a flag takes precedence.
 func Run(m *testing.M) int {
 	flag.Parse()
 	given := false
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context may cut short.
+// Package pause waits for a duration or until a context ends.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits and reports whether ctx still lives.
+// For waits for d. It returns true after d has passed, and false as soon as ctx is done.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/soak/crash_test.go
+++ b/internal/soak/crash_test.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// crashing is the path of a request that ends each server which begins to run it.
+	// crashing is the path of a request that crashes every server that starts to run it.
 	crashing = "crashes"
-	// crashLimit servers may end under it; it may then reach servers as often again later
-	// than crashSettle after the last of these ends, from forwarders that nothing happened
-	// to for as long before.
+	// crashLimit is how many servers the request may crash. Later than crashSettle after the
+	// last of these crashes, it may crash as many servers again through forwarders that were
+	// undisturbed for crashSettle.
 	crashLimit  = 3
 	crashSettle = 3 * time.Second
-	// backAfter is how long a server is away that has ended.
-	backAfter = 300 * time.Millisecond
+	// restartDelay is for how long a crashed server is unreachable.
+	restartDelay = 300 * time.Millisecond
 )
 
-// crashes is the request that ends servers: who sent it, and which servers ended.
+// crashes records the sends of the request that crashes servers, and the crashes.
 type crashes struct {
-	mutex sync.Mutex
-	ends  []end
-	// sent names the forwarder that each try went to.
+	mutex   sync.Mutex
+	crashed []crash
+	// sent holds the address of the forwarder to which each try was sent.
 	sent map[string]string
 }
 
-// end is the end of a server under a try.
-type end struct {
+// crash is the crash of a server under a try.
+type crash struct {
 	at  time.Time
 	try string
 }
 
-// noteSent notes where a try goes.
+// noteSent records the forwarder to which a try is sent.
 func (c *crashes) noteSent(try, forwarder string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -47,14 +47,14 @@
 	c.sent[try] = forwarder
 }
 
-func (c *crashes) noteEnd(try string) {
+func (c *crashes) noteCrash(try string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.ends = append(c.ends, end{at: time.Now(), try: try})
+	c.crashed = append(c.crashed, crash{at: time.Now(), try: try})
 }
 
-// sendCrashing has the request come again and again, from callers at all forwarders, and
-// sometimes two at once.
+// sendCrashing repeats the request through randomly chosen forwarders, sometimes without
+// waiting between two tries.
 func (l *load) sendCrashing(ctx context.Context, s *system, f *fleet, random *rand.Rand) {
 	callers := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	var group sync.WaitGroup
@@ -62,7 +62,7 @@
 		address := s.callers[random.IntN(len(s.callers))]
 		try := fmt.Sprintf("crash-%d", n)
 		f.crashes.noteSent(try, address)
-		group.Go(func() { _, _ = ask(callers, address, crashing, try) })
+		group.Go(func() { _, _ = send(callers, address, crashing, try) })
 		if random.IntN(4) > 0 {
 			time.Sleep(time.Duration(50+random.IntN(200)) * time.Millisecond)
 		}
@@ -70,25 +70,25 @@
 	group.Wait()
 }
 
-// crash ends the server: its connections break and others are refused, until it is back
-// as a new instance at its address.
+// crash simulates a crash of the server: its connections are reset and new ones are
+// refused until it restarts as a new instance at the same address.
 func (v *server) crash(try string) {
-	v.fleet.crashes.noteEnd(try)
-	if v.ended.Swap(true) {
-		return // two tries reached it at the same moment
+	v.fleet.crashes.noteCrash(try)
+	if v.down.Swap(true) {
+		return // two tries reached the server at the same moment
 	}
-	v.needs.breaks()
+	v.notices.noteFault()
 	v.proxy.stop()
-	time.AfterFunc(backAfter, func() {
+	time.AfterFunc(restartDelay, func() {
 		v.restart()
-		v.ended.Store(false)
+		v.down.Store(false)
 		if err := v.proxy.listen(); err != nil && v.fleet.t.Context().Err() == nil {
 			v.fleet.t.Errorf("%s can't start again: %v", v.name, err)
 		}
 	})
 }
 
-// stop has the proxy refuse connections and breaks those that there are.
+// stop makes the proxy refuse new connections and resets the open ones.
 func (p *proxy) stop() {
 	p.mutex.Lock()
 	_ = p.listener.Close()
@@ -96,7 +96,7 @@
 	p.reset()
 }
 
-// listen takes connections at the proxy's address again.
+// listen accepts connections at the proxy's address again.
 func (p *proxy) listen() error {
 	listener, err := net.Listen("tcp", p.address())
 	if err != nil {
@@ -109,27 +109,26 @@
 	return nil
 }
 
-// check counts the ends that were late, by forwarders that nothing happened to.
+// check counts the late crashes that came through undisturbed forwarders.
 //
-// Symptom: server after server ends on a site on which processes are killed, paused and
-// restarted all the while. Sequence: a request ends each server that begins to run it; who
-// knew that is gone, or was told while it was paused. Cause: knowledge of one process, or
-// news that are told once.
+// It guards against a request that keeps crashing servers while processes are killed,
+// paused and restarted. Only one process knew that the request crashes servers and it has
+// exited, or the crashes were reported only once, to a process that was paused.
 func (c *crashes) check(t *testing.T, s *system) {
 	t.Helper()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	late := 0
-	for i, e := range c.ends {
-		if i < crashLimit || e.at.Sub(c.ends[crashLimit-1].at) <= crashSettle {
+	for i, e := range c.crashed {
+		if i < crashLimit || e.at.Sub(c.crashed[crashLimit-1].at) <= crashSettle {
 			continue
 		}
 		if !s.forwarderAt(c.sent[e.try]).disturbed(e.at) {
 			late++
 		}
 	}
-	t.Logf("%d servers ended under one request, %d of them late", len(c.ends), late)
+	t.Logf("%d servers crashed under one request, %d of them late", len(c.crashed), late)
 	if late > crashLimit {
-		t.Errorf("%d servers ended late under a request, %d are allowed", late, crashLimit)
+		t.Errorf("%d servers crashed late under a request, %d are allowed", late, crashLimit)
 	}
 }
--- a/internal/soak/fleet_test.go
+++ b/internal/soak/fleet_test.go
@@ -21,7 +21,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// fleet is the backend servers, which note what they ran.
+// fleet holds the backend servers and records the requests that they ran.
 type fleet struct {
 	t       *testing.T
 	system  *system
@@ -34,17 +34,17 @@
 	ran    map[string]int
 }
 
-// server is one backend server behind a proxy that breaks its connections.
+// server is a backend server behind a proxy that injects faults into its connections.
 type server struct {
 	fleet    *fleet
 	name     string
 	proxy    *proxy
-	needs    needs
+	notices  notices
 	sequence atomic.Uint64
 	instance atomic.Pointer[string]
 	starts   atomic.Int32
-	// ended is set while its process does not run.
-	ended atomic.Bool
+	// down is set from a crash to the restart.
+	down atomic.Bool
 }
 
 func startFleet(t *testing.T, s *system, random *rand.Rand) *fleet {
@@ -62,21 +62,21 @@
 	return f
 }
 
-func (f *fleet) mend() {
+func (f *fleet) clearFaults() {
 	for _, v := range f.servers {
-		v.proxy.mend()
+		v.proxy.clearFaults()
 	}
 }
 
-// restart gives the server a new instance: requests that expect the old one are
-// not run.
+// restart gives the server a new instance name. It refuses requests that expect the old
+// instance.
 func (v *server) restart() {
 	name := fmt.Sprintf("%s.%d", v.name, v.starts.Add(1))
 	v.instance.Store(&name)
-	v.needs.end()
+	v.notices.end()
 }
 
-// ServeHTTP runs a request, or does what a faulty server does.
+// ServeHTTP runs a request or simulates a faulty server.
 func (v *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if expected := r.Header.Get("Oriolebend-Instance"); expected != *v.instance.Load() {
@@ -86,7 +86,7 @@
 	}
 	id := r.Header.Get("Oriolebend-Request")
 	v.fleet.callers.note(r)
-	if v.needs.meet(w, r, *v.instance.Load()) {
+	if v.notices.apply(w, r, *v.instance.Load()) {
 		return
 	}
 	if strings.HasPrefix(r.URL.Path, "/"+crashing+"/") {
@@ -106,7 +106,7 @@
 		w.Header().Set("Oriolebend-Ran", "no")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case luck < 8:
-		panic(http.ErrAbortHandler) // it ran, and its answer is lost
+		panic(http.ErrAbortHandler) // the request ran, and its response is lost
 	case luck < 11:
 		w.Header().Set("Content-Length", "1000")
 		_, _ = io.WriteString(w, "half an answer")
@@ -118,7 +118,7 @@
 	}
 }
 
-// announce tells control VMs of the server, one after the other.
+// announce announces the server to the control VMs in turn.
 func (v *server) announce(ctx context.Context) {
 	controls := append([]string{"127.0.2.9"}, v.fleet.system.controls...)
 	for n := 0; ctx.Err() == nil; n++ {
@@ -141,22 +141,22 @@
 	}
 }
 
-// proxy passes connections on to a server, and breaks them when told to.
+// proxy forwards connections to a server and injects faults into them.
 type proxy struct {
 	to string
 	at string
 
-	mutex       sync.Mutex
-	listener    net.Listener
-	connections map[net.Conn]struct{}
-	silentUntil time.Time
-	delayUntil  time.Time
+	mutex        sync.Mutex
+	listener     net.Listener
+	connections  map[net.Conn]struct{}
+	stalledUntil time.Time
+	delayUntil   time.Time
 }
 
 func startProxy(t *testing.T, to string) *proxy {
 	t.Helper()
-	// No connection goes out from this address, so that none takes the port while the
-	// server is away.
+	// No outgoing connection uses this address, so that none takes the port while the
+	// server is down.
 	listener, err := net.Listen("tcp", "127.0.2.100:0")
 	is.New(t).NoErr(err)
 	p := &proxy{listener: listener, at: listener.Addr().String(), to: to, connections: map[net.Conn]struct{}{}}
@@ -165,7 +165,7 @@
 	return p
 }
 
-// accept passes connections on until the listener is closed.
+// accept forwards connections until the listener is closed.
 func (p *proxy) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -211,13 +211,13 @@
 	}
 }
 
-// hold waits while the proxy is silent, or a little while it is slow.
+// hold waits until the end of a stall, and adds a short delay while the proxy is slow.
 func (p *proxy) hold() {
 	p.mutex.Lock()
-	silent, slow := time.Until(p.silentUntil), time.Now().Before(p.delayUntil)
+	stalled, slow := time.Until(p.stalledUntil), time.Now().Before(p.delayUntil)
 	p.mutex.Unlock()
-	if silent > 0 {
-		time.Sleep(silent)
+	if stalled > 0 {
+		time.Sleep(stalled)
 	}
 	if slow {
 		time.Sleep(20 * time.Millisecond)
@@ -247,10 +247,10 @@
 	}
 }
 
-func (p *proxy) silence(length time.Duration) {
+func (p *proxy) stall(length time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.silentUntil = time.Now().Add(length)
+	p.stalledUntil = time.Now().Add(length)
 }
 
 func (p *proxy) delay(length time.Duration) {
@@ -259,8 +259,8 @@
 	p.delayUntil = time.Now().Add(length)
 }
 
-func (p *proxy) mend() {
+func (p *proxy) clearFaults() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.silentUntil, p.delayUntil = time.Time{}, time.Time{}
+	p.stalledUntil, p.delayUntil = time.Time{}, time.Time{}
 }
--- a/internal/soak/load_test.go
+++ b/internal/soak/load_test.go
@@ -13,19 +13,19 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// told is what one caller was told of one request.
-type told struct {
+// result is what a caller received for one request.
+type result struct {
 	id     string
 	once   bool
-	status int // 0 if there was no whole answer
+	status int // 0 without a complete response
 	body   string
 }
 
-// load is callers that ask until they are stopped.
+// load is a group of callers that send requests until they are stopped.
 type load struct {
-	group sync.WaitGroup
-	mutex sync.Mutex
-	told  []told
+	group   sync.WaitGroup
+	mutex   sync.Mutex
+	results []result
 }
 
 func startLoad(ctx context.Context, s *system, f *fleet, count int, seed uint64) *load {
@@ -42,7 +42,7 @@
 
 func (l *load) wait() { l.group.Wait() }
 
-// call asks one forwarder after the other, on connections that are kept.
+// call sends requests to randomly chosen forwarders over persistent connections.
 func (l *load) call(ctx context.Context, s *system, caller int, random *rand.Rand) {
 	http := &http.Client{Timeout: 5 * time.Second}
 	for n := 0; ctx.Err() == nil; n++ {
@@ -50,20 +50,20 @@
 		if random.IntN(2) == 0 {
 			path = "safe"
 		}
-		t := told{id: fmt.Sprintf("c%d-%d", caller, n), once: path == "once"}
-		t.status, t.body = ask(http, s.callers[random.IntN(len(s.callers))], path, t.id)
+		t := result{id: fmt.Sprintf("c%d-%d", caller, n), once: path == "once"}
+		t.status, t.body = send(http, s.callers[random.IntN(len(s.callers))], path, t.id)
 		l.mutex.Lock()
-		l.told = append(l.told, t)
+		l.results = append(l.results, t)
 		l.mutex.Unlock()
 		time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 	}
 }
 
-func ask(c *http.Client, address, path, id string) (int, string) {
-	return askWith(c, address, path, id, keyOf(regular))
+func send(c *http.Client, address, path, id string) (int, string) {
+	return sendWithKey(c, address, path, id, keyOf(regular))
 }
 
-func askWith(c *http.Client, address, path, id, key string) (int, string) {
+func sendWithKey(c *http.Client, address, path, id, key string) (int, string) {
 	request, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/%s/x", address, path), nil)
 	if err != nil {
 		return 0, ""
@@ -86,13 +86,13 @@
 	return response.StatusCode, string(body)
 }
 
-// check holds what callers were told against what servers ran.
+// check compares the results of callers with the requests that servers ran.
 func (l *load) check(t *testing.T, f *fleet) {
 	t.Helper()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	good, unserved := 0, 0
-	for _, c := range l.told {
+	for _, c := range l.results {
 		if c.status == http.StatusTooManyRequests || c.status == http.StatusUnauthorized {
 			unserved++
 		}
@@ -107,38 +107,39 @@
 		case c.status == http.StatusOK && c.body != "ran "+c.id+" on "+path:
 			t.Errorf("%s was answered %q", c.id, c.body)
 		case c.status == http.StatusOK && ran == 0:
-			t.Errorf("%s was answered and never ran", c.id)
+			t.Errorf("%s was answered but never ran", c.id)
 		case (c.status == http.StatusServiceUnavailable || c.status == http.StatusTooManyRequests) && ran > 0:
 			t.Errorf("%s was refused as not run and ran %d times: %s", c.id, ran, c.body)
 		case c.status == http.StatusNotFound:
-			t.Errorf("%s was told that there is no route", c.id)
+			t.Errorf("%s was refused: no route", c.id)
 		case c.status == http.StatusUnauthorized && ownerOf(c.id) != stranger:
-			t.Errorf("%s was told that its key is not known", c.id)
+			t.Errorf("%s was refused: unknown key", c.id)
 		case ownerOf(c.id) == stranger && ran > 0:
-			t.Errorf("%s ran, and nobody holds its key", c.id)
+			t.Errorf("%s ran with a key that no organisation holds", c.id)
 		}
 		if c.status == http.StatusOK {
 			good++
 		}
 	}
-	t.Logf("%d of %d requests answered", good, len(l.told))
-	if asked := len(l.told) - unserved; good < asked/10 {
-		t.Errorf("only %d of %d requests were answered", good, asked)
+	t.Logf("%d of %d requests answered", good, len(l.results))
+	if admissible := len(l.results) - unserved; good < admissible/10 {
+		t.Errorf("only %d of %d requests were answered", good, admissible)
 	}
 }
 
-// operator declares one routing after the other.
+// operator declares new versions of the routing one after the other.
 type operator struct {
 	t      *testing.T
 	system *system
 	group  sync.WaitGroup
 
 	mutex sync.Mutex
-	// sent is the last version sent, accepted the last that was acknowledged.
+	// sent is the last version that was sent, accepted the last one that was acknowledged.
 	sent, accepted uint64
 }
 
-// routing has the routes of the load, and one that only this version has.
+// routing returns a version with the routes of the load and a route that only this version
+// has.
 func routing(version uint64) oriolebend.Routing {
 	route := func(name string, repeat oriolebend.RepeatRule, attempts int) oriolebend.Route {
 		return oriolebend.Route{
@@ -158,7 +159,7 @@
 	}
 }
 
-// declare has one more routing accepted, and reads it back.
+// declare declares the next version of the routing and reads it back.
 func (o *operator) declare(ctx context.Context) {
 	o.mutex.Lock()
 	o.sent++
@@ -168,7 +169,7 @@
 	ctx, cancel := context.WithTimeout(ctx, settle)
 	defer cancel()
 	if _, err := api.DeclareRouting(ctx, routing(version)); err != nil {
-		return // it may be in force or not
+		return // the outcome is unknown
 	}
 	o.mutex.Lock()
 	o.accepted = max(o.accepted, version)
@@ -191,29 +192,29 @@
 
 func (o *operator) wait() { o.group.Wait() }
 
-// keysInForce reports whether a forwarder knows the key of the last version, and not that
-// of the one before.
+// keysInForce reports whether a forwarder accepts the key of the last version and refuses
+// that of the previous one.
 func (o *operator) keysInForce(c *http.Client, address string) bool {
-	status, _ := askWith(c, address, "safe", "check", versionKey(o.accepted))
-	before, _ := askWith(c, address, "safe", "check", versionKey(o.accepted-1))
+	status, _ := sendWithKey(c, address, "safe", "check", versionKey(o.accepted))
+	before, _ := sendWithKey(c, address, "safe", "check", versionKey(o.accepted-1))
 	return status == http.StatusOK && before == http.StatusUnauthorized
 }
 
-// checkInForce waits until every forwarder obeys the last routing: its own route
-// is there, and that of the one before is not.
+// checkInForce waits until every forwarder applies the last routing: the route of that
+// version exists, and that of the previous version does not.
 func (o *operator) checkInForce(within time.Duration) {
 	o.t.Helper()
 	deadline := time.Now().Add(within)
 	http := &http.Client{Timeout: 3 * time.Second}
 	for _, address := range o.system.callers {
 		for {
-			status, _ := ask(http, address, fmt.Sprintf("only-%d", o.accepted), "check")
-			before, _ := ask(http, address, fmt.Sprintf("only-%d", o.accepted-1), "check")
+			status, _ := send(http, address, fmt.Sprintf("only-%d", o.accepted), "check")
+			before, _ := send(http, address, fmt.Sprintf("only-%d", o.accepted-1), "check")
 			if status != 404 && status != 0 && before == 404 && o.keysInForce(http, address) {
 				break
 			}
 			if time.Now().After(deadline) {
-				o.t.Errorf("%s does not obey version %d: %d, and %d for the one before", address, o.accepted, status, before)
+				o.t.Errorf("%s does not apply version %d: status %d, and %d for the previous version", address, o.accepted, status, before)
 				return
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/internal/soak/memory_test.go
+++ b/internal/soak/memory_test.go
@@ -23,37 +23,37 @@
 )
 
 const (
-	// slowPeers are the callers that each kind of load has at a forwarder at a time.
+	// slowPeers is the number of concurrent callers of each kind of load.
 	slowPeers = 120
-	// idleConnections are more than a VM of memoryMB has room for.
+	// idleConnections is more than a VM with memoryMB has room for.
 	idleConnections = 3000
-	// longAnswer, longEvent and longBody are the bytes of long answers, events of streams and
-	// requests.
+	// longAnswer, longEvent and longBody are the sizes in bytes of long response bodies, stream
+	// events and request bodies.
 	longAnswer = 2 << 20
 	longEvent  = 1000 << 10
 	longBody   = 3900 << 10
-	// slowFor is for how long slow callers stay.
+	// slowFor is for how long each load runs.
 	slowFor = 8 * time.Second
-	// pingWithin is the target of a ping, inTimeShare how many must meet it.
+	// pingWithin is the target duration of a ping, inTimeShare the share that must meet it.
 	pingWithin  = 300 * time.Millisecond
 	inTimeShare = 0.99
-	// refusedFor is for how long a caller stays away whose connection ended.
-	refusedFor = 250 * time.Millisecond
+	// reconnectDelay is for how long a caller waits after its connection has ended.
+	reconnectDelay = 250 * time.Millisecond
 )
 
-// memorySite is the product with servers that answer at once, with long answers, and not at
-// all.
+// memorySite is the product with servers that answer immediately, send a long response, read
+// nothing, or send a stream event that does not end.
 type memorySite struct {
 	t         *testing.T
 	system    *system
 	forwarder *process
 	address   string
-	// direct is the server of pings.
+	// direct is the address of the server that answers pings.
 	direct string
 }
 
 // TestMemoryHoldsUnderSlowPeers guards against callers and servers that each stay within their
-// bounds, send or read slowly, and together take the memory of a small VM.
+// limits but send or read slowly, and together exhaust the memory of a small VM.
 func TestMemoryHoldsUnderSlowPeers(t *testing.T) {
 	s := startMemorySite(t)
 	for _, load := range []struct {
@@ -62,9 +62,9 @@
 		max  int
 	}{
 		{"callers that read nothing", s.readsNothing, slowPeers},
-		{"uploads that do not end", s.uploadsForEver, slowPeers},
-		{"uploads of unknown length that do not end", s.uploadsChunksForEver, slowPeers},
-		{"servers that read nothing", s.asksDeafServer, slowPeers},
+		{"uploads that do not end", s.uploadsEndlessly, slowPeers},
+		{"uploads of unknown length that do not end", s.uploadsChunksEndlessly, slowPeers},
+		{"servers that read nothing", s.sendsToNonReadingServer, slowPeers},
 		{"streams of one event that does not end", s.readsEndlessEvent, slowPeers},
 		{"idle connections", s.staysIdle, idleConnections},
 	} {
@@ -72,7 +72,7 @@
 	}
 	t.Run("all at once", func(t *testing.T) {
 		all := []func(context.Context, int){
-			s.readsNothing, s.uploadsForEver, s.uploadsChunksForEver, s.asksDeafServer, s.readsEndlessEvent,
+			s.readsNothing, s.uploadsEndlessly, s.uploadsChunksEndlessly, s.sendsToNonReadingServer, s.readsEndlessEvent,
 		}
 		s.run(t, slowPeers*len(all), func(ctx context.Context, n int) { all[n%len(all)](ctx, n) })
 	})
@@ -101,27 +101,27 @@
 	t.Cleanup(endless.CloseClientConnections)
 	t.Cleanup(quick.Close)
 	t.Cleanup(long.CloseClientConnections)
-	deaf, err := net.Listen("tcp", "127.0.0.1:0")
+	nonReading, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	t.Cleanup(func() { _ = deaf.Close() })
-	go acceptDeaf(deaf)
+	t.Cleanup(func() { _ = nonReading.Close() })
+	go acceptWithoutReading(nonReading)
 	s.declare()
 	go s.announce("quick", quick.Listener.Addr().String())
 	go s.announce("long", long.Listener.Addr().String())
-	go s.announce("deaf", deaf.Addr().String())
+	go s.announce("nonreading", nonReading.Addr().String())
 	go s.announce("endless", endless.Listener.Addr().String())
 	system.awaitReady(settle)
 	deadline := time.Now().Add(settle)
 	s.direct = quick.Listener.Addr().String()
 	for s.ping(s.address) > pingWithin {
-		is.True(time.Now().Before(deadline)) // no ping is answered
+		is.True(time.Now().Before(deadline)) // no ping is answered in time
 		time.Sleep(50 * time.Millisecond)
 	}
 	return s
 }
 
-// acceptDeaf accepts connections and reads nothing.
-func acceptDeaf(listener net.Listener) {
+// acceptWithoutReading accepts connections and reads nothing from them.
+func acceptWithoutReading(listener net.Listener) {
 	var kept []net.Conn
 	for {
 		conn, err := listener.Accept()
@@ -139,7 +139,7 @@
 func (s *memorySite) declare() {
 	s.t.Helper()
 	routing := oriolebend.Routing{Version: 1, Limits: oriolebend.CallerLimits{MaxBodyBytes: 4 << 20}}
-	for _, name := range []string{"quick", "long", "deaf", "endless"} {
+	for _, name := range []string{"quick", "long", "nonreading", "endless"} {
 		routing.Services = append(routing.Services, oriolebend.RouteService{Name: name})
 		routing.Routes = append(routing.Routes, oriolebend.Route{
 			Name: name, Host: "soak.example", PathPrefix: "/" + name + "/", Repeat: oriolebend.RepeatIdempotent, Attempts: 2,
@@ -154,7 +154,7 @@
 	is.New(s.t).NoErr(err)
 }
 
-// announce tells control VMs of a server of the service that has its name.
+// announce announces a server to a control VM. Its service has the same name.
 func (s *memorySite) announce(name, address string) {
 	for n := uint64(1); s.t.Context().Err() == nil; n++ {
 		body, err := json.Marshal(oriolebend.Backend{Service: name, Address: address, Sequence: n})
@@ -174,7 +174,8 @@
 	}
 }
 
-// run has peers load the forwarder, with pings beside them, and checks its memory.
+// run loads the forwarder with peers, sends pings at the same time, and checks the pings and
+// the memory of the forwarder.
 func (s *memorySite) run(t *testing.T, peers int, peer func(ctx context.Context, n int)) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), slowFor)
@@ -186,25 +187,25 @@
 	pings, inTime := 0, 0
 	for ctx.Err() == nil {
 		pings++
-		if s.pingBeside() {
+		if s.pingInTime() {
 			inTime++
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	group.Wait()
 	peak, err := s.peakBytes()
-	is.NoErr(err) // the process is gone
+	is.NoErr(err) // the process has exited
 	t.Logf("peak %d MB, %d of %d pings in time", peak>>20, inTime, pings)
 	is.True(peak <= memoryMB<<20)
 	is.True(float64(inTime) >= inTimeShare*float64(pings))
 	deadline := time.Now().Add(settle)
 	for s.held() != 0 {
-		is.True(time.Now().Before(deadline)) // bytes stay held
+		is.True(time.Now().Before(deadline)) // bytes are not released
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// peakBytes is the most memory that the forwarder had so far.
+// peakBytes returns the peak resident memory of the forwarder so far.
 func (s *memorySite) peakBytes() (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.forwarder.command.Process.Pid))
 	if err != nil {
@@ -216,7 +217,8 @@
 	return value << 10, err
 }
 
-// held is how many bytes the forwarder says that it holds; -1 if it does not say.
+// held returns the bytes that the forwarder holds according to its metrics, -1 if they are
+// unavailable.
 func (s *memorySite) held() int64 {
 	ip, _, _ := net.SplitHostPort(s.address)
 	response, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", ip, s.system.port+2))
@@ -241,7 +243,7 @@
 	return sum
 }
 
-// zeros is what bodies hold, chunk a part of one whose length is not told: hundreds of peers
+// zeros is the content of bodies, chunk a chunk of a body of unknown length. Hundreds of peers
 // share them.
 const chunkBytes = 64 << 10
 
@@ -252,9 +254,9 @@
 
 var pinger = &http.Client{Timeout: 2 * time.Second}
 
-// pingBeside reports whether a ping is in time, less what the same one takes at that moment
-// without the product: this process has hundreds of peers itself, and the machine may be busy.
-func (s *memorySite) pingBeside() bool {
+// pingInTime reports whether a ping is in time. The duration of a concurrent ping without the
+// product is subtracted, since this process runs hundreds of peers and the machine may be busy.
+func (s *memorySite) pingInTime() bool {
 	direct := make(chan time.Duration, 1)
 	go func() { direct <- s.ping(s.direct) }()
 	took := s.ping(s.address)
@@ -264,10 +266,10 @@
 	return took <= pingWithin
 }
 
-// never is how long a ping took that was not answered.
+// never stands for the duration of a ping that was not answered.
 const never = time.Hour
 
-// ping is how long a ping to an address took.
+// ping returns the duration of a ping to an address.
 func (s *memorySite) ping(address string) time.Duration {
 	began := time.Now()
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/quick/x", strings.NewReader("ping"))
@@ -286,7 +288,7 @@
 	return time.Since(began)
 }
 
-// dial opens a connection that keeps little in the kernel.
+// dial opens a connection with small kernel buffers.
 func (s *memorySite) dial() net.Conn {
 	conn, err := net.DialTimeout("tcp", s.address, time.Second)
 	if err != nil {
@@ -297,8 +299,8 @@
 	return conn
 }
 
-// again does something on new connections until the context ends, with a pause.
-func (s *memorySite) again(ctx context.Context, do func(conn net.Conn)) {
+// repeat calls do with new connections until the context ends, with reconnectDelay in between.
+func (s *memorySite) repeat(ctx context.Context, do func(conn net.Conn)) {
 	for ctx.Err() == nil {
 		if conn := s.dial(); conn != nil {
 			stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -306,26 +308,26 @@
 			stop()
 			_ = conn.Close()
 		}
-		time.Sleep(refusedFor)
+		time.Sleep(reconnectDelay)
 	}
 }
 
 func (s *memorySite) readsNothing(ctx context.Context, _ int) {
-	s.again(ctx, func(conn net.Conn) {
+	s.repeat(ctx, func(conn net.Conn) {
 		_, _ = io.WriteString(conn, "GET /long/x HTTP/1.1\r\nHost: soak.example\r\n\r\n")
 		<-ctx.Done()
 	})
 }
 
 func (s *memorySite) readsEndlessEvent(ctx context.Context, _ int) {
-	s.again(ctx, func(conn net.Conn) {
+	s.repeat(ctx, func(conn net.Conn) {
 		_, _ = io.WriteString(conn, "POST /endless/x HTTP/1.1\r\nHost: soak.example\r\nContent-Length: 0\r\n\r\n")
 		_, _ = io.Copy(io.Discard, conn)
 	})
 }
 
-func (s *memorySite) uploadsForEver(ctx context.Context, _ int) {
-	s.again(ctx, func(conn net.Conn) {
+func (s *memorySite) uploadsEndlessly(ctx context.Context, _ int) {
+	s.repeat(ctx, func(conn net.Conn) {
 		_, err := fmt.Fprintf(conn, "POST /quick/x HTTP/1.1\r\nHost: soak.example\r\nContent-Length: %d\r\n\r\n", longBody)
 		if err == nil {
 			_, _ = conn.Write(zeros[:longBody-1])
@@ -334,8 +336,8 @@
 	})
 }
 
-func (s *memorySite) uploadsChunksForEver(ctx context.Context, _ int) {
-	s.again(ctx, func(conn net.Conn) {
+func (s *memorySite) uploadsChunksEndlessly(ctx context.Context, _ int) {
+	s.repeat(ctx, func(conn net.Conn) {
 		_, err := io.WriteString(conn, "POST /quick/x HTTP/1.1\r\nHost: soak.example\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for sent := 0; err == nil && sent < longBody; sent += chunkBytes {
 			_, err = conn.Write(chunk)
@@ -344,9 +346,9 @@
 	})
 }
 
-func (s *memorySite) asksDeafServer(ctx context.Context, _ int) {
-	s.again(ctx, func(conn net.Conn) {
-		_, err := fmt.Fprintf(conn, "POST /deaf/x HTTP/1.1\r\nHost: soak.example\r\nContent-Length: %d\r\n\r\n", longAnswer)
+func (s *memorySite) sendsToNonReadingServer(ctx context.Context, _ int) {
+	s.repeat(ctx, func(conn net.Conn) {
+		_, err := fmt.Fprintf(conn, "POST /nonreading/x HTTP/1.1\r\nHost: soak.example\r\nContent-Length: %d\r\n\r\n", longAnswer)
 		if err == nil {
 			_, _ = conn.Write(zeros[:longAnswer])
 		}
@@ -355,8 +357,8 @@
 }
 
 func (s *memorySite) staysIdle(ctx context.Context, _ int) {
-	s.again(ctx, func(conn net.Conn) {
+	s.repeat(ctx, func(conn net.Conn) {
 		_, _ = io.Copy(io.Discard, conn)
-		time.Sleep(time.Second) // it was closed for another one
+		time.Sleep(time.Second) // the forwarder closed it to make room for another one
 	})
 }
--- a/internal/soak/organisations_test.go
+++ b/internal/soak/organisations_test.go
@@ -12,8 +12,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Organisations of the soak. The callers of bounded ask for several times their quota;
-// strangers show a key that nobody holds.
+// Organisations of the soak test. The callers of bounded send several times their quota. The
+// callers of stranger use a key that no organisation holds.
 const (
 	regular  = "regular"
 	bounded  = "bounded"
@@ -21,15 +21,16 @@
 )
 
 const (
-	// quotaWindow and quotaOvershoot are how quotas are judged by default.
+	// quotaWindow and quotaOvershoot are the window and the tolerance of the quota check.
 	quotaWindow    = 8 * time.Second
 	quotaOvershoot = 0.1
-	// hotCallers ask for bounded, one request each hotEvery or so.
+	// hotCallers is the number of callers of bounded. Each of them waits hotEvery on average
+	// between two requests.
 	hotCallers = 3
 	hotEvery   = 10 * time.Millisecond
 )
 
-// quotaOf goes down with every second version.
+// quotaOf returns a lower quota for every second version.
 func quotaOf(version uint64) oriolebend.Quota {
 	if version%2 == 0 {
 		return oriolebend.Quota{PerSecond: 20, Burst: 10}
@@ -37,7 +38,8 @@
 	return oriolebend.Quota{PerSecond: 40, Burst: 40}
 }
 
-// keyOf is the key of an organisation; versionKey is held by regular in one version only.
+// keyOf returns the key of an organisation, versionKey a key that regular holds in one version
+// only.
 func keyOf(organisation string) string       { return "key-of-" + organisation }
 func versionKey(version uint64) string       { return fmt.Sprintf("key-of-version-%d", version) }
 func digest(key string) oriolebend.KeyDigest { return oriolebend.DigestKey(key) }
@@ -49,16 +51,16 @@
 	}
 }
 
-// identities is what servers saw of who they run requests for.
+// identities records for which organisations servers ran requests.
 type identities struct {
 	mutex sync.Mutex
-	// faults are requests that were run for another organisation, or with a key.
+	// faults describes the requests that were run for a wrong organisation, or with a key.
 	faults []string
-	// bounded is when requests of the organisation with a quota ran.
+	// bounded holds the times at which requests of the organisation with a quota ran.
 	bounded []time.Time
 }
 
-// note takes in a request that a server runs.
+// note records a request that a server runs.
 func (i *identities) note(r *http.Request) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -72,7 +74,8 @@
 	}
 }
 
-// ownerOf tells from the name of a request who holds the key that it is sent with.
+// ownerOf returns the organisation whose key is sent with a request, which follows from its
+// ID.
 func ownerOf(id string) string {
 	switch id[0] {
 	case 'b':
@@ -83,7 +86,7 @@
 	return regular
 }
 
-// sendOrganisations has callers ask for the organisation with a quota, and strangers.
+// sendOrganisations sends requests of the organisation with a quota, and some of stranger.
 func (l *load) sendOrganisations(ctx context.Context, s *system, random *rand.Rand) {
 	callers := &http.Client{Timeout: 5 * time.Second}
 	for n := 0; ctx.Err() == nil; n++ {
@@ -92,21 +95,22 @@
 		if random.IntN(10) == 0 {
 			id, key = fmt.Sprintf("s%d-%d", random.Uint32(), n), keyOf(stranger)
 		}
-		t := told{id: id, once: true}
-		t.status, t.body = askWith(callers, address, "once", id, key)
+		t := result{id: id, once: true}
+		t.status, t.body = sendWithKey(callers, address, "once", id, key)
 		l.mutex.Lock()
-		l.told = append(l.told, t)
+		l.results = append(l.results, t)
 		l.mutex.Unlock()
 		time.Sleep(time.Duration(random.Int64N(int64(2 * hotEvery))))
 	}
 }
 
-// check holds what servers saw against keys and quotas.
+// check compares the requests that servers ran with keys and quotas.
 //
-// Symptom: an organisation is served beyond its quota, or for another one's key, on a site
-// on which processes are killed, paused and restarted all the while. Sequence: its callers
-// ask for several times as much as it may, at all forwarders; limits go down and up, keys
-// come and go. Cause: what a process has forgotten, or still believes.
+// It guards against an organisation that is served beyond its quota, or with the key of
+// another one, while processes are killed, paused and restarted. Its callers send several
+// times their quota through all forwarders, quotas are lowered and raised, and keys are added
+// and removed. The cause is state that a process has lost, or outdated state that it still
+// uses.
 func (i *identities) check(t *testing.T) {
 	t.Helper()
 	i.mutex.Lock()
@@ -123,9 +127,9 @@
 		}
 		worst = max(worst, at-from+1)
 	}
-	t.Logf("%d requests of the organisation with a quota ran, at most %d within %s, allowed are %.0f", len(i.bounded), worst, quotaWindow, most)
+	t.Logf("%d requests of the organisation with a quota ran, at most %d within %s, %.0f are allowed", len(i.bounded), worst, quotaWindow, most)
 	if float64(worst) > most {
-		t.Errorf("%d requests ran within %s, allowed are %.0f", worst, quotaWindow, most)
+		t.Errorf("%d requests ran within %s, %.0f are allowed", worst, quotaWindow, most)
 	}
 	if len(i.bounded) == 0 {
 		t.Error("no request of the organisation with a quota ran")
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -20,7 +20,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend/client"
 )
 
-// build compiles the program as it is shipped.
+// build compiles the program in its production build.
 func build(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "oriolebend")
@@ -31,7 +31,7 @@
 	return program
 }
 
-// system is the processes of the product. Each has a loopback address of its own,
+// system holds the processes of the product. Each process has its own loopback address,
 // since control VMs that are found through seeds are named by their address.
 type system struct {
 	t         *testing.T
@@ -45,7 +45,7 @@
 
 const token = "operator-token-of-the-soak"
 
-// memoryMB is what each process may use.
+// memoryMB is the memory limit of each process.
 const memoryMB = 112
 
 func startSystem(t *testing.T, program string) *system {
@@ -82,7 +82,8 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-// add writes the settings of a process. Only the first start founds the group.
+// add adds a process, which writes its settings at each start. Only the first start founds
+// the group of control VMs.
 func (s *system) add(role, ip, control string) {
 	p := &process{system: s, name: role + "-" + ip, role: role, settings: filepath.Join(s.folder, ip+".toml")}
 	p.write = func(found bool) error {
@@ -111,7 +112,7 @@
 	return client.New(client.Config{Addresses: addresses, Token: token, Tries: 40, WaitMost: 500 * time.Millisecond})
 }
 
-// awaitReady waits until every forwarder counts itself ready.
+// awaitReady waits until every forwarder reports that it is ready.
 func (s *system) awaitReady(within time.Duration) {
 	s.t.Helper()
 	deadline := time.Now().Add(within)
@@ -144,30 +145,30 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// mend has every process run again.
-func (s *system) mend() {
+// restore resumes every paused process and starts every stopped one.
+func (s *system) restore() {
 	for _, p := range s.processes {
 		p.resume()
 	}
-	time.Sleep(1200 * time.Millisecond) // longer than a restart is put off
+	time.Sleep(1200 * time.Millisecond) // longer than the longest restart delay
 	for _, p := range s.processes {
 		p.start()
 	}
 }
 
-func (s *system) keepLogs(folder string) {
+func (s *system) copyLogs(folder string) {
 	for _, p := range s.processes {
 		data, err := os.ReadFile(p.settings + ".log")
 		if err == nil {
 			err = os.WriteFile(filepath.Join(folder, p.name+".log"), data, 0o600)
 		}
 		if err != nil {
-			s.t.Log("log not kept:", err)
+			s.t.Log("log not copied:", err)
 		}
 	}
 }
 
-// process is one process of the product; only this test starts and ends it.
+// process is one process of the product. Only this test starts and stops it.
 type process struct {
 	system   *system
 	name     string
@@ -177,13 +178,13 @@
 
 	mutex   sync.Mutex
 	started bool
-	// signalled is when signals were sent to it, and when it was started.
+	// signalled holds the times at which the process was started or received a signal.
 	signalled []time.Time
 	command   *exec.Cmd
 	done      chan struct{}
 }
 
-// start starts the process unless it runs.
+// start starts the process unless it is running.
 func (p *process) start() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -210,12 +211,12 @@
 	p.command, p.done, p.started = command, done, true
 	p.signalled = append(p.signalled, time.Now())
 	go func() {
-		_ = command.Wait() // how it ended is no matter: faults end it
+		_ = command.Wait() // the exit status does not matter: faults kill the process
 		close(done)
 	}()
 }
 
-// running reports whether the process has not ended. The mutex is held.
+// running reports whether the process has not exited. The caller must hold the mutex.
 func (p *process) running() bool {
 	select {
 	case <-p.done:
@@ -229,13 +230,13 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.command != nil && p.running() {
-		_ = p.command.Process.Signal(s) // it may end in this moment
+		_ = p.command.Process.Signal(s) // the process may have just exited
 		p.signalled = append(p.signalled, time.Now())
 	}
 }
 
-// disturbed reports whether anything was done to the process shortly before a time, or to
-// a control VM.
+// disturbed reports whether the process or a control VM was started or signalled in the
+// crashSettle before a time.
 func (p *process) disturbed(at time.Time) bool {
 	for _, other := range p.system.processes {
 		if (other == p || other.role == "control") && other.signalledBefore(at) {
@@ -253,7 +254,7 @@
 	})
 }
 
-// forwarderAt is the forwarder that takes callers at an address.
+// forwarderAt returns the forwarder that listens for callers at an address.
 func (s *system) forwarderAt(address string) *process {
 	ip, _, _ := net.SplitHostPort(address)
 	for _, p := range s.processes {
@@ -276,7 +277,7 @@
 
 func (p *process) resume() { p.signal(syscall.SIGCONT) }
 
-// startAfter starts the process again once it has ended, after a pause.
+// startAfter starts the process again, a pause after it has exited.
 func (p *process) startAfter(pause time.Duration) {
 	p.mutex.Lock()
 	done := p.done
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,24 +14,29 @@
 	"github.com/matryer/is"
 )
 
-// The short run of CI; by hand: go test ./internal/soak -args -seeds 1-50 -for 20s
+// The defaults are the short run of CI. A longer run:
+// go test ./internal/soak -args -seeds 1-50 -for 20s
 var (
-	seeds = flag.String("seeds", "", "seeds to run, such as 7 or 1-50; empty runs those that ever failed and one more")
-	runs  = flag.Duration("for", 6*time.Second, "how long faults are injected with each seed")
+	seeds = flag.String("seeds", "", "seeds to run, such as 7 or 1-50; empty runs every seed that has failed before and one more")
+	runs  = flag.Duration("for", 6*time.Second, "duration of the fault injection with each seed")
 )
 
-// failedSeeds ever broke a promise; each is run again by everybody.
+// failedSeeds holds the seeds that have violated a guarantee before; every run includes
+// them.
 //
 // The list is empty: no seed has failed yet.
 var failedSeeds = []uint64{}
 
-// TestSoak runs the real program as separate processes, breaks them from outside
-// and checks, from what callers, backend servers and operators see, that a
-// request that may run once runs once, that what was refused as not run never
-// ran, that every answer belongs to its request, that an accepted routing is
-// neither lost nor shown in an older state, that a request which ends servers stops
-// reaching them, that servers in need get no more than they have said, and that every request runs for the organisation that holds its key, within
-// its quota.
+// TestSoak runs the real program as separate processes and injects faults from outside.
+// From what callers, backend servers and operators observe it checks that
+//   - a request that may run at most once does not run twice,
+//   - a request that was refused as not run never ran,
+//   - every response belongs to its request,
+//   - an accepted routing is neither lost nor replaced by an older one in a read,
+//   - a request that crashes servers stops reaching them,
+//   - servers that report a limit, a backoff period or that they leave are sent no more than
+//     that allows,
+//   - every request runs for the organisation that holds its key, within its quota.
 func TestSoak(t *testing.T) {
 	list := append(failedSeeds, 1)
 	if *seeds != "" {
@@ -61,15 +66,15 @@
 	return list
 }
 
-// Sizes of a soak.
+// Sizes and durations of a soak run.
 const (
 	forwarders = 3
 	servers    = 4
 	callers    = 8
-	// settle is how long the system has after the last fault.
+	// settle is the time in which the system must recover after the last fault.
 	settle = 20 * time.Second
-	// calm is how long callers go on after that: what is promised of processes that
-	// nothing happened to for crashSettle shows only then.
+	// calm is for how long callers continue after the recovery. The guarantees about
+	// processes that were undisturbed for crashSettle can only be checked then.
 	calm = crashSettle + 2*time.Second
 )
 
@@ -89,8 +94,8 @@
 		fault.inject()
 		time.Sleep(time.Duration(100+random.IntN(500)) * time.Millisecond)
 	}
-	s.mend()
-	fleet.mend()
+	s.restore()
+	fleet.clearFaults()
 	s.awaitReady(settle)
 	time.Sleep(calm)
 	cancel()
@@ -102,24 +107,24 @@
 	load.check(t, fleet)
 	fleet.crashes.check(t, s)
 	fleet.callers.check(t)
-	fleet.checkNeeds(t)
+	fleet.checkNotices(t)
 	if t.Failed() {
 		folder, err := os.MkdirTemp("", "soak-")
 		if err == nil {
-			s.keepLogs(folder)
+			s.copyLogs(folder)
 			t.Log("logs are in", folder)
 		}
 	}
 }
 
-// fault is one thing that goes wrong.
+// fault is a fault that the test can inject.
 type fault struct {
 	name   string
 	inject func()
 }
 
-// randomFault draws a fault. Faults overlap: nothing waits for the last one to
-// be mended.
+// randomFault draws a fault. Faults overlap: the next one is injected before the system
+// has recovered from the last one.
 func randomFault(random *rand.Rand, s *system, f *fleet) fault {
 	p := s.processes[random.IntN(len(s.processes))]
 	server := f.servers[random.IntN(len(f.servers))]
@@ -128,11 +133,11 @@
 		{"kill " + p.name, func() { p.kill(); p.startAfter(after) }},
 		{"terminate " + p.name, func() { p.terminate(); p.startAfter(after) }},
 		{"pause " + p.name, func() { p.pause(after) }},
-		{"reset connections of " + server.name, func() { server.needs.breaks(); server.proxy.reset() }},
-		{"silence " + server.name, func() { server.needs.breaks(); server.proxy.silence(after) }},
-		{"delay " + server.name, func() { server.needs.breaks(); server.proxy.delay(after) }},
+		{"reset connections of " + server.name, func() { server.notices.noteFault(); server.proxy.reset() }},
+		{"stall " + server.name, func() { server.notices.noteFault(); server.proxy.stall(after) }},
+		{"delay " + server.name, func() { server.notices.noteFault(); server.proxy.delay(after) }},
 		{"restart " + server.name, func() { server.restart() }},
-		randomNeed(random, f),
+		randomNotice(random, f),
 	}
 	return faults[random.IntN(len(faults))]
 }
--- a/internal/steady/drift.go
+++ b/internal/steady/drift.go
@@ -1,26 +1,29 @@
-// Package steady tells whether time has passed that the clock which measures did not count.
+// Package steady detects time that the monotonic clock did not count, such as the suspension
+// of a VM.
 package steady
 
 import "time"
 
-// Drift compares the clock that measures with the time of day.
+// Drift compares the monotonic clock with the wall clock.
 //
-// A VM that is suspended wakes up with a clock that stood still: its lease seems to run,
-// while another control VM leads and gives. The time of day has gone on meanwhile. A time
-// of day that was set looks the same, and costs what a change of the leader costs.
+// The monotonic clock stands still while a VM is suspended. After that, the VM's lease seems
+// to be valid although another control VM leads and grants. The wall clock has advanced in
+// the meantime. A wall clock that was set can't be distinguished from a suspension; it costs
+// as much as a change of the leader.
 type Drift struct {
-	steady time.Duration
-	day    time.Time
+	monotonic time.Duration
+	wall    time.Time
 }
 
-// driftMost is by how much the two may part between two looks.
-const driftMost = 200 * time.Millisecond
+// maxDrift is the largest difference between the advances of the two clocks from one call of
+// Moved to the next that is not reported.
+const maxDrift = 200 * time.Millisecond
 
-// Moved reports whether the two have parted since the last look. steady is the time on the
-// clock that measures, day the time of day.
-func (d *Drift) Moved(steady time.Duration, day time.Time) bool {
-	parted := day.Round(0).Sub(d.day.Round(0)) - (steady - d.steady)
-	first := d.day.IsZero()
-	d.steady, d.day = steady, day
-	return !first && parted.Abs() > driftMost
+// Moved reports whether the two clocks have drifted apart by more than maxDrift since the last
+// call. monotonic is the time on the monotonic clock, wall the time of day.
+func (d *Drift) Moved(monotonic time.Duration, wall time.Time) bool {
+	drift := wall.Round(0).Sub(d.wall.Round(0)) - (monotonic - d.monotonic)
+	first := d.wall.IsZero()
+	d.monotonic, d.wall = monotonic, wall
+	return !first && drift.Abs() > maxDrift
 }
--- a/internal/steady/drift_test.go
+++ b/internal/steady/drift_test.go
@@ -7,16 +7,16 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: an organisation is given its burst by two control VMs. Sequence: the one that
-// leads is suspended for three seconds; it wakes up with a clock that stood still, and with
-// a lease that seems to run. Cause: trust in that clock alone.
+// TestSuspensionIsNoticed guards against two control VMs that each grant an organisation its
+// burst. The leader is suspended for three seconds and resumes with a monotonic clock that
+// stood still, so that its lease seems to be valid by that clock alone.
 func TestSuspensionIsNoticed(t *testing.T) {
 	is := is.New(t)
-	day := time.Date(2131, 3, 1, 0, 0, 0, 0, time.UTC)
+	wall := time.Date(2131, 3, 1, 0, 0, 0, 0, time.UTC)
 	var d Drift
-	is.True(!d.Moved(time.Second, day))
-	is.True(!d.Moved(2*time.Second, day.Add(time.Second+driftMost/2)))
-	is.True(d.Moved(3*time.Second, day.Add(5*time.Second)))
-	is.True(!d.Moved(4*time.Second, day.Add(6*time.Second)))
-	is.True(d.Moved(5*time.Second, day)) // set back
+	is.True(!d.Moved(time.Second, wall))
+	is.True(!d.Moved(2*time.Second, wall.Add(time.Second+maxDrift/2)))
+	is.True(d.Moved(3*time.Second, wall.Add(5*time.Second)))
+	is.True(!d.Moved(4*time.Second, wall.Add(6*time.Second)))
+	is.True(d.Moved(5*time.Second, wall)) // the wall clock was set back
 }
