--- a/internal/soak/notice_test.go
+++ b/internal/soak/notice_test.go
@@ -20,12 +20,12 @@
 
 	// Later than limitSettle after a server has first reported reportedLimit, it may receive within
 	// limitWindow limitShare times what that limit allows, plus limitFree requests.
-	reportedLimit  = 5.0
-	limitFor    = 9 * time.Second
-	limitWindow = 4 * time.Second
-	limitShare  = 1.5
-	limitFree   = 5
-	limitSettle = 3 * time.Second
+	reportedLimit = 5.0
+	limitFor      = 9 * time.Second
+	limitWindow   = 4 * time.Second
+	limitShare    = 1.5
+	limitFree     = 5
+	limitSettle   = 3 * time.Second
 
 	// A server that reported the backoff period backoffReported may receive at most backoffFree
 	// requests from one forwarder in that period.
--- a/internal/steady/drift.go
+++ b/internal/steady/drift.go
@@ -12,7 +12,7 @@
 // as much as a change of the leader.
 type Drift struct {
 	monotonic time.Duration
-	wall    time.Time
+	wall      time.Time
 }
 
 // maxDrift is the largest difference between the advances of the two clocks from one call of
