--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -15,9 +15,9 @@
 // exit code for os.Exit. A seed that is given as a flag takes precedence.
 func Run(m *testing.M) int {
 	flag.Parse()
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "rapid.seed" })
-	if !given {
+	seedSet := false
+	flag.Visit(func(f *flag.Flag) { seedSet = seedSet || f.Name == "rapid.seed" })
+	if !seedSet {
 		if err := flag.Set("rapid.seed", seed); err != nil {
 			panic(err) // the package under test doesn't use rapid
 		}
--- a/internal/soak/crash_test.go
+++ b/internal/soak/crash_test.go
@@ -15,8 +15,8 @@
 	// crashing is the path of a request that crashes every server that starts to run it.
 	crashing = "crashes"
 	// crashLimit is how many servers the request may crash. Later than crashSettle after the
-	// last of these crashes, it may crash as many servers again through forwarders that were
-	// undisturbed for crashSettle.
+	// last of these crashes, it may crash as many servers again through forwarders that, like
+	// all control VMs, were undisturbed for crashSettle.
 	crashLimit  = 3
 	crashSettle = 3 * time.Second
 	// restartDelay is for how long a crashed server is unreachable.
--- a/internal/soak/notice_test.go
+++ b/internal/soak/notice_test.go
@@ -12,7 +12,7 @@
 const (
 	// senderHeader names the forwarder that a request is sent to.
 	senderHeader = "X-Sender"
-	// noticeServers of the servers report notices; the others can serve the load meanwhile.
+	// noticeServers of the servers report notices; the others serve the load in the meantime.
 	noticeServers = 2
 	// noticeGrace is the time after a response from which a forwarder must obey the notice in
 	// it.
--- a/internal/soak/organisations_test.go
+++ b/internal/soak/organisations_test.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// quotaWindow and quotaOvershoot are the window and the tolerance of the quota check.
+	// quotaWindow and quotaOvershoot are the default window and tolerance of quota checks.
 	quotaWindow    = 8 * time.Second
 	quotaOvershoot = 0.1
 	// hotCallers is the number of callers of bounded. Each of them waits hotEvery on average
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -20,7 +20,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend/client"
 )
 
-// build compiles the program in its production build.
+// build compiles the program that is shipped.
 func build(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "oriolebend")
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -21,8 +21,8 @@
 	runs  = flag.Duration("for", 6*time.Second, "duration of the fault injection with each seed")
 )
 
-// failedSeeds holds the seeds that have violated a guarantee before; every run includes
-// them.
+// failedSeeds holds the seeds that have violated a guarantee before. Every run without -seeds
+// includes them.
 //
 // The list is empty: no seed has failed yet.
 var failedSeeds = []uint64{}
