--- a/internal/experiment/arrival.go
+++ b/internal/experiment/arrival.go
@@ -18,23 +18,26 @@
 
 const modelName = "model"
 
-// arrival is one request of the load, drawn before any policy runs: every
-// policy of a seed meets the same requests at the same times.
+// arrival is one request of the load. Arrivals are drawn before any policy runs, so
+// that all policies get the same requests at the same times for one seed.
 type arrival struct {
 	id    string
 	at    time.Duration
 	class *Class
-	// entry is the entry that the platform's balancer sends it to.
+	// entry is the index of the entry to which the platform's load balancer sends
+	// the request.
 	entry        int
 	organisation string
-	prompt       int
-	output       int
-	// prefixID and ownID number the shared head of the prompt and the rest.
+	promptTokens int
+	outputTokens int
+	// prefixID identifies the shared prefix of the prompt, zero if it has none, and
+	// ownID the rest.
 	prefixID uint64
 	ownID    uint64
 }
 
-// plan draws the arrivals of a seed: open, Poisson for each class.
+// plan draws the arrivals of a seed: an open load with a Poisson process for each
+// class.
 func plan(s *Scenario, seed uint64, factor float64) []arrival {
 	var all []arrival
 	for i := range s.Classes {
@@ -43,7 +46,8 @@
 		if c.Name == s.Vary.Class {
 			rate *= factor
 		}
-		// One stream a class: the pings stay the same while briefs vary.
+		// Each class has its own random stream, so that its arrivals stay the same
+		// when the rate of another class varies.
 		rng := rand.New(rand.NewPCG(seed, uint64(i)+1))
 		all = append(all, c.draw(s, rng, rate)...)
 	}
@@ -68,12 +72,12 @@
 			class:        c,
 			entry:        rng.IntN(s.Entries),
 			organisation: fmt.Sprintf("org-%d", rng.IntN(c.Organisations)),
-			prompt:       c.PromptTokens.draw(rng),
-			output:       c.OutputTokens.draw(rng),
+			promptTokens: c.PromptTokens.draw(rng),
+			outputTokens: c.OutputTokens.draw(rng),
 			ownID:        rng.Uint64() | 1,
 		}
 		if c.Prefixes > 0 {
-			a.prefixID = mixed(uint64(rng.IntN(c.Prefixes)+1), uint64(len(c.Name)))
+			a.prefixID = hashPair(uint64(rng.IntN(c.Prefixes)+1), uint64(len(c.Name)))
 		}
 		if a.at >= time.Duration(c.From) {
 			drawn = append(drawn, a)
@@ -88,26 +92,27 @@
 	return r.Median + rng.IntN(r.Max-r.Median+1)
 }
 
-// block is the hash of the first n blocks of the prompt.
+// block returns the hash of the first n blocks of the prompt.
 func (a *arrival) block(n int) uint64 {
 	if a.prefixID != 0 && n*prefix.BlockTokens <= a.class.PrefixTokens {
-		return mixed(a.prefixID, uint64(n))
+		return hashPair(a.prefixID, uint64(n))
 	}
-	return mixed(a.ownID, uint64(n))
+	return hashPair(a.ownID, uint64(n))
 }
 
-// mixed is a hash of two numbers.
-func mixed(a, b uint64) uint64 {
+// hashPair returns a hash of two numbers.
+func hashPair(a, b uint64) uint64 {
 	var bytes [16]byte
 	binary.LittleEndian.PutUint64(bytes[:8], a)
 	binary.LittleEndian.PutUint64(bytes[8:], b)
 	return xxhash.Sum64(bytes[:])
 }
 
-// hashes is what the entry sends of the prompt.
+// hashes returns the hashes of the prompt's prefixes that the entry sends, at block
+// counts that double: 1, 2, 4 and so on.
 func (a *arrival) hashes() []uint64 {
 	var hashes []uint64
-	for n := 1; n <= a.prompt/prefix.BlockTokens && len(hashes) < prefix.MaxHashes; n *= 2 {
+	for n := 1; n <= a.promptTokens/prefix.BlockTokens && len(hashes) < prefix.MaxHashes; n *= 2 {
 		hashes = append(hashes, a.block(n))
 	}
 	return hashes
@@ -120,7 +125,7 @@
 		Generated:     true,
 		Urgency:       a.class.Urgency,
 		Model:         modelName,
-		PromptTokens:  a.prompt,
+		PromptTokens:  a.promptTokens,
 		Prefix:        a.hashes(),
 		MaxTokens:     a.class.OutputTokens.Max,
 		FirstWithin:   time.Duration(a.class.FirstWithin),
--- a/internal/experiment/bound.go
+++ b/internal/experiment/bound.go
@@ -7,7 +7,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// resources of a fleet, as the bound counts them.
+// resource is a resource of the fleet that the bound takes into account.
 type resource int
 
 const (
@@ -16,80 +16,83 @@
 	decodeMemory                 // token seconds of decode memory
 	linkOut                      // bytes out of prefill servers
 	linkIn                       // bytes into decode servers
-	resources
+	resourceCount
 )
 
-type costs [resources]float64
+// costs is an amount of every resource.
+type costs [resourceCount]float64
 
-// bound is the largest share of the requests that any router could serve
-// within the targets, also with full knowledge of the load and no restriction
-// on where and when work goes.
+// goodputBound returns an upper bound of the share of the requests that any router could
+// serve within their targets, also with full knowledge of the load and without
+// restrictions on where and when work runs.
 //
-// Argument: a request that is served well uses at least its costs, whatever
-// the router does. All requests that are served well share what the fleet has
-// in the time. To take each request in part, from 0 to 1, relaxes the choice;
-// the optimum of that linear programme is bounded by its dual: for any prices
-// p >= 0 of the resources, no choice is worth more than
+// A request that is served within its targets uses at least its costs, whatever
+// the router does. All such requests together use at most the capacity of the
+// fleet. Choosing the requests to serve is relaxed to a linear programme, in which
+// each request may be chosen in part, from 0 to 1. The optimum of this programme is
+// bounded by its dual: for any prices p >= 0 of the resources, no choice is worth
+// more than
 //
 //	sum over r of p[r]*have[r] + sum over i of max(0, 1 - sum over r of p[r]*cost[i][r]).
 //
-// The prices only have to be found well for the bound to be tight; it holds for
-// any. It is that of a long run: work that reaches over the end of the time is
-// counted in full, as is the time before the first work.
-func bound(s *Scenario, arrivals []arrival, strict bool) float64 {
+// The bound holds for any prices; good prices only make it tighter. It is the bound
+// of a long run: work that continues after the end of the run counts in full, and
+// so does the capacity before the first request.
+func goodputBound(s *Scenario, arrivals []arrival, strict bool) float64 {
 	if len(arrivals) == 0 {
 		return 1
 	}
-	have := s.have()
-	var asked []costs
+	capacity := s.capacity()
+	var demands []costs
 	for i := range arrivals {
-		if cost, possible := s.costOf(&arrivals[i], strict); possible {
+		if cost, possible := s.minCost(&arrivals[i], strict); possible {
 			for r := range cost {
-				cost[r] /= have[r]
+				cost[r] /= capacity[r]
 			}
-			asked = append(asked, cost)
+			demands = append(demands, cost)
 		}
 	}
-	return dual(asked) / float64(len(arrivals))
+	return minDual(demands) / float64(len(arrivals))
 }
 
-// have is what the fleet has in the time.
-func (s *Scenario) have() costs {
-	var have costs
+// capacity returns the capacity of the fleet during the run.
+func (s *Scenario) capacity() costs {
+	var capacity costs
 	passed := time.Duration(s.Duration).Seconds()
 	for _, p := range s.Pools {
 		n := float64(p.Count) * passed
 		switch p.Role {
 		case oriolebend.Prefill:
-			have[prefillTime] += n
-			have[linkOut] += n * s.Engine.LinkBytes
+			capacity[prefillTime] += n
+			capacity[linkOut] += n * s.Engine.LinkBytes
 		case oriolebend.Decode:
-			have[decodeSteps] += n
-			have[decodeMemory] += n * float64(p.KVTokens)
-			have[linkIn] += n * s.Engine.LinkBytes
+			capacity[decodeSteps] += n
+			capacity[decodeMemory] += n * float64(p.KVTokens)
+			capacity[linkIn] += n * s.Engine.LinkBytes
 		}
 	}
-	return have
+	return capacity
 }
 
-// costOf is the least that a request takes, and whether an empty fleet could
-// serve it within its targets.
+// minCost returns the least amount of each resource that a request uses, and
+// whether an empty fleet could serve it within its targets.
 //
 // A decode step lasts d*(0.99 + n/100) for a batch of n. The memory m of each
-// request bounds the batch of a step, so that the steps in which a request of o
-// tokens takes part cost the server at least o*d*(0.99*m/memory + 0.01): the
-// first part shared by memory, the second its own. Its memory is held for the
-// transfer and for steps of at least d.
-func (s *Scenario) costOf(a *arrival, strict bool) (costs, bool) {
+// request bounds the size of a batch. The steps in which a request of o tokens
+// takes part therefore cost the server at least o*d*(0.99*m/memory + 0.01): the
+// first term is the part of a step that the batch shares, in proportion to memory,
+// the second the part that each request adds. The memory is held during the
+// transfer and during steps of at least d.
+func (s *Scenario) minCost(a *arrival, strict bool) (costs, bool) {
 	step := time.Duration(s.Engine.DecodeStep).Seconds()
-	memory := float64(s.decodeTokens())
-	held := float64(a.prompt + a.class.OutputTokens.Max)
-	bytes := float64(a.prompt) * float64(s.Engine.KVTokenBytes)
-	computed := a.prompt - s.cacheable(a)
+	memory := float64(s.maxDecodeMemory())
+	held := float64(a.promptTokens + a.class.OutputTokens.Max)
+	bytes := float64(a.promptTokens) * float64(s.Engine.KVTokenBytes)
+	computed := a.promptTokens - s.cacheableTokens(a)
 	var c costs
 	c[prefillTime] = float64(computed) / s.Engine.PrefillTokens
-	c[decodeSteps] = float64(a.output) * step * (0.99*held/memory + 0.01)
-	c[decodeMemory] = held * (bytes/s.Engine.LinkBytes + float64(a.output)*step)
+	c[decodeSteps] = float64(a.outputTokens) * step * (0.99*held/memory + 0.01)
+	c[decodeMemory] = held * (bytes/s.Engine.LinkBytes + float64(a.outputTokens)*step)
 	c[linkOut], c[linkIn] = bytes, bytes
 	first := c[prefillTime] + bytes/s.Engine.LinkBytes + step
 	within := time.Duration(a.class.FirstWithin)
@@ -99,8 +102,8 @@
 	return c, first <= within.Seconds() && bytes/s.Engine.LinkBytes <= 2*time.Duration(s.Engine.ExportLife).Seconds()
 }
 
-// decodeTokens is the largest memory of a decode server.
-func (s *Scenario) decodeTokens() int {
+// maxDecodeMemory returns the KV memory of the largest decode server, in tokens.
+func (s *Scenario) maxDecodeMemory() int {
 	largest := 1
 	for _, p := range s.Pools {
 		if p.Role == oriolebend.Decode {
@@ -110,29 +113,30 @@
 	return largest
 }
 
-// cacheable is how much of a prompt might be cached where it is computed.
-func (s *Scenario) cacheable(a *arrival) int {
+// cacheableTokens returns how many tokens of a prompt could at best be in the cache of
+// the engine that computes it: the complete blocks of the shared prefix.
+func (s *Scenario) cacheableTokens(a *arrival) int {
 	if a.prefixID == 0 {
 		return 0
 	}
-	shared := min(a.class.PrefixTokens, a.prompt)
+	shared := min(a.class.PrefixTokens, a.promptTokens)
 	return shared / prefix.BlockTokens * prefix.BlockTokens
 }
 
-// dual finds prices by descent along one resource after the other, over
-// fractions of what the fleet has.
-func dual(asked []costs) float64 {
+// minDual minimises the dual value by coordinate descent over the prices, and returns
+// the smallest value found. Costs are fractions of the fleet's capacity.
+func minDual(demands []costs) float64 {
 	var prices costs
-	best := dualAt(asked, prices)
-	for width := float64(len(asked)); width > 0.01; width /= 2 {
-		for moved := true; moved; {
-			moved = false
+	best := dualValue(demands, prices)
+	for width := float64(len(demands)); width > 0.01; width /= 2 {
+		for improved := true; improved; {
+			improved = false
 			for r := range prices {
-				for _, by := range []float64{width, -width} {
-					tried := prices
-					tried[r] = max(tried[r]+by, 0)
-					if value := dualAt(asked, tried); value < best-1e-9 {
-						best, prices, moved = value, tried, true
+				for _, change := range []float64{width, -width} {
+					candidate := prices
+					candidate[r] = max(candidate[r]+change, 0)
+					if value := dualValue(demands, candidate); value < best-1e-9 {
+						best, prices, improved = value, candidate, true
 					}
 				}
 			}
@@ -141,17 +145,18 @@
 	return best
 }
 
-func dualAt(asked []costs, prices costs) float64 {
+// dualValue returns the value of the dual for the given prices.
+func dualValue(demands []costs, prices costs) float64 {
 	sum := 0.0
 	for _, p := range prices {
 		sum += p
 	}
-	for _, cost := range asked {
-		left := 1.0
+	for _, cost := range demands {
+		margin := 1.0
 		for r, p := range prices {
-			left -= p * cost[r]
+			margin -= p * cost[r]
 		}
-		sum += max(left, 0)
+		sum += max(margin, 0)
 	}
 	return sum
 }
--- a/internal/experiment/cache.go
+++ b/internal/experiment/cache.go
@@ -7,48 +7,50 @@
 	"github.com/oriolebend/oriolebend/internal/prefix"
 )
 
-// cache is an engine's prefix cache, which drops the block used least
-// recently, with the numbers of its events.
+// cache models the prefix cache of an engine, with LRU eviction, and numbers the
+// events that it publishes.
 type cache struct {
-	bound    int
-	recent   *list.List
-	held     map[uint64]*list.Element
+	// capacity is the size in blocks.
+	capacity int
+	lru      *list.List
+	blocks   map[uint64]*list.Element
 	sequence uint64
 }
 
 func newCache(tokens int, incarnation uint64) *cache {
 	return &cache{
-		bound:    tokens / prefix.BlockTokens,
-		recent:   list.New(),
-		held:     map[uint64]*list.Element{},
+		capacity: tokens / prefix.BlockTokens,
+		lru:      list.New(),
+		blocks:   map[uint64]*list.Element{},
 		sequence: incarnation << 32,
 	}
 }
 
-// cached is how many leading tokens of a prompt are held.
-func (c *cache) cached(a *arrival) int {
+// cachedTokens returns the number of leading tokens of a prompt that are in the cache.
+func (c *cache) cachedTokens(a *arrival) int {
 	blocks := 0
-	for c.held[a.block(blocks+1)] != nil && (blocks+1)*prefix.BlockTokens <= a.prompt {
+	for c.blocks[a.block(blocks+1)] != nil && (blocks+1)*prefix.BlockTokens <= a.promptTokens {
 		blocks++
 	}
 	return blocks * prefix.BlockTokens
 }
 
-// store holds the blocks of a prompt and returns the events of it.
+// store adds the blocks of a prompt, evicts the blocks beyond the capacity, and
+// returns the events of both.
 func (c *cache) store(a *arrival) []engine.CacheEvent {
 	var events []engine.CacheEvent
-	for n := a.prompt / prefix.BlockTokens; n > 0; n-- {
+	for n := a.promptTokens / prefix.BlockTokens; n > 0; n-- {
 		block := a.block(n)
-		if element := c.held[block]; element != nil {
-			c.recent.MoveToFront(element)
+		if element := c.blocks[block]; element != nil {
+			c.lru.MoveToFront(element)
 			continue
 		}
-		c.held[block] = c.recent.PushFront(block)
+		c.blocks[block] = c.lru.PushFront(block)
 		events = append(events, c.event(engine.BlockStored, block))
 	}
-	for c.recent.Len() > c.bound {
-		block := c.recent.Remove(c.recent.Back()).(uint64)
-		delete(c.held, block)
+	for c.lru.Len() > c.capacity {
+		block := c.lru.Remove(c.lru.Back()).(uint64)
+		delete(c.blocks, block)
 		events = append(events, c.event(engine.BlockEvicted, block))
 	}
 	return events
@@ -61,7 +63,7 @@
 
 func (c *cache) index() engine.CacheIndex {
 	index := engine.CacheIndex{Sequence: c.sequence}
-	for element := c.recent.Front(); element != nil; element = element.Next() {
+	for element := c.lru.Front(); element != nil; element = element.Next() {
 		index.Blocks = append(index.Blocks, element.Value.(uint64))
 	}
 	return index
--- a/internal/experiment/clock.go
+++ b/internal/experiment/clock.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// clock runs events in virtual time, in the order of their times and then of
-// their setting, so that messages between the same two processes keep their
-// order.
+// clock runs events in virtual time. Events of the same time run in the order in
+// which they were scheduled, so that messages between the same two processes keep
+// their order.
 type clock struct {
 	now    time.Time
 	seq    uint64
@@ -20,14 +20,14 @@
 	run func()
 }
 
-// after has run called once a while has passed.
+// after schedules a function to run after a delay; a negative delay counts as zero.
 func (c *clock) after(wait time.Duration, run func()) {
 	c.seq++
 	heap.Push(&c.events, event{at: c.now.Add(max(wait, 0)), seq: c.seq, run: run})
 }
 
-// until runs every event that is due before a time.
-func (c *clock) until(end time.Time) {
+// runUntil runs every event that is due before end and advances the clock to end.
+func (c *clock) runUntil(end time.Time) {
 	for len(c.events) > 0 && c.events[0].at.Before(end) {
 		e := heap.Pop(&c.events).(event)
 		c.now = e.at
--- a/internal/experiment/command.go
+++ b/internal/experiment/command.go
@@ -11,7 +11,7 @@
 	"github.com/peterbourgon/ff/v4"
 )
 
-// UsageError is a command line that can't be carried out.
+// UsageError reports an invalid command line.
 type UsageError struct{ Text string }
 
 // Error implements error.
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// apply narrows a scenario down to what the command line asks for.
+// apply restricts a scenario to the seed and variants of the command line.
 func (o *options) apply(s *Scenario) error {
 	if o.seed > 0 {
 		s.Seeds = []uint64{o.seed}
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// prefillChunk is how many tokens are computed between two choices of the
-	// most urgent prompt, perSequenceShare the part of a decode step that each
-	// further request adds, as in the stand-in engines.
+	// prefillChunk is the number of tokens that an engine computes before it
+	// chooses the most urgent prompt again. Each further request of a batch makes
+	// a decode step longer by the fraction 1/perSequenceShare. Both are the values
+	// of the stand-in engines.
 	prefillChunk     = 512
 	perSequenceShare = 100
-	// besideDelay is the time between a sidecar and its engine.
-	besideDelay = 200 * time.Microsecond
+	// sidecarDelay is the time of a message between a sidecar and its engine.
+	sidecarDelay = 200 * time.Microsecond
 )
 
 // sequence is the work of one attempt in one phase.
@@ -30,30 +31,32 @@
 	produced int
 	transfer *transfer
 	source   *export
-	// over is true once its memory is free.
-	over bool
+	// freed is true once its memory is freed.
+	freed bool
 }
 
-// prefillWork is what one prefill computed and whether that was of use.
+// prefillWork counts the tokens that one prefill computed and records whether a
+// decode used its result.
 type prefillWork struct {
 	arrival *arrival
 	// remaining is -1 until the prefill starts.
 	remaining int
 	computed  int
 	used      bool
-	// again is true if output was delivered before: the work repeats what a
-	// dead decode engine lost.
-	again bool
+	// repeated is true if output was delivered before this prefill, which then
+	// repeats work that was lost in the crash of a decode engine.
+	repeated bool
 }
 
 // export is a prefill result that can be fetched.
 type export struct {
 	sequence *sequence
-	reading  int
+	readers  int
 	expired  bool
 }
 
-// node is one backend server: its gate, and its engine as service times.
+// node is one simulated backend server: its gate, and its engine modelled by
+// service times.
 type node struct {
 	oriolebend.Server
 	world    *world
@@ -61,85 +64,90 @@
 	sessions map[gate.SessionID]*session
 	kv       int
 	alive    bool
-	// generation tells events of this run of the engine from earlier ones.
-	generation uint64
-	work       map[message.Attempt]*sequence
-	inOrder    []*sequence
-	queue      []*sequence
-	running    []*sequence
-	exports    map[string]*export
-	used       int
-	orders     int
-	stepping   bool
-	cache      *cache
-	// usedSince and usedSum integrate the memory in use, in token seconds.
+	// incarnation is the incarnation of the engine. Callbacks that were scheduled
+	// in an earlier one are dropped.
+	incarnation uint64
+	work        map[message.Attempt]*sequence
+	sequences   []*sequence
+	queue       []*sequence
+	running     []*sequence
+	exports     map[string]*export
+	used        int
+	orders      int
+	stepping    bool
+	cache       *cache
+	// usedTotal is the memory in use integrated up to usedSince, in token seconds.
 	usedSince time.Time
-	usedSum   float64
+	usedTotal float64
 }
 
 func (n *node) info() engine.Info {
 	return engine.Info{
 		Role: n.Role, Models: n.Models, KVTokens: n.kv, LinkBytes: n.LinkBytes,
-		BlockTokens: 64, Incarnation: n.generation,
+		BlockTokens: 64, Incarnation: n.incarnation,
 	}
 }
 
-// boot starts the engine with empty memory.
+// boot starts a new incarnation of the engine with empty memory.
 func (n *node) boot() {
-	n.generation++
+	n.incarnation++
 	n.alive = true
 	n.work = map[message.Attempt]*sequence{}
 	n.exports = map[string]*export{}
-	n.inOrder, n.queue, n.running = nil, nil, nil
-	n.take(-n.used)
+	n.sequences, n.queue, n.running = nil, nil, nil
+	n.changeUsed(-n.used)
 	n.stepping = false
-	n.cache = newCache(n.kv, n.generation)
-	n.tell(gate.EngineKnown{Info: n.info()})
+	n.cache = newCache(n.kv, n.incarnation)
+	n.deliverEvent(gate.EngineKnown{Info: n.info()})
 }
 
-// die drops all that the engine holds; the sidecar notices at once.
-func (n *node) die() {
-	for _, s := range n.inOrder {
-		n.breakTransfer(s)
-		s.over = true
+// crash crashes the engine: all its work and memory are lost. The sidecar detects it
+// without a timeout.
+func (n *node) crash() {
+	for _, s := range n.sequences {
+		n.abortTransfer(s)
+		s.freed = true
 	}
 	n.alive = false
-	n.take(-n.used)
-	n.tell(gate.EngineLost{})
+	n.changeUsed(-n.used)
+	n.deliverEvent(gate.EngineLost{})
 }
 
-// take changes the memory in use.
-func (n *node) take(tokens int) {
+// changeUsed adds tokens, which may be negative, to the memory in use and updates its
+// integral over time.
+func (n *node) changeUsed(tokens int) {
 	now := n.world.clock.now
-	n.usedSum += float64(n.used) * now.Sub(n.usedSince).Seconds()
+	n.usedTotal += float64(n.used) * now.Sub(n.usedSince).Seconds()
 	n.usedSince = now
 	n.used += tokens
 }
 
-// add gives new work its memory; false means that there is none.
-func (n *node) add(s *sequence) bool {
+// allocate allocates the memory of new work. It returns false if too little memory is
+// free or the attempt already has work here.
+func (n *node) allocate(s *sequence) bool {
 	if n.used+s.tokens > n.kv || n.work[s.attempt] != nil {
 		return false
 	}
 	n.orders++
 	s.order = n.orders
 	n.work[s.attempt] = s
-	n.inOrder = append(n.inOrder, s)
-	n.take(s.tokens)
+	n.sequences = append(n.sequences, s)
+	n.changeUsed(s.tokens)
 	return true
 }
 
-// free ends a sequence; it may be called again.
-func (n *node) free(s *sequence) {
-	if s.over {
+// release ends a sequence and frees its memory. It does nothing if the sequence has
+// already ended.
+func (n *node) release(s *sequence) {
+	if s.freed {
 		return
 	}
-	s.over = true
-	n.breakTransfer(s)
-	n.take(-s.tokens)
+	s.freed = true
+	n.abortTransfer(s)
+	n.changeUsed(-s.tokens)
 	delete(n.work, s.attempt)
-	delete(n.exports, s.attempt.RequestID+sourceName(s.attempt))
-	n.inOrder = without(n.inOrder, s)
+	delete(n.exports, s.attempt.RequestID+attemptSuffix(s.attempt))
+	n.sequences = without(n.sequences, s)
 	n.queue = without(n.queue, s)
 	n.running = without(n.running, s)
 }
@@ -153,7 +161,8 @@
 	return list
 }
 
-func (n *node) breakTransfer(s *sequence) {
+// abortTransfer aborts the transfer of a sequence, if one is in progress.
+func (n *node) abortTransfer(s *sequence) {
 	if s.transfer != nil {
 		n.world.links.stop(s.transfer)
 		s.transfer = nil
@@ -161,18 +170,19 @@
 	}
 }
 
-// later runs a step of this run of the engine.
-func (n *node) later(wait time.Duration, run func()) {
-	generation := n.generation
+// afterIfAlive schedules a callback that runs only if the engine is then still alive in
+// the same incarnation.
+func (n *node) afterIfAlive(wait time.Duration, run func()) {
+	incarnation := n.incarnation
 	n.world.clock.after(wait, func() {
-		if n.alive && n.generation == generation {
+		if n.alive && n.incarnation == incarnation {
 			run()
 		}
 	})
 }
 
 func (n *node) fail(a message.Attempt, p message.Phase, r oriolebend.Reason, ran oriolebend.Ran) {
-	n.tell(gate.WorkFailed{Attempt: a, Phase: p, Reason: r, Ran: ran})
+	n.deliverEvent(gate.WorkFailed{Attempt: a, Phase: p, Reason: r, Ran: ran})
 }
 
 func (n *node) startPrefill(r engine.PrefillRequest) {
@@ -180,20 +190,20 @@
 	delivered := n.world.outcomes[a.id].tokens
 	s := &sequence{
 		attempt: r.Attempt, arrival: a, urgent: r.Priority == oriolebend.Urgent,
-		tokens:  a.prompt + delivered,
-		prefill: &prefillWork{arrival: a, remaining: -1, again: delivered > 0},
+		tokens:  a.promptTokens + delivered,
+		prefill: &prefillWork{arrival: a, remaining: -1, repeated: delivered > 0},
 	}
-	if !n.add(s) {
+	if !n.allocate(s) {
 		n.fail(r.Attempt, message.PhasePrefill, oriolebend.ReasonNoMemory, oriolebend.RanNo)
 		return
 	}
 	n.world.prefills = append(n.world.prefills, s.prefill)
 	n.queue = append(n.queue, s)
-	n.wake()
+	n.startSteps()
 }
 
-// wake starts the loop of steps unless it runs.
-func (n *node) wake() {
+// startSteps starts the loop of engine steps unless it is running.
+func (n *node) startSteps() {
 	if n.stepping {
 		return
 	}
@@ -201,6 +211,7 @@
 	n.step()
 }
 
+// step runs the next step; prefill goes before decode.
 func (n *node) step() {
 	switch {
 	case len(n.queue) > 0:
@@ -212,6 +223,8 @@
 	}
 }
 
+// stepPrefill computes the next chunk of the first urgent prompt of the queue, or
+// of the first prompt if none is urgent.
 func (n *node) stepPrefill() {
 	s := n.queue[0]
 	for _, other := range n.queue {
@@ -220,14 +233,14 @@
 		}
 	}
 	if s.prefill.remaining < 0 {
-		s.prefill.remaining = max(s.tokens-n.cache.cached(s.arrival), 1)
+		s.prefill.remaining = max(s.tokens-n.cache.cachedTokens(s.arrival), 1)
 	}
 	chunk := min(s.prefill.remaining, prefillChunk)
 	s.prefill.computed += chunk
 	took := float64(chunk) / n.world.scenario.Engine.PrefillTokens
-	n.later(seconds(took), func() {
+	n.afterIfAlive(seconds(took), func() {
 		s.prefill.remaining -= chunk
-		if s.prefill.remaining <= 0 && !s.over {
+		if s.prefill.remaining <= 0 && !s.freed {
 			n.export(s)
 		}
 		n.step()
@@ -236,16 +249,16 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// export makes a computed prefill ready to be fetched.
+// export publishes a computed prefill result, which can be fetched for ExportLife.
 func (n *node) export(s *sequence) {
 	n.queue = without(n.queue, s)
 	x := &export{sequence: s}
-	n.exports[s.attempt.RequestID+sourceName(s.attempt)] = x
+	n.exports[s.attempt.RequestID+attemptSuffix(s.attempt)] = x
 	n.publish(n.cache.store(s.arrival))
 	life := time.Duration(n.world.scenario.Engine.ExportLife)
-	n.later(life, func() { n.expire(x, life) })
-	n.tell(gate.EnginePrefilled{Attempt: s.attempt, Result: engine.PrefillResult{
-		SourceURL:    n.Name + "/" + s.attempt.RequestID + sourceName(s.attempt),
+	n.afterIfAlive(life, func() { n.expire(x, life) })
+	n.deliverEvent(gate.EnginePrefilled{Attempt: s.attempt, Result: engine.PrefillResult{
+		SourceURL:    n.Name + "/" + s.attempt.RequestID + attemptSuffix(s.attempt),
 		Tokens:       s.tokens,
 		CachedTokens: s.tokens - s.prefill.computed,
 		KVBytes:      int64(s.tokens) * n.world.scenario.Engine.KVTokenBytes,
@@ -254,20 +267,22 @@
 	}})
 }
 
-// expire ends a result's life. A transfer that began in time may go on for as
-// long again.
-func (n *node) expire(x *export, again time.Duration) {
+// expire ends the life of a prefill result. A transfer that began before may
+// continue for the same time again; after it, the result's memory is freed in any
+// case.
+func (n *node) expire(x *export, grace time.Duration) {
 	switch {
-	case x.sequence.over:
-	case x.reading > 0 && !x.expired:
+	case x.sequence.freed:
+	case x.readers > 0 && !x.expired:
 		x.expired = true
-		n.later(again, func() { n.expire(x, again) })
+		n.afterIfAlive(grace, func() { n.expire(x, grace) })
 	default:
-		n.free(x.sequence)
+		n.release(x.sequence)
 	}
 }
 
-// publish sends cache events, late and with gaps.
+// publish sends cache events to the gate after EventDelay and drops the share
+// EventLoss of them.
 func (n *node) publish(events []engine.CacheEvent) {
 	kept := events[:0]
 	for _, e := range events {
@@ -278,8 +293,8 @@
 	if len(kept) == 0 {
 		return
 	}
-	n.later(time.Duration(n.world.scenario.Engine.EventDelay), func() {
-		n.tell(gate.CacheChanged{Events: kept})
+	n.afterIfAlive(time.Duration(n.world.scenario.Engine.EventDelay), func() {
+		n.deliverEvent(gate.CacheChanged{Events: kept})
 	})
 }
 
@@ -287,54 +302,56 @@
 	a := n.world.arrivals[r.Attempt.RequestID]
 	s := &sequence{
 		attempt: r.Attempt, arrival: a, urgent: r.Priority == oriolebend.Urgent,
-		tokens: a.prompt + a.class.OutputTokens.Max, produced: r.Offset,
+		tokens: a.promptTokens + a.class.OutputTokens.Max, produced: r.Offset,
 	}
-	if !n.add(s) {
+	if !n.allocate(s) {
 		n.fail(r.Attempt, message.PhaseDecode, oriolebend.ReasonNoMemory, oriolebend.RanNo)
 		return
 	}
 	from, x := n.world.findExport(r.SourceURL)
 	if x == nil {
-		n.free(s)
+		n.release(s)
 		n.fail(r.Attempt, message.PhaseDecode, oriolebend.ReasonResultExpired, oriolebend.RanUnknown)
 		return
 	}
 	n.fetch(s, from, x, r)
 }
 
+// fetch transfers a prefill result to a decode sequence and fails the attempt if
+// the transfer takes longer than TransferWithin.
 func (n *node) fetch(s *sequence, from *node, x *export, r engine.DecodeRequest) {
-	x.reading++
+	x.readers++
 	s.source = x
-	s.transfer = &transfer{from: from, to: n, left: float64(x.sequence.tokens) * float64(n.world.scenario.Engine.KVTokenBytes)}
+	s.transfer = &transfer{from: from, to: n, remaining: float64(x.sequence.tokens) * float64(n.world.scenario.Engine.KVTokenBytes)}
 	moving := s.transfer
 	moving.done = func() {
 		s.transfer = nil
 		n.world.endRead(x)
 		x.sequence.prefill.used = true
 		n.running = append(n.running, s)
-		n.wake()
+		n.startSteps()
 	}
-	n.later(n.world.delay(from.FailureDomain, n.FailureDomain), func() {
+	n.afterIfAlive(n.world.delay(from.FailureDomain, n.FailureDomain), func() {
 		if s.transfer == moving {
 			n.world.links.start(moving)
 		}
 	})
-	n.later(r.TransferWithin, func() {
+	n.afterIfAlive(r.TransferWithin, func() {
 		if s.transfer == moving {
-			n.free(s)
+			n.release(s)
 			n.fail(s.attempt, message.PhaseDecode, oriolebend.ReasonTransferStalled, oriolebend.RanUnknown)
 		}
 	})
 }
 
-// stepDecode gives every running request one token.
+// stepDecode produces one token for every running request.
 func (n *node) stepDecode() {
 	batch := append([]*sequence(nil), n.running...)
 	step := time.Duration(n.world.scenario.Engine.DecodeStep)
 	step += time.Duration(len(batch)-1) * step / perSequenceShare
-	n.later(step, func() {
+	n.afterIfAlive(step, func() {
 		for _, s := range batch {
-			if !s.over {
+			if !s.freed {
 				n.advance(s)
 			}
 		}
@@ -342,22 +359,23 @@
 	})
 }
 
+// advance produces one token of a sequence and frees it after its last.
 func (n *node) advance(s *sequence) {
 	part := message.Part{Attempt: s.attempt, Offset: s.produced, Tokens: 1}
 	s.produced++
-	if s.produced >= s.arrival.output {
+	if s.produced >= s.arrival.outputTokens {
 		part.Finish = message.FinishStop
-		n.free(s)
+		n.release(s)
 	}
-	n.tell(gate.EnginePart{Part: part})
+	n.deliverEvent(gate.EnginePart{Part: part})
 }
 
-// cancel ends the work of an attempt.
+// cancel frees the work of an attempt; it fails if the engine is not alive.
 func (n *node) cancel(a message.Attempt) {
 	if s := n.work[a]; s != nil && n.alive {
-		n.free(s)
+		n.release(s)
 	}
-	n.tell(gate.Cancelled{Attempt: a, Failed: !n.alive})
+	n.deliverEvent(gate.Cancelled{Attempt: a, Failed: !n.alive})
 }
 
 func (n *node) listWork() {
@@ -365,23 +383,24 @@
 		return
 	}
 	var work []engine.Work
-	for _, s := range n.inOrder {
+	for _, s := range n.sequences {
 		phase := message.PhaseDecode
 		if s.prefill != nil {
 			phase = message.PhasePrefill
 		}
 		work = append(work, engine.Work{Attempt: s.attempt, Phase: phase, Tokens: s.tokens})
 	}
-	n.tell(gate.WorkListed{Work: work})
+	n.deliverEvent(gate.WorkListed{Work: work})
 }
 
-// reportLoad sends the load as it is now, late.
+// reportLoad sends a report of the present load to the gate one LoadPeriod later,
+// so that the gate's view is as old as in a real system, and schedules the next.
 func (n *node) reportLoad() {
 	report := engine.LoadReport{
 		At: n.world.clock.now, Running: len(n.work) - len(n.queue), Queued: len(n.queue),
 		FreeTokens: n.kv - n.used, TotalTokens: n.kv,
 	}
 	period := time.Duration(n.world.scenario.Engine.LoadPeriod)
-	n.later(period, func() { n.tell(gate.LoadReported{Report: report}) })
+	n.afterIfAlive(period, func() { n.deliverEvent(gate.LoadReported{Report: report}) })
 	n.world.clock.after(period, n.reportLoad)
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -16,8 +16,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// TestScenarios runs small scenarios and compares counts, which are the same
-// for each seed on every machine.
+// TestScenarios runs small scenarios and compares the counts. For one seed they are
+// the same on every machine.
 func TestScenarios(t *testing.T) {
 	datadriven.RunTest(t, "testdata/small", func(t *testing.T, d *datadriven.TestData) string {
 		s, err := Parse("small", []byte(d.Input))
@@ -45,9 +45,9 @@
 	return out.String()
 }
 
-// Symptom: a figure can't be repeated.
-// Sequence: the same scenario and seed run twice, beside other runs.
-// Cause: a map's order, the wall clock or shared state in a decision.
+// TestSameSeedSameReport guards against results that differ between two runs of the
+// same scenario and seed, also while other runs go on at the same time. This happens
+// if a decision depends on the order of a map, the wall clock or shared state.
 func TestSameSeedSameReport(t *testing.T) {
 	is := is.New(t)
 	s, err := Read("../../examples/experiment/association-deaths.toml")
@@ -68,8 +68,9 @@
 	is.True(fmt.Sprint(other.Results[0].Classes) != fmt.Sprint(reports[0]))
 }
 
-// No request is lost or answered beyond its length, whatever the policy and
-// although decode engines die; and no policy does better than the bound.
+// TestEveryRequestEnds checks that every request ends exactly once, and that no
+// answer is longer than its length, for two policies and with decode engines that
+// crash.
 func TestEveryRequestEnds(t *testing.T) {
 	files, err := filepath.Glob("../../examples/experiment/*.toml")
 	is.New(t).NoErr(err)
@@ -86,11 +87,11 @@
 				arrivals := plan(&s, 3, 0.7)
 				w := newWorld(&s, v, 3, arrivals)
 				w.run()
-				is.Equal(w.open(), 0)
+				is.Equal(w.openRequests(), 0)
 				for _, a := range arrivals {
 					o := w.outcomes[a.id]
-					is.Equal(o.problem == nil, o.done) // one end
-					is.True(!o.done || o.tokens == a.output)
+					is.Equal(o.problem == nil, o.done) // exactly one end
+					is.True(!o.done || o.tokens == a.outputTokens)
 					is.True(o.problem == nil || o.problem.Ran != oriolebend.RanNo || o.tokens == 0)
 				}
 			}
@@ -98,11 +99,12 @@
 	}
 }
 
-// The bound is that of the scarcest resource where one alone is scarce.
+// TestBoundOfOneResource checks that the bound is that of the scarce resource if only
+// one is scarce.
 func TestBoundOfOneResource(t *testing.T) {
 	is := is.New(t)
 	s := Scenario{
-		Engine:  EngineTimes{}.filled(),
+		Engine:  EngineTimes{}.withDefaults(),
 		Pools:   []Pool{{Count: 1, Role: oriolebend.Prefill}, {Count: 100, Role: oriolebend.Decode, KVTokens: 160_000}},
 		Classes: []Class{{FirstWithin: 10e9, OutputTokens: Range{Max: 10}}},
 	}
@@ -110,13 +112,13 @@
 	// One prefill server computes 200,000 tokens in 10 s: half of 40 * 10,000.
 	arrivals := make([]arrival, 40)
 	for i := range arrivals {
-		arrivals[i] = arrival{class: &s.Classes[0], prompt: 10_000, output: 10}
+		arrivals[i] = arrival{class: &s.Classes[0], promptTokens: 10_000, outputTokens: 10}
 	}
-	is.True(bound(&s, arrivals, false) > 0.499)
-	is.True(bound(&s, arrivals, false) < 0.51)
-	is.Equal(bound(&s, arrivals[:20], false), 1.0)
-	s.Classes[0].FirstWithin = 1e8 // its own prefill takes longer
-	is.Equal(bound(&s, arrivals, false), 0.0)
+	is.True(goodputBound(&s, arrivals, false) > 0.499)
+	is.True(goodputBound(&s, arrivals, false) < 0.51)
+	is.Equal(goodputBound(&s, arrivals[:20], false), 1.0)
+	s.Classes[0].FirstWithin = 1e8 // shorter than the prefill of one request
+	is.Equal(goodputBound(&s, arrivals, false), 0.0)
 }
 
 func TestCommand(t *testing.T) {
--- a/internal/experiment/link.go
+++ b/internal/experiment/link.go
@@ -4,58 +4,62 @@
 	"time"
 )
 
-// links carries KV transfers. Each server's link is shared evenly by what it
-// sends or receives; what a transfer can't use because its other end is slower
-// goes to the others (max-min fairness).
+// links simulates the KV transfers between servers. The transfers that a server
+// sends or receives share its link evenly. Bandwidth that a transfer can't use,
+// because the link at its other end is slower, goes to the others (max-min
+// fairness).
 type links struct {
 	clock  *clock
 	rate   float64
 	active []*transfer
-	// version tells the wake-up that counts from those that were set earlier.
+	// version increases with every change of the rates. A timer that was set for an
+	// earlier version does nothing.
 	version int
 	updated time.Time
 }
 
+// transfer is one KV transfer, with the remaining bytes and its present rate.
 type transfer struct {
-	from, to *node
-	left     float64
-	rate     float64
-	done     func()
+	from, to  *node
+	remaining float64
+	rate      float64
+	done      func()
 }
 
+// start begins a transfer.
 func (l *links) start(t *transfer) {
-	l.settle()
+	l.advance()
 	l.active = append(l.active, t)
-	l.share()
+	l.reallocate()
 }
 
-// stop breaks a transfer off; one that ended is left alone.
+// stop aborts a transfer; it does nothing if the transfer has ended.
 func (l *links) stop(t *transfer) {
 	for i, other := range l.active {
 		if other == t {
-			l.settle()
+			l.advance()
 			l.active = append(l.active[:i], l.active[i+1:]...)
-			l.share()
+			l.reallocate()
 			return
 		}
 	}
 }
 
-// settle moves every transfer on to now.
-func (l *links) settle() {
+// advance updates the remaining bytes of every transfer to the present time.
+func (l *links) advance() {
 	passed := l.clock.now.Sub(l.updated).Seconds()
 	for _, t := range l.active {
-		t.left -= t.rate * passed
+		t.remaining -= t.rate * passed
 	}
 	l.updated = l.clock.now
 }
 
-// share sets the rates anew and wakes at the first end.
-func (l *links) share() {
-	l.fill()
+// reallocate recomputes the rates and sets a timer for the first transfer to complete.
+func (l *links) reallocate() {
+	l.allocateRates()
 	first := -1.0
 	for _, t := range l.active {
-		if end := t.left / t.rate; first < 0 || end < first {
+		if end := t.remaining / t.rate; first < 0 || end < first {
 			first = end
 		}
 	}
@@ -67,14 +71,15 @@
 	wait := time.Duration(max(first, 0)*float64(time.Second)) + 1
 	l.clock.after(wait, func() {
 		if l.version == version {
-			l.finish()
+			l.completeFinished()
 		}
 	})
 }
 
-// fill gives every transfer its rate: the links that leave the smallest share
-// first, and what remains to the others.
-func (l *links) fill() {
+// allocateRates sets the rate of every transfer by progressive filling: it fixes the rates on
+// the link with the smallest share per transfer first, and divides the remaining
+// bandwidth among the other transfers.
+func (l *links) allocateRates() {
 	left, users := map[*node]float64{}, map[*node]int{}
 	for _, t := range l.active {
 		t.rate = 0
@@ -84,17 +89,17 @@
 		}
 	}
 	for open := len(l.active); open > 0; {
-		var tight *node
+		var bottleneck *node
 		for _, t := range l.active {
 			for _, n := range []*node{t.from, t.to} {
-				if t.rate == 0 && (tight == nil || left[n]/float64(users[n]) < left[tight]/float64(users[tight])) {
-					tight = n
+				if t.rate == 0 && (bottleneck == nil || left[n]/float64(users[n]) < left[bottleneck]/float64(users[bottleneck])) {
+					bottleneck = n
 				}
 			}
 		}
-		share := left[tight] / float64(users[tight])
+		share := left[bottleneck] / float64(users[bottleneck])
 		for _, t := range l.active {
-			if t.rate == 0 && (t.from == tight || t.to == tight) {
+			if t.rate == 0 && (t.from == bottleneck || t.to == bottleneck) {
 				t.rate = share
 				left[t.from] -= share
 				left[t.to] -= share
@@ -106,19 +111,20 @@
 	}
 }
 
-// finish ends the transfers that have nothing left.
-func (l *links) finish() {
-	l.settle()
-	var left, done []*transfer
+// completeFinished completes the transfers that have at most one byte left, which allows for
+// rounding.
+func (l *links) completeFinished() {
+	l.advance()
+	var unfinished, done []*transfer
 	for _, t := range l.active {
-		if t.left <= 1 {
+		if t.remaining <= 1 {
 			done = append(done, t)
 		} else {
-			left = append(left, t)
+			unfinished = append(unfinished, t)
 		}
 	}
-	l.active = left
-	l.share()
+	l.active = unfinished
+	l.reallocate()
 	for _, t := range done {
 		t.done()
 	}
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -12,59 +12,64 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// The users' targets for every request of a large fleet.
+// The users' strict targets for every request of a large fleet: the time to the first
+// token and the time between tokens.
 const (
 	strictFirst   = 1200 * time.Millisecond
 	strictBetween = 41 * time.Millisecond
 )
 
-// Result is what one variant did under one load, summed over the seeds.
+// Result holds the measurements of one variant under one load, over all seeds.
 type Result struct {
 	Variant string `json:"variant"`
 	// Factor multiplies the rate of the class that is varied.
 	Factor  float64       `json:"factor"`
 	Classes []ClassResult `json:"classes"`
-	// Good is the share of all requests that met their class's targets with a
-	// whole answer, Strict the share that met 1.2 s and 41 ms.
+	// Good is the share of all requests that got a complete answer within the
+	// targets of their class, Strict the share that got one within 1.2 s and 41 ms.
 	Good   float64 `json:"good"`
 	Strict float64 `json:"strict"`
 	// GoodPerSecond and StrictPerSecond are the same as rates.
 	GoodPerSecond   float64 `json:"goodPerSecond"`
 	StrictPerSecond float64 `json:"strictPerSecond"`
-	// Bound and StrictBound are what full knowledge of the load could reach.
+	// Bound and StrictBound are upper bounds of Good and Strict for any router, also
+	// with full knowledge of the load.
 	Bound       float64 `json:"bound"`
 	StrictBound float64 `json:"strictBound"`
 	// PrefillTokens counts the computed prompt tokens, WastedTokens those of
 	// results that no decode fetched, RepeatedTokens those that were computed
-	// again after a decode engine died in the middle of an output.
+	// again after a decode engine crashed in the middle of an output.
 	PrefillTokens  int `json:"prefillTokens"`
 	WastedTokens   int `json:"wastedTokens"`
 	RepeatedTokens int `json:"repeatedTokens"`
-	// IdleDecode is the share of decode memory that nothing used, and
-	// HeldDecode the share that was granted and waited for its decode.
+	// IdleDecode is the share of decode memory that was not in use, and HeldDecode
+	// the share that was granted and waited for the start of its decode.
 	IdleDecode float64 `json:"idleDecode"`
 	HeldDecode float64 `json:"heldDecode"`
-	// ControlBytes is what finding room for one request takes, both ways.
+	// ControlBytes is the mean size of the messages, in both directions, that
+	// reserve and release capacity for one request.
 	ControlBytes float64 `json:"controlBytesPerRequest"`
-	// Counts are the entries' and gates' counters by what and reason.
+	// Counts are the counters of the entries and gates, by event and reason.
 	Counts map[string]int `json:"counts"`
 }
 
-// ClassResult is what the requests of one class saw.
+// ClassResult holds the measurements of the requests of one class.
 type ClassResult struct {
 	Name     string `json:"name"`
 	Requests int    `json:"requests"`
-	// Served is how many a second came to their end in the counted time,
-	// whenever they arrived.
+	// Served is the number of answers completed per second of the counted time,
+	// whenever their requests arrived.
 	Served float64 `json:"servedPerSecond"`
 	Good   int     `json:"good"`
 	Strict int     `json:"strict"`
-	// Refused had a final answer of "not run", Failed another problem, and
-	// Open no end when the run was over.
+	// Refused counts the requests whose final answer was a problem with "ran" no,
+	// Failed those with another problem, and Open those that had not ended when the
+	// run was over.
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 	Open    int `json:"open"`
-	// First are percentiles of the time to the first token, in milliseconds.
+	// First50 and First99 are percentiles of the time to the first token, in
+	// milliseconds.
 	First50 float64 `json:"first50Millis"`
 	First99 float64 `json:"first99Millis"`
 	// Between99 is the 99th percentile of the requests' mean times between
@@ -74,7 +79,7 @@
 	first, between []float64
 }
 
-// Report is everything that one scenario gave.
+// Report holds the results of one scenario.
 type Report struct {
 	Scenario string   `json:"scenario"`
 	Seeds    []uint64 `json:"seeds"`
@@ -89,10 +94,10 @@
 	factor  float64
 }
 
-// Run runs every variant of a scenario at every factor and seed, a few at the
-// same time. What comes of a seed does not depend on that.
+// Run runs every variant of a scenario at every factor and seed, up to parallel
+// jobs at the same time. The results do not depend on parallel.
 func Run(ctx context.Context, s Scenario, parallel int) (Report, error) {
-	s = s.filled()
+	s = s.withDefaults()
 	var jobs []job
 	for _, factor := range s.Vary.Factors {
 		for _, v := range s.Variants {
@@ -142,14 +147,14 @@
 		c := slices.IndexFunc(r.Classes, func(c ClassResult) bool { return c.Name == a.class.Name })
 		r.Classes[c].add(a, w.outcomes[a.id], w.start)
 	}
-	r.addServed(w)
+	r.addThroughput(w)
 	for _, p := range w.prefills {
 		if w.counted(p.arrival) {
 			r.addPrefill(p)
 		}
 	}
-	r.Bound += bound(w.scenario, arrivals, false)
-	r.StrictBound += bound(w.scenario, arrivals, true)
+	r.Bound += goodputBound(w.scenario, arrivals, false)
+	r.StrictBound += goodputBound(w.scenario, arrivals, true)
 	r.IdleDecode += w.idle
 	r.HeldDecode += w.held
 	r.ControlBytes += float64(w.controlBytes) / float64(max(len(arrivals), 1))
@@ -158,9 +163,10 @@
 	}
 }
 
-// addServed counts the ends of answers by class, also of requests that came in
-// the warm-up: it is what the fleet carries.
-func (r *Result) addServed(w *world) {
+// addThroughput counts by class the answers that were completed in the counted time,
+// also those of requests that arrived in the warm-up, so that Served is the
+// throughput of the fleet.
+func (r *Result) addThroughput(w *world) {
 	warm := w.start.Add(time.Duration(w.scenario.WarmUp))
 	end := w.start.Add(time.Duration(w.scenario.Duration))
 	for _, a := range w.arrivals {
@@ -181,7 +187,7 @@
 	if !p.used {
 		r.WastedTokens += p.computed
 	}
-	if p.again {
+	if p.repeated {
 		r.RepeatedTokens += p.computed
 	}
 }
@@ -216,7 +222,7 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// finish turns sums over seeds into means.
+// finish computes percentiles and rates, and turns sums over seeds into means.
 func (r *Result) finish(s *Scenario) {
 	requests, good, strict := 0, 0, 0
 	for i := range r.Classes {
@@ -248,18 +254,20 @@
 	return values[min(int(p*float64(len(values))), len(values)-1)]
 }
 
-// Wasted is the share of computed prompt tokens whose result nobody fetched.
+// Wasted returns the share of the computed prompt tokens whose result no decode
+// fetched.
 func (r *Result) Wasted() float64 {
 	return float64(r.WastedTokens) / float64(max(r.PrefillTokens, 1))
 }
 
-// Repeated is the share that was computed again after a decode engine died.
+// Repeated returns the share of the computed prompt tokens that were computed again
+// after a decode engine crashed.
 func (r *Result) Repeated() float64 {
 	return float64(r.RepeatedTokens) / float64(max(r.PrefillTokens, 1))
 }
 
-// countsOf lists the counters whose name begins with a word, in order.
-func (r *Result) countsOf(what string) []string {
+// countersOf returns the sorted keys of the counters of an event.
+func (r *Result) countersOf(what string) []string {
 	var keys []string
 	for _, key := range slices.Sorted(maps.Keys(r.Counts)) {
 		if strings.HasPrefix(key, what+" ") {
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -1,9 +1,9 @@
-// Package experiment measures the routing decisions: it runs the reducers of
-// entries and gates in virtual time, joined by message delays and by engines
-// that are no more than service times, and compares policies under one load.
+// Package experiment compares routing policies under one load. It runs the reducers
+// of entries and gates in virtual time, connected by message delays and by engines
+// that are modelled by their service times alone.
 //
-// It simulates no cluster: no process, socket, disk, agreement or membership
-// stands in it, and control VMs are a fixed delay.
+// It does not simulate a cluster: there are no processes, sockets, disks, agreement
+// or membership, and the control VMs are modelled as a fixed delay.
 package experiment
 
 import (
@@ -21,25 +21,27 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Scenario describes a fleet, its load and what is compared.
+// Scenario describes a fleet, its load and the variants to compare.
 type Scenario struct {
 	Name string `toml:"name"`
-	// Duration is for how long requests arrive; those that arrive before
-	// WarmUp are not counted. Zero means 60s and a sixth of Duration.
+	// Duration is the time during which requests arrive. Requests that arrive
+	// before WarmUp are not counted. Zero means 60s for Duration and a sixth of
+	// Duration for WarmUp.
 	Duration settings.Duration `toml:"duration"`
 	WarmUp   settings.Duration `toml:"warmUp"`
-	// Seeds are the loads that are run; empty means 1, 2 and 3.
+	// Seeds are the seeds of the random loads; empty means 1, 2 and 3.
 	Seeds []uint64 `toml:"seeds"`
-	// Variants are what is compared; empty means every policy as it is.
+	// Variants are compared; empty means every policy with its defaults, and round
+	// robin with AdmitAll.
 	Variants []Variant `toml:"variants"`
-	// Entries is how many entries there are; zero means 2.
+	// Entries is the number of entries; zero means 2.
 	Entries int `toml:"entries"`
-	// LinkDelay is the time of a message between failure domains, NearDelay
-	// within one; zero means 1.5ms and 200us.
+	// LinkDelay is the time of a message between failure domains, NearDelay the
+	// time within one; zero means 1.5ms and 200us.
 	LinkDelay settings.Duration `toml:"linkDelay"`
 	NearDelay settings.Duration `toml:"nearDelay"`
-	// RecordDelay is how long the control VMs take for a claim or settlement;
-	// zero means 4ms.
+	// RecordDelay is the time that the control VMs take for a claim or a
+	// settlement; zero means 4ms.
 	RecordDelay settings.Duration `toml:"recordDelay"`
 	Engine      EngineTimes       `toml:"engine"`
 	Pools       []Pool            `toml:"pools"`
@@ -55,17 +57,18 @@
 	Probes       int         `toml:"probes"`
 	DecodeProbes int         `toml:"decodeProbes"`
 	AskAtOnce    bool        `toml:"askAtOnce"`
-	// AdmitAll refuses no request for being late.
+	// AdmitAll turns off admission by predicted latency.
 	AdmitAll bool `toml:"admitAll"`
 }
 
-// EngineTimes are the service times of all engines. Zeros mean the values of
-// the stand-in engines.
+// EngineTimes are the service times of all engines. A zero means the value of the
+// stand-in engines.
 type EngineTimes struct {
-	// PrefillTokens is how many prompt tokens a second a prefill computes.
+	// PrefillTokens is the number of prompt tokens that a prefill computes per
+	// second.
 	PrefillTokens float64 `toml:"prefillTokens"`
-	// DecodeStep is the time between tokens of a lone request; each further
-	// request of the batch adds a hundredth.
+	// DecodeStep is the time between tokens of a request that is alone in its
+	// batch; each further request of the batch adds a hundredth.
 	DecodeStep settings.Duration `toml:"decodeStep"`
 	// LinkBytes is the rate of each server's link, in bytes a second.
 	LinkBytes float64 `toml:"linkBytes"`
@@ -73,14 +76,15 @@
 	KVTokenBytes int64 `toml:"kvTokenBytes"`
 	// ExportLife is how long a prefill result can be fetched.
 	ExportLife settings.Duration `toml:"exportLife"`
-	// LoadPeriod is how old load reports are, EventDelay cache events.
+	// LoadPeriod is the period and the age of load reports, EventDelay the age of
+	// cache events.
 	LoadPeriod settings.Duration `toml:"loadPeriod"`
 	EventDelay settings.Duration `toml:"eventDelay"`
 	// EventLoss is the share of cache events that are never published.
 	EventLoss float64 `toml:"eventLoss"`
 }
 
-// Pool is servers that are alike.
+// Pool describes identical servers.
 type Pool struct {
 	NamePrefix     string              `toml:"namePrefix"`
 	Count          int                 `toml:"count"`
@@ -90,50 +94,53 @@
 	KVTokens int `toml:"kvTokens"`
 }
 
-// Class is requests that are alike.
+// Class describes requests with the same distribution.
 type Class struct {
 	Name    string             `toml:"name"`
 	Urgency oriolebend.Urgency `toml:"urgency"`
-	// Rate is how many arrive in a second, from From until Until. Zero means the beginning
-	// and the end, so that work which shifts is two classes, one after the other.
+	// Rate is the number of requests per second that arrive from From until Until.
+	// Zero means the beginning and the end of the run. Two classes with adjacent
+	// times describe a load that shifts from one kind of work to another.
 	Rate         float64           `toml:"rate"`
 	From         settings.Duration `toml:"from"`
 	Until        settings.Duration `toml:"until"`
 	PromptTokens Range             `toml:"promptTokens"`
 	OutputTokens Range             `toml:"outputTokens"`
-	// Prefixes is how many prefixes of PrefixTokens the prompts begin with.
+	// Prefixes is the number of shared prefixes, of PrefixTokens each. Every prompt
+	// begins with one of them.
 	Prefixes     int `toml:"prefixes"`
 	PrefixTokens int `toml:"prefixTokens"`
-	// Organisations is how many organisations send; zero means 3.
+	// Organisations is the number of organisations that send requests; zero means 3.
 	Organisations int `toml:"organisations"`
-	// FirstWithin and BetweenWithin are the targets; zero means 1.2s and 41ms.
+	// FirstWithin and BetweenWithin are the targets for the time to the first token
+	// and between tokens; zero means 1.2s and 41ms.
 	FirstWithin   settings.Duration `toml:"firstWithin"`
 	BetweenWithin settings.Duration `toml:"betweenWithin"`
 }
 
 // Range is a distribution: half of the values lie between Min and Median, half
-// between Median and Max, each half even.
+// between Median and Max, each half uniformly distributed.
 type Range struct {
 	Min    int `toml:"min"`
 	Median int `toml:"median"`
 	Max    int `toml:"max"`
 }
 
-// Deaths has one decode engine after the other die.
+// Deaths describes crashes of the decode engines, one engine after the other.
 type Deaths struct {
-	// Every is the time between two deaths; zero means none.
+	// Every is the time between two crashes; zero means none.
 	Every settings.Duration `toml:"every"`
-	// Away is how long a dead engine takes to answer again; zero means 2s.
+	// Away is the time from a crash to the restart of the engine; zero means 2s.
 	Away settings.Duration `toml:"away"`
 }
 
-// Vary repeats every run with a class at several multiples of its rate.
+// Vary repeats every run with several multiples of the rate of one class.
 type Vary struct {
 	Class   string    `toml:"class"`
 	Factors []float64 `toml:"factors"`
 }
 
-// ScenarioError tells what is wrong with a scenario.
+// ScenarioError reports a scenario file that can't be read or is invalid.
 type ScenarioError struct {
 	File  string
 	Fault string
@@ -143,10 +150,10 @@
 // Error implements error.
 func (e *ScenarioError) Error() string { return "scenario " + e.File + ": " + e.Fault }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause, if any.
 func (e *ScenarioError) Unwrap() error { return e.Cause }
 
-// Read reads a scenario; its errors are *ScenarioError.
+// Read reads and checks a scenario file. Errors are *ScenarioError.
 func Read(file string) (Scenario, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -155,22 +162,24 @@
 	return Parse(file, data)
 }
 
-// Parse reads a scenario from its text; file names it in errors.
+// Parse parses and checks the text of a scenario. Errors are *ScenarioError, with
+// file as the name.
 func Parse(file string, data []byte) (Scenario, error) {
 	var s Scenario
 	decoder := toml.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&s); err != nil {
-		return s, &ScenarioError{File: file, Fault: faultOf(err), Cause: err}
+		return s, &ScenarioError{File: file, Fault: decodeErrorText(err), Cause: err}
 	}
-	s = s.filled()
+	s = s.withDefaults()
 	if fault := s.fault(); fault != "" {
 		return s, &ScenarioError{File: file, Fault: fault}
 	}
 	return s, nil
 }
 
-func faultOf(err error) string {
+// decodeErrorText returns the text of a decoding error, with the position of unknown keys.
+func decodeErrorText(err error) string {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		return strings.TrimSpace(strict.String())
@@ -178,7 +187,8 @@
 	return err.Error()
 }
 
-func (s Scenario) filled() Scenario {
+// withDefaults returns the scenario with defaults in place of zeros.
+func (s Scenario) withDefaults() Scenario {
 	setDefault(&s.Duration, settings.Duration(time.Minute))
 	setDefault(&s.WarmUp, s.Duration/6)
 	setDefault(&s.Entries, 2)
@@ -186,12 +196,12 @@
 	setDefault(&s.NearDelay, settings.Duration(200*time.Microsecond))
 	setDefault(&s.RecordDelay, settings.Duration(4*time.Millisecond))
 	setDefault(&s.Deaths.Away, settings.Duration(2*time.Second))
-	s.Engine = s.Engine.filled()
+	s.Engine = s.Engine.withDefaults()
 	if len(s.Seeds) == 0 {
 		s.Seeds = []uint64{1, 2, 3}
 	}
 	if len(s.Variants) == 0 {
-		s.Variants = everyPolicy()
+		s.Variants = allPolicies()
 	}
 	for i := range s.Pools {
 		setDefault(&s.Pools[i].KVTokens, 160_000)
@@ -209,7 +219,7 @@
 	return s
 }
 
-func (e EngineTimes) filled() EngineTimes {
+func (e EngineTimes) withDefaults() EngineTimes {
 	setDefault(&e.PrefillTokens, 20_000)
 	setDefault(&e.DecodeStep, settings.Duration(25*time.Millisecond))
 	setDefault(&e.LinkBytes, 2e9)
@@ -220,19 +230,20 @@
 	return e
 }
 
-func everyPolicy() []Variant {
+func allPolicies() []Variant {
 	names := []policy.Name{policy.Random, policy.RoundRobin, policy.LeastLoad, policy.Affinity, policy.Reserve}
 	var all []Variant
 	for _, name := range names {
 		all = append(all, Variant{Name: string(name), Route: name})
 	}
-	// The baseline: no reservation, and no admission by latency either.
+	// The baseline has neither reservations nor admission by latency.
 	return append(all, Variant{Name: "roundRobinAdmitAll", Route: policy.RoundRobin, AdmitAll: true})
 }
 
+// fault returns the first fault of a scenario; empty if it is valid.
 func (s Scenario) fault() string {
 	if len(s.Pools) == 0 || len(s.Classes) == 0 {
-		return "there must be pools and classes"
+		return "pools and classes must not be empty"
 	}
 	for _, p := range s.Pools {
 		if p.Count < 1 || len(p.FailureDomains) == 0 {
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Table writes a report for people.
+// Table writes a report as text tables.
 func (r Report) Table(out io.Writer) error {
 	fmt.Fprintf(out, "%s: seeds %v, %.0f s counted of each\n\n", r.Scenario, r.Seeds, r.Seconds)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -35,13 +35,13 @@
 	return t.Flush()
 }
 
-// Reasons writes why work was tried again, refused or thrown away.
+// Reasons writes the counters of retries, refusals and wasted work, by reason.
 func (r Report) Reasons(out io.Writer) {
 	fmt.Fprintln(out)
 	for _, v := range r.Results {
 		fmt.Fprintf(out, "%s at %.2f:", v.Variant, v.Factor)
 		for _, what := range []string{"retry", "refused", "refusal", "prefillWasted", "prefillReleased", "retryDelayed", "givenUp", "gate"} {
-			for _, key := range v.countsOf(what) {
+			for _, key := range v.countersOf(what) {
 				fmt.Fprintf(out, " %s=%d", key, v.Counts[key])
 			}
 		}
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -19,13 +19,15 @@
 const (
 	gateTick   = 50 * time.Millisecond
 	renewEvery = 500 * time.Millisecond
-	// announceDelay is the time from a sidecar by the control VMs to entries.
+	// announceDelay is the time until an announcement of a sidecar reaches the
+	// entries through the control VMs.
 	announceDelay = 50 * time.Millisecond
-	// drainFor bounds how long a run goes on after the last arrival.
-	drainFor = 60 * time.Second
+	// maxDrainTime bounds how long a run continues after Scenario.Duration, so
+	// that requests in progress can end.
+	maxDrainTime = 60 * time.Second
 )
 
-// world is one run: one variant under one load.
+// world is the state of one simulation run: one variant under one load.
 type world struct {
 	clock    clock
 	links    links
@@ -40,14 +42,18 @@
 	prefills []*prefillWork
 	sessions int
 	counts   map[string]int
-	// controlBytes counts what went between entries and gates besides work.
+	// controlBytes is the encoded size of the messages between entries and gates
+	// that reserve and release capacity.
 	controlBytes int
-	// reserved integrates granted decode memory whose decode had not come.
+	// reserved is the decode memory that was granted and waited for the start of
+	// its decode, integrated over time, in token seconds.
 	reserved float64
-	// idle and held are shares of the decode memory over the counted time.
+	// idle and held are the unused and the reserved share of the decode memory,
+	// averaged over the counted time.
 	idle, held float64
 }
 
+// entryNode is one simulated entry: its reducer state and its open sessions.
 type entryNode struct {
 	name     string
 	domain   string
@@ -55,18 +61,19 @@
 	sessions map[entry.SessionKey]*session
 }
 
-// session joins an entry with a gate.
+// session is a connection between an entry and a gate.
 type session struct {
 	id    gate.SessionID
 	key   entry.SessionKey
 	entry *entryNode
 	node  *node
-	// tokens and from are of granted decode memory; from is zero before.
-	tokens int
-	from   time.Time
+	// tokens is the decode memory that the session reserves; grantedAt is when it
+	// was granted, zero before.
+	tokens    int
+	grantedAt time.Time
 }
 
-// outcome is what the caller of one request saw.
+// outcome is the answer that the caller of one request received.
 type outcome struct {
 	tokens      int
 	first, last time.Time
@@ -93,10 +100,10 @@
 		w.arrivals[a.id] = a
 		w.outcomes[a.id] = &outcome{}
 		e := w.entries[a.entry]
-		w.clock.after(a.at, func() { w.toEntry(e, entry.Arrived{At: w.clock.now, Request: a.request()}) })
+		w.clock.after(a.at, func() { w.reduceEntry(e, entry.Arrived{At: w.clock.now, Request: a.request()}) })
 	}
 	if every := time.Duration(s.Deaths.Every); every > 0 {
-		w.clock.after(every, func() { w.killNext(0) })
+		w.clock.after(every, func() { w.crashNext(0) })
 	}
 	return w
 }
@@ -148,8 +155,8 @@
 			Probes: v.Probes, DecodeProbes: v.DecodeProbes, ProbeInParallel: v.AskAtOnce, AdmitAll: v.AdmitAll,
 		})
 		w.entries = append(w.entries, e)
-		w.toEntry(e, entry.ServersChanged{At: w.clock.now, Servers: servers, Complete: true})
-		w.every(entry.TickEvery, func() { w.toEntry(e, entry.Ticked{At: w.clock.now}) })
+		w.reduceEntry(e, entry.ServersChanged{At: w.clock.now, Servers: servers, Complete: true})
+		w.every(entry.TickEvery, func() { w.reduceEntry(e, entry.Ticked{At: w.clock.now}) })
 	}
 }
 
@@ -160,45 +167,50 @@
 	})
 }
 
-// run lets all requests arrive and end.
+// run simulates the arrival of all requests, and then the time until all of them
+// capacity ended or maxDrainTime has passed.
 func (w *world) run() {
 	warm := w.start.Add(time.Duration(w.scenario.WarmUp))
 	end := w.start.Add(time.Duration(w.scenario.Duration))
-	w.clock.until(warm)
-	used := w.usedSums()
+	w.clock.runUntil(warm)
+	used := w.usedTokenSeconds()
 	w.reserved = 0
-	w.clock.until(end)
-	w.noteIdle(w.usedSums()-used, end.Sub(warm))
-	for limit := end.Add(drainFor); w.clock.now.Before(limit) && w.open() > 0; {
-		w.clock.until(w.clock.now.Add(time.Second))
+	w.clock.runUntil(end)
+	w.measureMemory(w.usedTokenSeconds()-used, end.Sub(warm))
+	for limit := end.Add(maxDrainTime); w.clock.now.Before(limit) && w.openRequests() > 0; {
+		w.clock.runUntil(w.clock.now.Add(time.Second))
 	}
 }
 
-// usedSums is the decode memory that was in use so far, in token seconds.
-func (w *world) usedSums() float64 {
+// usedTokenSeconds returns the decode memory in use since the start of the run, summed
+// over the decode nodes, in token seconds.
+func (w *world) usedTokenSeconds() float64 {
 	sum := 0.0
 	for _, n := range w.nodes {
-		n.take(0)
+		n.changeUsed(0)
 		if n.Role == oriolebend.Decode {
-			sum += n.usedSum
+			sum += n.usedTotal
 		}
 	}
 	return sum
 }
 
-func (w *world) noteIdle(used float64, passed time.Duration) {
-	whole := 0.0
+// measureMemory computes the idle and held shares of the decode memory for the
+// counted time.
+func (w *world) measureMemory(used float64, passed time.Duration) {
+	total := 0.0
 	for _, n := range w.nodes {
 		if n.Role == oriolebend.Decode {
-			whole += float64(n.kv) * passed.Seconds()
+			total += float64(n.kv) * passed.Seconds()
 		}
 	}
-	w.idle = 1 - used/whole
-	w.held = w.reserved / whole
+	w.idle = 1 - used/total
+	w.held = w.reserved / total
 }
 
-// open counts the requests without an end.
-func (w *world) open() int {
+// openRequests returns the number of requests that have neither a complete answer nor a
+// problem.
+func (w *world) openRequests() int {
 	open := 0
 	for _, o := range w.outcomes {
 		if !o.done && o.problem == nil {
@@ -208,8 +220,9 @@
 	return open
 }
 
-// killNext has one decode engine die, in turn.
-func (w *world) killNext(turn int) {
+// crashNext crashes the decode engines one after another, in turn, and schedules
+// the restart and the next crash.
+func (w *world) crashNext(turn int) {
 	var decodes []*node
 	for _, n := range w.nodes {
 		if n.Role == oriolebend.Decode {
@@ -218,10 +231,10 @@
 	}
 	n := decodes[turn%len(decodes)]
 	if n.alive {
-		n.die()
+		n.crash()
 		w.clock.after(time.Duration(w.scenario.Deaths.Away), n.boot)
 	}
-	w.clock.after(time.Duration(w.scenario.Deaths.Every), func() { w.killNext(turn + 1) })
+	w.clock.after(time.Duration(w.scenario.Deaths.Every), func() { w.crashNext(turn + 1) })
 }
 
 func (w *world) delay(from, to string) time.Duration {
@@ -231,8 +244,8 @@
 	return time.Duration(w.scenario.LinkDelay)
 }
 
-// toEntry reduces an event at an entry and carries its effects out.
-func (w *world) toEntry(e *entryNode, event entry.Event) {
+// reduceEntry applies an event to the state of an entry and performs the effects.
+func (w *world) reduceEntry(e *entryNode, event entry.Event) {
 	for _, effect := range entry.Reduce(e.state, event) {
 		w.performEntry(e, effect)
 	}
@@ -243,11 +256,11 @@
 	case entry.SendClaim:
 		w.clock.after(time.Duration(w.scenario.RecordDelay), func() {
 			answer := message.ClaimAnswer{Outcome: message.ClaimOwned, RequestID: f.Claim.RequestID, Attempt: 1}
-			w.toEntry(e, entry.Claimed{At: w.clock.now, RequestID: f.Claim.RequestID, Answer: answer})
+			w.reduceEntry(e, entry.Claimed{At: w.clock.now, RequestID: f.Claim.RequestID, Answer: answer})
 		})
 	case entry.SendSettle:
 		w.clock.after(time.Duration(w.scenario.RecordDelay), func() {
-			w.toEntry(e, entry.Settled{
+			w.reduceEntry(e, entry.Settled{
 				At: w.clock.now, RequestID: f.Settle.RequestID, Attempt: f.Settle.Attempt, State: f.Settle.State, Accepted: true,
 			})
 		})
@@ -296,7 +309,7 @@
 	if s == nil {
 		return
 	}
-	w.weigh(m)
+	w.countControlBytes(m)
 	w.clock.after(w.delay(s.entry.domain, s.node.FailureDomain), func() {
 		s.node.reduce(gate.Received{At: w.clock.now, Session: s.id, Message: m})
 	})
@@ -316,8 +329,9 @@
 	})
 }
 
-// weigh counts the bytes of what is said to find and hold room.
-func (w *world) weigh(m message.Message) {
+// countControlBytes adds the encoded size of a message that reserves or releases capacity to
+// controlBytes; other messages don't count.
+func (w *world) countControlBytes(m message.Message) {
 	switch m.(type) {
 	case message.Reserve, message.Offer, message.Grant, message.Refusal, message.Release:
 		encoded, err := cbor.Marshal(m)
@@ -327,13 +341,13 @@
 	}
 }
 
-// tell hands the gate an event of its engine.
-func (n *node) tell(e gate.Event) {
-	n.world.clock.after(besideDelay, func() { n.reduce(stamped(e, n.world.clock.now)) })
+// deliverEvent delivers an event of the engine to the gate after sidecarDelay.
+func (n *node) deliverEvent(e gate.Event) {
+	n.world.clock.after(sidecarDelay, func() { n.reduce(withTime(e, n.world.clock.now)) })
 }
 
-// stamped sets the time of an event of the engine.
-func stamped(e gate.Event, at time.Time) gate.Event {
+// withTime returns an event of the engine with its time set.
+func withTime(e gate.Event, at time.Time) gate.Event {
 	switch e := e.(type) {
 	case gate.EnginePart:
 		e.At = at
@@ -351,11 +365,12 @@
 		e.At = at
 		return e
 	default:
-		return stampedServer(e, at)
+		return serverEventWithTime(e, at)
 	}
 }
 
-func stampedServer(e gate.Event, at time.Time) gate.Event {
+// serverEventWithTime does the same for the events about the whole server.
+func serverEventWithTime(e gate.Event, at time.Time) gate.Event {
 	switch e := e.(type) {
 	case gate.LoadReported:
 		e.At = at
@@ -376,6 +391,7 @@
 	return e
 }
 
+// renew renews the sessions of the node, in order of their ids so that runs repeat.
 func (n *node) renew() {
 	ids := slices.Sorted(maps.Keys(n.sessions))
 	for _, id := range ids {
@@ -383,7 +399,7 @@
 	}
 }
 
-// reduce reduces an event at the gate and carries its effects out.
+// reduce applies an event to the state of the gate and performs the effects.
 func (n *node) reduce(e gate.Event) {
 	for _, effect := range gate.Reduce(n.gate, e) {
 		n.perform(effect)
@@ -398,16 +414,16 @@
 	case gate.EndSession:
 		n.endSession(f.Session)
 	case gate.RunPrefill:
-		w.clock.after(besideDelay, func() { n.ifAlive(f.Request.Attempt, message.PhasePrefill, func() { n.startPrefill(f.Request) }) })
+		w.clock.after(sidecarDelay, func() { n.ifAlive(f.Request.Attempt, message.PhasePrefill, func() { n.startPrefill(f.Request) }) })
 	case gate.RunDecode:
-		n.noteReserved(f.Request.Attempt)
-		w.clock.after(besideDelay, func() { n.ifAlive(f.Request.Attempt, message.PhaseDecode, func() { n.startDecode(f.Request) }) })
+		n.recordReserved(f.Request.Attempt)
+		w.clock.after(sidecarDelay, func() { n.ifAlive(f.Request.Attempt, message.PhaseDecode, func() { n.startDecode(f.Request) }) })
 	case gate.CancelWork:
-		w.clock.after(besideDelay, func() { n.cancel(f.Attempt) })
+		w.clock.after(sidecarDelay, func() { n.cancel(f.Attempt) })
 	case gate.ListWork:
-		w.clock.after(besideDelay, n.listWork)
+		w.clock.after(sidecarDelay, n.listWork)
 	case gate.ListCache:
-		w.clock.after(besideDelay, func() { n.tell(gate.CacheListed{Index: n.cache.index()}) })
+		w.clock.after(sidecarDelay, func() { n.deliverEvent(gate.CacheListed{Index: n.cache.index()}) })
 	case gate.Announce:
 		n.announce(f.State)
 	case gate.Count:
@@ -415,6 +431,8 @@
 	}
 }
 
+// ifAlive runs a function if the engine is alive; otherwise the work fails as
+// serverLost.
 func (n *node) ifAlive(a message.Attempt, p message.Phase, run func()) {
 	if !n.alive {
 		n.fail(a, p, oriolebend.ReasonServerLost, oriolebend.RanUnknown)
@@ -428,7 +446,7 @@
 	server.State = state
 	n.world.clock.after(announceDelay, func() {
 		for _, e := range n.world.entries {
-			n.world.toEntry(e, entry.ServersChanged{At: n.world.clock.now, Servers: []oriolebend.Server{server}})
+			n.world.reduceEntry(e, entry.ServersChanged{At: n.world.clock.now, Servers: []oriolebend.Server{server}})
 		}
 	})
 }
@@ -439,11 +457,11 @@
 		return
 	}
 	w := n.world
-	w.weigh(f.Message)
-	n.noteGrant(s, f.Message)
+	w.countControlBytes(f.Message)
+	n.recordGrant(s, f.Message)
 	w.clock.after(w.delay(s.entry.domain, n.FailureDomain), func() {
 		if s.entry.sessions[s.key] == s {
-			w.toEntry(s.entry, entry.Received{At: w.clock.now, Session: s.key, Message: f.Message})
+			w.reduceEntry(s.entry, entry.Received{At: w.clock.now, Session: s.key, Message: f.Message})
 		}
 	})
 }
@@ -458,37 +476,41 @@
 	w.clock.after(w.delay(s.entry.domain, n.FailureDomain), func() {
 		if s.entry.sessions[s.key] == s {
 			delete(s.entry.sessions, s.key)
-			w.toEntry(s.entry, entry.SessionLost{At: w.clock.now, Session: s.key, Opened: true})
+			w.reduceEntry(s.entry, entry.SessionLost{At: w.clock.now, Session: s.key, Opened: true})
 		}
 	})
 }
 
-// noteGrant notes from when a session holds decode memory.
-func (n *node) noteGrant(s *session, m message.Message) {
+// recordGrant records from when on a session holds decode memory.
+func (n *node) recordGrant(s *session, m message.Message) {
 	switch m := m.(type) {
 	case message.Offer:
 		if m.Granted {
-			s.from = n.world.clock.now.Add(m.StartIn)
+			s.grantedAt = n.world.clock.now.Add(m.StartIn)
 		}
 	case message.Grant:
-		s.from = n.world.clock.now
+		s.grantedAt = n.world.clock.now
 	}
 }
 
-// noteReserved adds the time for which memory was held before its decode.
-func (n *node) noteReserved(a message.Attempt) {
+// recordReserved adds to world.reserved the memory of an attempt, multiplied by the
+// time from its grant to the start of its decode.
+func (n *node) recordReserved(a message.Attempt) {
 	for _, s := range n.sessions {
-		if s.key.Attempt == a && s.key.Phase == message.PhaseDecode && !s.from.IsZero() {
-			held := n.world.clock.now.Sub(s.from)
+		if s.key.Attempt == a && s.key.Phase == message.PhaseDecode && !s.grantedAt.IsZero() {
+			held := n.world.clock.now.Sub(s.grantedAt)
 			n.world.reserved += max(held.Seconds(), 0) * float64(s.tokens)
 			return
 		}
 	}
 }
 
-// sourceName tells the results of one request's attempts apart.
-func sourceName(a message.Attempt) string { return fmt.Sprintf("#%d", a.Number) }
+// attemptSuffix returns the part of a handle that distinguishes the prefill results
+// of one request's attempts.
+func attemptSuffix(a message.Attempt) string { return fmt.Sprintf("#%d", a.Number) }
 
+// findExport returns the node and the prefill result that a source URL names. The
+// result is nil if it does not exist or has expired.
 func (w *world) findExport(url string) (*node, *export) {
 	server, handle, _ := strings.Cut(url, "/")
 	n := w.byName[server]
@@ -502,7 +524,7 @@
 	return n, x
 }
 
-// endRead ends a transfer of a result; one that outlived the result frees it.
+// endRead counts one transfer of a prefill result as ended.
 func (w *world) endRead(x *export) {
-	x.reading--
+	x.readers--
 }
