--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -52,11 +52,11 @@
 
 // Variant is a policy with its options.
 type Variant struct {
-	Name         string      `toml:"name"`
-	Route        policy.Name `toml:"route"`
-	Probes       int         `toml:"probes"`
-	DecodeProbes int         `toml:"decodeProbes"`
-	AskAtOnce    bool        `toml:"askAtOnce"`
+	Name            string      `toml:"name"`
+	Route           policy.Name `toml:"route"`
+	Probes          int         `toml:"probes"`
+	DecodeProbes    int         `toml:"decodeProbes"`
+	ProbeInParallel bool        `toml:"askAtOnce"`
 	// AdmitAll turns off admission by predicted latency.
 	AdmitAll bool `toml:"admitAll"`
 }
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -152,7 +152,7 @@
 		}
 		e.state = entry.New(entry.Config{
 			Name: e.name, FailureDomain: e.domain, Seed: seed + uint64(i), Route: v.Route,
-			Probes: v.Probes, DecodeProbes: v.DecodeProbes, ProbeInParallel: v.AskAtOnce, AdmitAll: v.AdmitAll,
+			Probes: v.Probes, DecodeProbes: v.DecodeProbes, ProbeInParallel: v.ProbeInParallel, AdmitAll: v.AdmitAll,
 		})
 		w.entries = append(w.entries, e)
 		w.reduceEntry(e, entry.ServersChanged{At: w.clock.now, Servers: servers, Complete: true})
