--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -46,7 +46,7 @@
 	Engine      EngineTimes       `toml:"engine"`
 	Pools       []Pool            `toml:"pools"`
 	Classes     []Class           `toml:"classes"`
-	Deaths      Deaths            `toml:"deaths"`
+	Deaths      EngineCrashes     `toml:"deaths"`
 	Vary        Vary              `toml:"vary"`
 }
 
@@ -126,8 +126,8 @@
 	Max    int `toml:"max"`
 }
 
-// Deaths describes crashes of the decode engines, one engine after the other.
-type Deaths struct {
+// EngineCrashes describes crashes of the decode engines, one engine after the other.
+type EngineCrashes struct {
 	// Every is the time between two crashes; zero means none.
 	Every settings.Duration `toml:"every"`
 	// Away is the time from a crash to the restart of the engine; zero means 2s.
