--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -46,7 +46,7 @@
 	Engine      EngineTimes       `toml:"engine"`
 	Pools       []Pool            `toml:"pools"`
 	Classes     []Class           `toml:"classes"`
-	Deaths      EngineCrashes     `toml:"deaths"`
+	Crashes     EngineCrashes     `toml:"deaths"`
 	Vary        Vary              `toml:"vary"`
 }
 
@@ -195,7 +195,7 @@
 	setDefault(&s.LinkDelay, settings.Duration(1500*time.Microsecond))
 	setDefault(&s.NearDelay, settings.Duration(200*time.Microsecond))
 	setDefault(&s.RecordDelay, settings.Duration(4*time.Millisecond))
-	setDefault(&s.Deaths.Away, settings.Duration(2*time.Second))
+	setDefault(&s.Crashes.Away, settings.Duration(2*time.Second))
 	s.Engine = s.Engine.withDefaults()
 	if len(s.Seeds) == 0 {
 		s.Seeds = []uint64{1, 2, 3}
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -102,7 +102,7 @@
 		e := w.entries[a.entry]
 		w.clock.after(a.at, func() { w.reduceEntry(e, entry.Arrived{At: w.clock.now, Request: a.request()}) })
 	}
-	if every := time.Duration(s.Deaths.Every); every > 0 {
+	if every := time.Duration(s.Crashes.Every); every > 0 {
 		w.clock.after(every, func() { w.crashNext(0) })
 	}
 	return w
@@ -232,9 +232,9 @@
 	n := decodes[turn%len(decodes)]
 	if n.alive {
 		n.crash()
-		w.clock.after(time.Duration(w.scenario.Deaths.Away), n.boot)
+		w.clock.after(time.Duration(w.scenario.Crashes.Away), n.boot)
 	}
-	w.clock.after(time.Duration(w.scenario.Deaths.Every), func() { w.crashNext(turn + 1) })
+	w.clock.after(time.Duration(w.scenario.Crashes.Every), func() { w.crashNext(turn + 1) })
 }
 
 func (w *world) delay(from, to string) time.Duration {
