--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -130,8 +130,8 @@
 type EngineCrashes struct {
 	// Every is the time between two crashes; zero means none.
 	Every settings.Duration `toml:"every"`
-	// Away is the time from a crash to the restart of the engine; zero means 2s.
-	Away settings.Duration `toml:"away"`
+	// RestartDelay is the time from a crash to the restart of the engine; zero means 2s.
+	RestartDelay settings.Duration `toml:"away"`
 }
 
 // Vary repeats every run with several multiples of the rate of one class.
@@ -195,7 +195,7 @@
 	setDefault(&s.LinkDelay, settings.Duration(1500*time.Microsecond))
 	setDefault(&s.NearDelay, settings.Duration(200*time.Microsecond))
 	setDefault(&s.RecordDelay, settings.Duration(4*time.Millisecond))
-	setDefault(&s.Crashes.Away, settings.Duration(2*time.Second))
+	setDefault(&s.Crashes.RestartDelay, settings.Duration(2*time.Second))
 	s.Engine = s.Engine.withDefaults()
 	if len(s.Seeds) == 0 {
 		s.Seeds = []uint64{1, 2, 3}
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -232,7 +232,7 @@
 	n := decodes[turn%len(decodes)]
 	if n.alive {
 		n.crash()
-		w.clock.after(time.Duration(w.scenario.Crashes.Away), n.boot)
+		w.clock.after(time.Duration(w.scenario.Crashes.RestartDelay), n.boot)
 	}
 	w.clock.after(time.Duration(w.scenario.Crashes.Every), func() { w.crashNext(turn + 1) })
 }
