--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -142,13 +142,13 @@
 
 // ScenarioError reports a scenario file that can't be read or is invalid.
 type ScenarioError struct {
-	File  string
-	Fault string
-	Cause error
+	File   string
+	Detail string
+	Cause  error
 }
 
 // Error implements error.
-func (e *ScenarioError) Error() string { return "scenario " + e.File + ": " + e.Fault }
+func (e *ScenarioError) Error() string { return "scenario " + e.File + ": " + e.Detail }
 
 // Unwrap returns the cause, if any.
 func (e *ScenarioError) Unwrap() error { return e.Cause }
@@ -157,7 +157,7 @@
 func Read(file string) (Scenario, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return Scenario{}, &ScenarioError{File: file, Fault: err.Error(), Cause: err}
+		return Scenario{}, &ScenarioError{File: file, Detail: err.Error(), Cause: err}
 	}
 	return Parse(file, data)
 }
@@ -169,11 +169,11 @@
 	decoder := toml.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&s); err != nil {
-		return s, &ScenarioError{File: file, Fault: decodeErrorText(err), Cause: err}
+		return s, &ScenarioError{File: file, Detail: decodeErrorText(err), Cause: err}
 	}
 	s = s.withDefaults()
 	if fault := s.fault(); fault != "" {
-		return s, &ScenarioError{File: file, Fault: fault}
+		return s, &ScenarioError{File: file, Detail: fault}
 	}
 	return s, nil
 }
