--- a/internal/load/attempt.go
+++ b/internal/load/attempt.go
@@ -16,33 +16,37 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Outcome says how a request ended for its caller.
+// Outcome is the result of a request as its caller saw it.
 type Outcome string
 
 const (
-	// OutcomeAnswered has the whole answer.
+	// OutcomeAnswered means that the answer arrived to its end.
 	OutcomeAnswered Outcome = "answered"
-	// OutcomeRefused was told that it did not run.
+	// OutcomeRefused means that the entry answered with a problem that says that
+	// the request did not run.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeFailed was told that it ran or may have run, without an answer.
+	// OutcomeFailed means that the entry answered with a problem that says that the
+	// request ran or may have run, or that a service answered with an error status.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeCancelled was cancelled as planned.
+	// OutcomeCancelled means that the load cancelled the request as planned.
 	OutcomeCancelled Outcome = "cancelled"
-	// OutcomeLost was told nothing.
+	// OutcomeLost means that the caller got neither a complete answer nor a
+	// problem.
 	OutcomeLost Outcome = "lost"
-	// OutcomeUnsent was due while too many were in progress.
+	// OutcomeUnsent means that the request was not sent, because the limit of
+	// requests in progress was reached when it was due.
 	OutcomeUnsent Outcome = "unsent"
 )
 
-// Reasons of the load tool itself, beside those of the router.
+// Reasons that the load tool reports itself, in addition to those of the router.
 const (
-	reasonConnection oriolebend.Reason = "connectionLost"
-	reasonNoEnd      oriolebend.Reason = "streamBrokeOff"
-	reasonGaveUp     oriolebend.Reason = "callerGaveUp"
-	reasonNotProblem oriolebend.Reason = "notAProblem"
+	reasonConnection     oriolebend.Reason = "connectionLost"
+	reasonStreamBrokeOff oriolebend.Reason = "streamBrokeOff"
+	reasonCallerTimeout  oriolebend.Reason = "callerGaveUp"
+	reasonNotProblem     oriolebend.Reason = "notAProblem"
 )
 
-// attempt is one sending of a request and what came of it.
+// attempt is the result of sending a request to an entry once.
 type attempt struct {
 	outcome    Outcome
 	reason     oriolebend.Reason
@@ -50,29 +54,31 @@
 	retryAfter time.Duration
 	requestID  string
 	replayed   bool
-	// first and last are when output came; gaps is the time between tokens.
+	// first and last are the times of the first and the last output; gaps are the
+	// times between tokens.
 	first, last time.Time
 	gaps        []gap
 	tokens      int
 	text        string
 }
 
-// gap is the time before a run of output, and how many tokens it had.
+// gap is the time per token of one piece of output, counted from the piece before,
+// and its number of tokens.
 type gap struct {
 	took   time.Duration
 	tokens int
 }
 
-// sending is what is sent: the same on every try of a request.
-type sending struct {
+// httpMessage is the HTTP message of a request. Every attempt sends the same.
+type httpMessage struct {
 	kind   Kind
 	path   string
 	header http.Header
 	body   []byte
 }
 
-// send sends a request to an entry once and reads its answer to the end.
-func send(ctx context.Context, client *http.Client, entry string, m sending) attempt {
+// send sends a request to an entry once and reads the answer to its end.
+func send(ctx context.Context, client *http.Client, entry string, m httpMessage) attempt {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, strings.TrimSuffix(entry, "/")+m.path, bytes.NewReader(m.body))
 	if err != nil {
 		return attempt{outcome: OutcomeLost, reason: reasonConnection}
@@ -98,30 +104,33 @@
 	return a
 }
 
+// lossReason distinguishes a caller's timeout from a lost connection.
 func lossReason(ctx context.Context) oriolebend.Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return reasonGaveUp
+		return reasonCallerTimeout
 	}
 	return reasonConnection
 }
 
-func (a *attempt) lose(reason oriolebend.Reason) {
+// setLost sets the outcome to lost.
+func (a *attempt) setLost(reason oriolebend.Reason) {
 	a.outcome, a.reason, a.ran = OutcomeLost, reason, oriolebend.RanUnknown
 }
 
 func (a *attempt) readProblem(ctx context.Context, body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		a.lose(lossReason(ctx))
+		a.setLost(lossReason(ctx))
 		return
 	}
-	a.takeProblem(data)
+	a.applyProblem(data)
 }
 
-func (a *attempt) takeProblem(data []byte) {
+// applyProblem sets the outcome from a problem document.
+func (a *attempt) applyProblem(data []byte) {
 	var document caller.Document
 	if err := json.Unmarshal(data, &document); err != nil || document.Reason == "" {
-		a.lose(reasonNotProblem)
+		a.setLost(reasonNotProblem)
 		return
 	}
 	a.outcome = OutcomeFailed
@@ -132,12 +141,12 @@
 	a.retryAfter = time.Duration(document.RetryAfterMillis) * time.Millisecond
 }
 
-// readCall reads a service's answer. A status that is not a success is an
-// answer too, but none that a load expects.
+// readCall reads the answer of a service. An error status counts as failed,
+// because a load expects none.
 func (a *attempt) readCall(ctx context.Context, response *http.Response) {
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		a.lose(lossReason(ctx))
+		a.setLost(lossReason(ctx))
 		return
 	}
 	a.first, a.last, a.text = time.Now(), time.Now(), string(data)
@@ -147,11 +156,11 @@
 	}
 }
 
-// maxEvent bounds one event of a stream, in bytes.
+// maxEvent is the largest size of one event of a stream, in bytes.
 const maxEvent = 1 << 20
 
-// readStream reads events to the last one. Without it the answer is not whole,
-// however well the text ends.
+// readStream reads events up to the final "[DONE]". Without it the answer is
+// incomplete, even if the text seems to end normally.
 func (a *attempt) readStream(ctx context.Context, body io.Reader) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 4096), maxEvent)
@@ -164,19 +173,20 @@
 			a.outcome = OutcomeAnswered
 			return
 		}
-		if done := a.takeEvent([]byte(data)); done {
+		if done := a.applyEvent([]byte(data)); done {
 			return
 		}
 	}
 	reason := lossReason(ctx)
 	if lines.Err() == nil {
-		reason = reasonNoEnd
+		reason = reasonStreamBrokeOff
 	}
-	a.lose(reason)
+	a.setLost(reason)
 }
 
-// takeEvent takes one event; it reports true after a problem.
-func (a *attempt) takeEvent(data []byte) bool {
+// applyEvent applies one event. It returns true if the event ends the stream: a
+// problem, or an event that can't be decoded.
+func (a *attempt) applyEvent(data []byte) bool {
 	var event struct {
 		Choices []struct {
 			Text  string `json:"text"`
@@ -187,20 +197,21 @@
 		Error *json.RawMessage `json:"error"`
 	}
 	if err := json.Unmarshal(data, &event); err != nil {
-		a.lose(reasonNoEnd)
+		a.setLost(reasonStreamBrokeOff)
 		return true
 	}
 	if event.Error != nil {
-		a.takeProblem(data)
+		a.applyProblem(data)
 		return true
 	}
 	for _, choice := range event.Choices {
-		a.takeText(choice.Text + choice.Delta.Content)
+		a.addOutput(choice.Text + choice.Delta.Content)
 	}
 	return false
 }
 
-func (a *attempt) takeText(text string) {
+// addOutput adds a piece of output with its tokens and its time.
+func (a *attempt) addOutput(text string) {
 	if text == "" {
 		return
 	}
@@ -215,12 +226,14 @@
 	a.text += text
 }
 
-// mayRetry reports whether a caller sends the request again with its key: after
-// it was told nothing, or that it may have run, or when to come back.
+// mayRetry reports whether a caller sends the request again with the same key. It
+// does if the attempt was lost, except by the caller's own timeout, and after a
+// problem that names a retry delay and says that the request did not run or may
+// have run.
 func (a *attempt) mayRetry() bool {
 	switch a.outcome {
 	case OutcomeLost:
-		return a.reason != reasonGaveUp
+		return a.reason != reasonCallerTimeout
 	case OutcomeRefused:
 		return a.retryAfter > 0
 	case OutcomeFailed:
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -9,8 +9,9 @@
 // checker collects the faults of a description.
 type checker struct{ faults []string }
 
-func (c *checker) require(good bool, format string, arguments ...any) {
-	if !good {
+// require adds a fault unless the condition holds.
+func (c *checker) require(ok bool, format string, arguments ...any) {
+	if !ok {
 		c.faults = append(c.faults, fmt.Sprintf(format, arguments...))
 	}
 }
@@ -32,12 +33,12 @@
 	}
 	names := map[string]bool{}
 	for _, class := range d.Classes {
-		c.require(!names[class.Name], "class %q stands twice", class.Name)
+		c.require(!names[class.Name], "class %q is defined more than once", class.Name)
 		names[class.Name] = true
 		c.class(class)
 		total += class.Share
 	}
-	c.require(total > 0, "there must be a class with a share above 0")
+	c.require(total > 0, "at least one class needs a share above 0")
 	for _, failure := range d.Failures {
 		c.require(failure.At >= 0 && failure.Do != "", "a failure needs at and do")
 	}
@@ -49,9 +50,9 @@
 	switch a.Kind {
 	case ArrivePoisson, ArriveEven:
 	case ArriveBursts:
-		good := a.BurstEvery > 0 && a.BurstFor > 0 && a.BurstFor < a.BurstEvery && a.BurstFactor >= 1 &&
+		ok := a.BurstEvery > 0 && a.BurstFor > 0 && a.BurstFor < a.BurstEvery && a.BurstFactor >= 1 &&
 			a.BurstFactor*float64(a.BurstFor) <= float64(a.BurstEvery)
-		c.require(good, "arrivals: bursts need burstEvery > burstFor > 0 and burstFactor from 1 to burstEvery/burstFor")
+		c.require(ok, "arrivals: bursts need burstEvery > burstFor > 0 and burstFactor from 1 to burstEvery/burstFor")
 	default:
 		c.require(false, "arrivals.kind %q is not poisson, bursts or even", a.Kind)
 	}
@@ -72,7 +73,7 @@
 		c.require(class.OutputTokens.valid(), "class %q: outputTokens needs 0 < min <= median <= max", class.Name)
 		c.require(class.PrefixTokens <= class.PromptTokens.Min, "class %q: prefixTokens must not be above promptTokens.min", class.Name)
 	case KindCall:
-		c.require(class.StatusPath == "" || strings.Contains(class.StatusPath, identityMark), "class %q: statusPath must hold %s", class.Name, identityMark)
+		c.require(class.StatusPath == "" || strings.Contains(class.StatusPath, identityPlaceholder), "class %q: statusPath must hold %s", class.Name, identityPlaceholder)
 		c.require(class.Path != "" && class.Path[0] == '/', "class %q needs a path such as /services/dispatch-api/arrivals", class.Name)
 	default:
 		c.require(false, "class %q: kind %q is not completion, chat or call", class.Name, class.Kind)
--- a/internal/load/command.go
+++ b/internal/load/command.go
@@ -14,7 +14,7 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-// UsageError is a command line that can't be carried out.
+// UsageError reports an invalid command line.
 type UsageError struct{ Text string }
 
 // Error implements error.
@@ -23,7 +23,7 @@
 // ExitCode returns the exit code of the program.
 func (e *UsageError) ExitCode() int { return exitUsage }
 
-// exitUsage is the exit code of a wrong command line.
+// exitUsage is the exit code of an invalid command line.
 const exitUsage = 2
 
 // Command returns "oriolebend load". Reports go to out, progress to errOut.
@@ -50,7 +50,7 @@
 	}
 }
 
-// overrides are what the command line says over the description.
+// overrides holds the flags, some of which override values of the description.
 type overrides struct {
 	entries  []string
 	rate     float64
@@ -75,7 +75,7 @@
 	flags.BoolVar(&o.quiet, 0, "quiet", "show no progress")
 }
 
-// apply puts the overrides into a description and checks it again.
+// apply sets the overridden values of a description and checks it again.
 func (o *overrides) apply(d *Description, file string) error {
 	if len(o.entries) > 0 {
 		d.Entries = o.entries
@@ -143,7 +143,7 @@
 		p.Elapsed.Seconds(), p.Sent, p.Planned, p.InProgress, joinCounts(p.Ended))
 }
 
-// FileError tells that a report can't be read or written.
+// FileError reports that a report file can't be read or written.
 type FileError struct {
 	File  string
 	Cause error
@@ -152,7 +152,7 @@
 // Error implements error.
 func (e *FileError) Error() string { return "report " + e.File + ": " + e.Cause.Error() }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
 func writeReport(file string, report Report) error {
--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// compared are the figures of a class of which Compare prints ratios.
+// compared lists the figures of a class that Compare prints.
 var compared = []struct {
 	name  string
 	value func(ClassReport) float64
@@ -26,8 +26,8 @@
 	{"damaged", func(c ClassReport) float64 { return float64(c.Damaged) }},
 }
 
-// Compare writes the figures of two reports and the ratio of the second to the
-// first, for each class that both have.
+// Compare writes a table with the figures of two reports and the ratio of the second
+// to the first, for each class that is in both.
 func Compare(out io.Writer, a, b Report) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "class\tfigure\tA\tB\tB/A\t")
@@ -58,7 +58,7 @@
 	writeRatio(out, "all", "wasted prefill share", share(a), share(b))
 }
 
-// writeRatio leaves out figures that are zero on both sides.
+// writeRatio writes one row of the table, unless both values are zero.
 func writeRatio(out io.Writer, class, name string, a, b float64) {
 	switch {
 	case a == 0 && b == 0:
--- a/internal/load/description.go
+++ b/internal/load/description.go
@@ -1,7 +1,7 @@
-// Package load sends a described load to any entry that speaks the callers'
-// protocol, and reports goodput, latencies, refusals and faults. The load is
-// open: requests are sent when they are due, whether or not earlier ones are
-// answered, and latencies count from when they were due.
+// Package load sends a described load to any entry that implements the callers'
+// protocol, and reports goodput, latencies, refusals and faults. It is an open-loop
+// load: requests are sent when they are due, whether or not earlier ones are
+// answered, and latencies count from when the request was due.
 package load
 
 import (
@@ -29,58 +29,60 @@
 	defaultBetween  = 41 * time.Millisecond
 )
 
-// Description is a load as its file describes it.
+// Description describes a load, as read from its file.
 type Description struct {
-	// Seed makes arrivals, lengths and prompts; the same seed gives the same
-	// load.
+	// Seed is the seed of arrivals, lengths and prompts; the same seed gives the
+	// same load.
 	Seed uint64 `toml:"seed"`
-	// Entries are the base URLs to send to, in turn.
+	// Entries are the base URLs of the entries, to which requests go in turn.
 	Entries []string `toml:"entries"`
-	// Duration and Requests bound the load, whichever comes first; zero means
-	// 30s and 10,000.
+	// Duration and Requests limit the load, which ends when either is reached; zero
+	// means 30s and 10,000.
 	Duration settings.Duration `toml:"duration"`
 	Requests int               `toml:"requests"`
-	// Rate is how many requests of all classes arrive a second.
+	// Rate is the number of requests per second, over all classes.
 	Rate     float64  `toml:"rate"`
 	Arrivals Arrivals `toml:"arrivals"`
-	// InFlight bounds the requests in progress; what is due beyond it is
-	// counted and not sent. Zero means 2,000.
+	// InFlight limits the requests in progress. A request that is due at the limit
+	// is counted as unsent and not sent. Zero means 2,000.
 	InFlight int `toml:"inFlight"`
-	// Within is when a caller gives up; zero means 1m.
+	// Within is the timeout of a caller, from when its request is due; zero means
+	// 1m.
 	Within settings.Duration `toml:"within"`
-	// Tries bounds how often a request is sent, with the same key, after a lost
-	// connection, "ran" unknown, or "ran" no with a time to come back; zero
-	// means 3.
+	// Tries limits the attempts of a request. A caller sends it again, with the same
+	// key, after a lost connection or an incomplete answer, and after a problem with
+	// a retry delay and "ran" no or unknown. Zero means 3.
 	Tries int `toml:"tries"`
-	// MetricsURLs are scraped before and after, for wasted prefill.
+	// MetricsURLs are scraped before and after the load, for counters such as wasted
+	// prefill.
 	MetricsURLs []string `toml:"metricsURLs"`
-	// FailuresURL takes the failures of the schedule; dev serves it.
+	// FailuresURL receives the failures of the schedule; "oriolebend dev" serves it.
 	FailuresURL   string         `toml:"failuresURL"`
 	Organisations []Organisation `toml:"organisations"`
 	Classes       []Class        `toml:"classes"`
 	Failures      []Failure      `toml:"failures"`
 }
 
-// Arrivals says how requests are spread over time.
+// Arrivals describes the distribution of requests over time.
 type Arrivals struct {
 	// Kind is "poisson", "bursts" or "even"; empty means "poisson".
 	Kind ArrivalKind `toml:"kind"`
-	// Every BurstEvery, the rate is BurstFactor times as high for BurstFor. The
-	// mean rate stays what it is.
+	// A burst begins every BurstEvery and lasts BurstFor. During a burst the rate is
+	// BurstFactor times the mean rate, which bursts don't change.
 	BurstEvery  settings.Duration `toml:"burstEvery"`
 	BurstFor    settings.Duration `toml:"burstFor"`
 	BurstFactor float64           `toml:"burstFactor"`
 }
 
-// ArrivalKind names a way in which requests are spread over time.
+// ArrivalKind is a distribution of requests over time.
 type ArrivalKind string
 
 const (
-	// ArrivePoisson spreads them at random.
+	// ArrivePoisson is a Poisson process with a constant rate.
 	ArrivePoisson ArrivalKind = "poisson"
-	// ArriveBursts spreads them at random, with a rate that rises and falls.
+	// ArriveBursts is a Poisson process whose rate rises during bursts.
 	ArriveBursts ArrivalKind = "bursts"
-	// ArriveEven sends one every 1/rate seconds.
+	// ArriveEven sends a request every 1/rate seconds.
 	ArriveEven ArrivalKind = "even"
 )
 
@@ -91,19 +93,19 @@
 	Share float64 `toml:"share"`
 }
 
-// Kind says which part of the callers' protocol a class speaks.
+// Kind is the part of the callers' protocol that a class uses.
 type Kind string
 
 const (
-	// KindCompletion streams from /v1/completions.
+	// KindCompletion requests a stream from /v1/completions.
 	KindCompletion Kind = "completion"
-	// KindChat streams from /v1/chat/completions.
+	// KindChat requests a stream from /v1/chat/completions.
 	KindChat Kind = "chat"
-	// KindCall calls a plain service.
+	// KindCall calls a service.
 	KindCall Kind = "call"
 )
 
-// Class describes requests that are alike.
+// Class describes requests with the same distribution.
 type Class struct {
 	Name  string  `toml:"name"`
 	Kind  Kind    `toml:"kind"`
@@ -113,47 +115,50 @@
 	Urgency   oriolebend.Urgency `toml:"urgency"`
 	Deadline  settings.Duration  `toml:"deadline"`
 	Model     string             `toml:"model"`
-	// PromptTokens counts the whole prompt, OutputTokens is max_tokens.
+	// PromptTokens is the length of the complete prompt, OutputTokens is max_tokens.
 	PromptTokens Spread `toml:"promptTokens"`
 	OutputTokens Spread `toml:"outputTokens"`
-	// Prefixes is how many shared prefixes there are, of PrefixTokens each.
+	// Prefixes is the number of shared prefixes, of PrefixTokens each.
 	Prefixes     int `toml:"prefixes"`
 	PrefixTokens int `toml:"prefixTokens"`
-	// Path is that of a call behind the entry's URL, such as
-	// "/services/dispatch-api/arrivals"; it is sent by POST.
+	// Path is the path of a call on the entry, such as
+	// "/services/dispatch-api/arrivals"; the call is a POST.
 	Path string `toml:"path"`
-	// StatusPath, if set, is asked after the load for each call of which the
-	// caller was told that it did not run; "{identity}" in it is replaced. An
-	// answer of 200 or 202 shows that it did.
+	// StatusPath, if set, is queried after the load for each call that was reported
+	// to its caller as not run; "{identity}" in it is replaced by the identity of
+	// the call. A status of 200 or 202 shows that the call did run.
 	StatusPath string `toml:"statusPath"`
-	// FirstWithin and BetweenWithin are the targets that goodput is counted
-	// under; zero means 1.2s and 41ms. A call has the first only.
+	// FirstWithin and BetweenWithin are the latency targets of goodput: time to the
+	// first token and between tokens; zero means 1.2s and 41ms. Only FirstWithin
+	// applies to a call.
 	FirstWithin   settings.Duration `toml:"firstWithin"`
 	BetweenWithin settings.Duration `toml:"betweenWithin"`
-	// CancelShare of the requests are cancelled, at any time up to CancelAfter.
+	// CancelShare is the share of requests that are cancelled, at a random time up
+	// to CancelAfter after they are due.
 	CancelShare float64           `toml:"cancelShare"`
 	CancelAfter settings.Duration `toml:"cancelAfter"`
-	// AgainShare of the requests are sent a second time with the same key to
-	// the next entry, AgainAfter the first.
+	// AgainShare is the share of requests that are sent a second time with the same
+	// key, to the next entry, AgainAfter later than the first time.
 	AgainShare float64           `toml:"againShare"`
 	AgainAfter settings.Duration `toml:"againAfter"`
-	// Unchecked leaves the answers unchecked; set it if the engines are not
+	// Unchecked turns off the verification of answers; set it if the engines are not
 	// the project's stand-ins.
 	Unchecked bool `toml:"unchecked"`
 }
 
-// Spread draws numbers: half of them between Min and Median, half between
-// Median and Max, evenly by order of magnitude.
+// Spread is a distribution: half of the values lie between Min and Median, half
+// between Median and Max, each half uniformly distributed on a logarithmic scale.
 type Spread struct {
 	Min    int `toml:"min"`
 	Median int `toml:"median"`
 	Max    int `toml:"max"`
 }
 
-// Failure is something that is made to fail during the load.
+// Failure is a failure that is injected during the load.
 type Failure struct {
 	At settings.Duration `toml:"at" json:"at"`
-	// Do names the failure and Target what it strikes; dev knows them.
+	// Do is the kind of failure and Target the affected process or server, as
+	// "oriolebend dev" defines them.
 	Do     string            `toml:"do" json:"do"`
 	Target string            `toml:"target" json:"target"`
 	For    settings.Duration `toml:"for" json:"for,omitempty"`
@@ -194,6 +199,7 @@
 	return d, nil
 }
 
+// decodeFaults returns the faults of a decoding error, with their lines.
 func decodeFaults(err error) []string {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
@@ -215,9 +221,9 @@
 func (d *Description) fillDefaults() {
 	d.Duration = settings.Duration(d.Duration.Or(defaultDuration))
 	d.Within = settings.Duration(d.Within.Or(defaultWithin))
-	d.Requests = orNumber(d.Requests, defaultRequests)
-	d.InFlight = orNumber(d.InFlight, defaultInFlight)
-	d.Tries = orNumber(d.Tries, defaultTries)
+	d.Requests = orDefault(d.Requests, defaultRequests)
+	d.InFlight = orDefault(d.InFlight, defaultInFlight)
+	d.Tries = orDefault(d.Tries, defaultTries)
 	if d.Arrivals.Kind == "" {
 		d.Arrivals.Kind = ArrivePoisson
 	}
@@ -231,9 +237,9 @@
 	}
 }
 
-func orNumber(number, otherwise int) int {
-	if number == 0 {
-		return otherwise
+func orDefault(value, fallback int) int {
+	if value == 0 {
+		return fallback
 	}
-	return number
+	return value
 }
--- a/internal/load/notrun.go
+++ b/internal/load/not_run.go
@@ -12,38 +12,39 @@
 )
 
 const (
-	// identityMark stands in a status path for the identity of a call.
-	identityMark  = "{identity}"
-	defaultSettle = 2 * time.Second
-	// statusWithin bounds one question to a service.
-	statusWithin = 5 * time.Second
+	// identityPlaceholder is the placeholder of a call's identity in a status path.
+	identityPlaceholder = "{identity}"
+	// defaultSettleFor is the default of Config.SettleFor.
+	defaultSettleFor = 2 * time.Second
+	// statusTimeout is the timeout of one status query to a service.
+	statusTimeout = 5 * time.Second
 )
 
-// verifyNotRun asks the services for each call that its caller was told did not
-// run.
+// verifyNotRun queries the services for each call that was reported to its caller as
+// not run, and sets FalseNotRun on those that ran.
 func (r *runner) verifyNotRun(ctx context.Context) {
-	var told []*Result
+	var notRun []*Result
 	for i := range r.results {
 		class := r.config.Description.Classes[r.results[i].Request.Class]
 		if r.results[i].Outcome == OutcomeRefused && class.StatusPath != "" {
-			told = append(told, &r.results[i])
+			notRun = append(notRun, &r.results[i])
 		}
 	}
-	if len(told) == 0 || !pause.For(ctx, r.config.SettleFor) {
+	if len(notRun) == 0 || !pause.For(ctx, r.config.SettleFor) {
 		return
 	}
-	for _, result := range told {
-		result.FalseNotRun = r.sender.ran(ctx, result.Request)
+	for _, result := range notRun {
+		result.FalseNotRun = r.sender.didRun(ctx, result.Request)
 	}
 }
 
-// ran reports whether a service knows a call. A question that gets no answer of
-// the service says nothing.
-func (s *sender) ran(ctx context.Context, r Request) bool {
-	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+// didRun reports whether a service knows a call. It returns false also if the query
+// fails, because a failed query shows nothing.
+func (s *sender) didRun(ctx context.Context, r Request) bool {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	entries := s.description.Entries
-	m := s.sending(r)
+	m := s.buildMessage(r)
 	url := strings.TrimSuffix(entries[r.Number%len(entries)], "/") + s.statusPath(r)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -60,6 +61,7 @@
 	return response.StatusCode == http.StatusOK || response.StatusCode == http.StatusAccepted
 }
 
+// statusPath returns the status path of a class with the identity of a call in it.
 func (s *sender) statusPath(r Request) string {
 	class := s.description.Classes[r.Class]
 	operation := class.Operation
@@ -70,7 +72,7 @@
 	identity := caller.IdentityOf(message.Scope{
 		Organisation: s.description.Organisations[r.Organisation].Name,
 		Operation:    operation,
-		Key:          keyOf(s.run, r),
+		Key:          idempotencyKey(s.run, r),
 	})
-	return strings.ReplaceAll(class.StatusPath, identityMark, identity)
+	return strings.ReplaceAll(class.StatusPath, identityPlaceholder, identity)
 }
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -11,22 +11,23 @@
 // Request is one planned request.
 type Request struct {
 	Number int
-	// At is when it is due, from the start of the load.
+	// At is when the request is due, from the start of the load.
 	At           time.Duration
 	Class        int
 	Organisation int
 	PromptTokens int
 	OutputTokens int
-	// Prefix numbers the shared prefix of the prompt.
+	// Prefix is the number of the prompt's shared prefix.
 	Prefix int
-	// CancelAfter is when it is cancelled, from when it is due; zero if not.
+	// CancelAfter is the time from when the request is due to its cancellation; zero
+	// means that it is not cancelled.
 	CancelAfter time.Duration
-	// Again is true if it is sent a second time with the same key.
+	// Again is true if the request is sent a second time with the same key.
 	Again bool
 }
 
-// Plan returns the requests of a description, in the order in which they are
-// due. It depends on the description alone.
+// Plan returns the requests of a description in the order in which they are due. The
+// same description always gives the same plan.
 func Plan(d Description) []Request {
 	random := rand.New(rand.NewPCG(d.Seed, d.Seed^0x9e3779b97f4a7c15))
 	clock := arrivalClock{arrivals: d.Arrivals, rate: d.Rate, random: random}
@@ -36,12 +37,12 @@
 		if at >= time.Duration(d.Duration) {
 			break
 		}
-		plan = append(plan, d.planOne(random, len(plan), at))
+		plan = append(plan, d.planRequest(random, len(plan), at))
 	}
 	return plan
 }
 
-func (d *Description) planOne(random *rand.Rand, number int, at time.Duration) Request {
+func (d *Description) planRequest(random *rand.Rand, number int, at time.Duration) Request {
 	r := Request{Number: number, At: at}
 	r.Class = pickShare(random, len(d.Classes), func(i int) float64 { return d.Classes[i].Share })
 	r.Organisation = pickShare(random, len(d.Organisations), func(i int) float64 { return d.Organisations[i].Share })
@@ -53,17 +54,17 @@
 	if c.Prefixes > 0 {
 		r.Prefix = random.IntN(c.Prefixes)
 	}
-	fate := random.Float64()
+	drawn := random.Float64()
 	switch {
-	case fate < c.CancelShare:
+	case drawn < c.CancelShare:
 		r.CancelAfter = 1 + time.Duration(random.Int64N(int64(c.CancelAfter)))
-	case fate < c.CancelShare+c.AgainShare:
+	case drawn < c.CancelShare+c.AgainShare:
 		r.Again = true
 	}
 	return r
 }
 
-// pickShare draws an index by shares.
+// pickShare draws an index at random, with probabilities proportional to the shares.
 func pickShare(random *rand.Rand, count int, share func(int) float64) int {
 	total := 0.0
 	for i := range count {
@@ -79,6 +80,7 @@
 	return count - 1
 }
 
+// draw draws a value of the distribution.
 func (s Spread) draw(random *rand.Rand) int {
 	low, high := s.Min, s.Median
 	if random.Float64() < 0.5 {
@@ -88,7 +90,7 @@
 	return int(math.Round(math.Exp(from + random.Float64()*(to-from))))
 }
 
-// arrivalClock gives the times at which requests are due.
+// arrivalClock draws the times at which requests are due.
 type arrivalClock struct {
 	arrivals Arrivals
 	rate     float64
@@ -97,7 +99,8 @@
 	started  bool
 }
 
-// next returns the next time. Bursts thin out arrivals at their highest rate.
+// next returns the next time. Bursts are drawn by thinning: arrivals are drawn at the
+// rate within bursts, and dropped at random where the present rate is lower.
 func (c *arrivalClock) next() time.Duration {
 	if c.arrivals.Kind == ArriveEven {
 		if c.started {
@@ -112,15 +115,15 @@
 	}
 	for {
 		c.now += time.Duration(c.random.ExpFloat64() / highest * float64(time.Second))
-		if c.random.Float64()*highest < c.rateNow() {
+		if c.random.Float64()*highest < c.currentRate() {
 			return c.now
 		}
 	}
 }
 
-// rateNow returns the rate at the clock's time. Between bursts it is as much
-// lower as keeps the mean.
-func (c *arrivalClock) rateNow() float64 {
+// currentRate returns the rate at the clock's time. Between bursts the rate is reduced so
+// that the mean is the rate of the description.
+func (c *arrivalClock) currentRate() float64 {
 	a := c.arrivals
 	if a.Kind != ArriveBursts {
 		return c.rate
@@ -133,13 +136,13 @@
 	return c.rate * (1 - share*a.BurstFactor) / (1 - share)
 }
 
-// words make prompts; each is one token.
+// words are the words of prompts; each counts as one token.
 var words = strings.Fields("road bridge camp depot truck medicine river ford tent water rice fuel driver " +
 	"manifest crossing load axle ton north south rain mud gate warehouse pallet route hour night tab bill " +
 	"waiter table bottle card receipt tip split total guest round dispute bank settle amount peso order closed")
 
-// prompt builds the prompt of a request: its shared prefix, then words of its
-// own. The same request of the same description has the same prompt.
+// prompt builds the prompt of a request: its shared prefix, then its number and
+// random words. The same request of the same description has the same prompt.
 func (d *Description) prompt(r Request) string {
 	c := d.Classes[r.Class]
 	var text strings.Builder
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -36,8 +36,8 @@
 	is.True(plan[9] != Plan(d)[9])
 }
 
-// TestPlanFollowsDescription: shares, rate, lengths and prefixes come out as
-// described, within what chance leaves (four standard deviations).
+// TestPlanFollowsDescription checks that shares, rate, lengths and prefixes of a plan
+// are as described, within four standard deviations.
 func TestPlanFollowsDescription(t *testing.T) {
 	is := is.New(t)
 	d := testDescription()
@@ -100,7 +100,8 @@
 	is.True(math.Abs(float64(within)/float64(len(plan))-0.6) < 0.05)
 }
 
-func TestFaultsAreToldAtOnce(t *testing.T) {
+// TestAllFaultsReported checks that a description's error lists all of its faults.
+func TestAllFaultsReported(t *testing.T) {
 	for _, c := range []struct {
 		text   string
 		faults int
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -18,15 +18,15 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
-	// lowestMillis is where the axis of times begins, and headroom the factor
-	// above the longest time at which marks stand.
+	// lowestMillis is the start of the latency axis. headroom is the factor between
+	// the longest latency and the end of the axis, where marks are drawn.
 	lowestMillis = 1
 	headroom     = 2
 )
 
-// PlotTimeline writes PREFIX.png and PREFIX.svg: percentiles of the time to the
-// first token against time, requests without a whole answer, and a line at each
-// failure of the schedule.
+// PlotTimeline writes PREFIX.png and PREFIX.svg: percentiles of the time to the first
+// token over time, the seconds with requests that got no complete answer, and a line
+// at each failure of the schedule.
 func PlotTimeline(prefix string, r Report) error {
 	p := plot.New()
 	p.Title.Text = "time to first token, run " + r.Run
@@ -48,10 +48,10 @@
 		}
 	}
 	p.Y.Max *= headroom
-	if err := markNotWhole(p, r.Timeline); err != nil {
+	if err := markIncomplete(p, r.Timeline); err != nil {
 		return err
 	}
-	for _, failure := range reached(r) {
+	for _, failure := range injectedFailures(r) {
 		if err := markFailure(p, failure); err != nil {
 			return err
 		}
@@ -69,9 +69,9 @@
 	return points
 }
 
-// markNotWhole marks, at the top, each second in which requests were due that
-// got no whole answer.
-func markNotWhole(p *plot.Plot, seconds []Second) error {
+// markIncomplete marks, at the top, each second in which requests were due that got no
+// complete answer.
+func markIncomplete(p *plot.Plot, seconds []Second) error {
 	var points plotter.XYs
 	for _, s := range seconds {
 		if s.NotWhole > 0 {
@@ -83,7 +83,7 @@
 	}
 	marks, err := plotter.NewScatter(points)
 	if err != nil {
-		return fmt.Errorf("plot requests without a whole answer: %w", err)
+		return fmt.Errorf("plot requests without a complete answer: %w", err)
 	}
 	marks.Shape, marks.Color = draw.CrossGlyph{}, color.RGBA{R: 200, A: 255}
 	p.Add(marks)
@@ -107,24 +107,24 @@
 	return nil
 }
 
-// reached returns the failures that were due before the run's last second: a
-// run that is cut short did not meet the others.
-func reached(r Report) []Failure {
+// injectedFailures returns the failures that were due by the start of the run's last second. A
+// run that was ended early did not inject the others.
+func injectedFailures(r Report) []Failure {
 	last := 0
 	for _, s := range r.Timeline {
 		last = max(last, s.Second)
 	}
-	var met []Failure
+	var injected []Failure
 	for _, f := range r.Failures {
 		if time.Duration(f.At) <= time.Duration(last)*time.Second {
-			met = append(met, f)
+			injected = append(injected, f)
 		}
 	}
-	return met
+	return injected
 }
 
-// markFailure draws an upright line from the bottom to the top of the data, its
-// name along it, so that the names of failures that are near stay readable.
+// markFailure draws a vertical line with the name of the failure along it, so that the
+// names of failures at similar times stay readable.
 func markFailure(p *plot.Plot, f Failure) error {
 	at := time.Duration(f.At).Seconds()
 	top := plotter.XY{X: at, Y: p.Y.Max}
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// PlotGoodput writes PREFIX.png and PREFIX.svg: goodput against the offered
-// load, a line for each class that the reports have.
+// PlotGoodput writes PREFIX.png and PREFIX.svg: goodput over the offered load, with a
+// line for each class of the report with the lowest load.
 func PlotGoodput(prefix string, reports []Report) error {
 	sort.Slice(reports, func(i, j int) bool { return reports[i].OfferedRate < reports[j].OfferedRate })
 	p := plot.New()
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -10,31 +10,34 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Report is what came of a load. Times are in milliseconds and count from when
-// a request was due.
+// Report holds the results of a load. Latencies are in milliseconds and count from
+// when a request was due.
 type Report struct {
 	Run         string    `json:"run"`
 	Seed        uint64    `json:"seed"`
 	Started     time.Time `json:"started"`
 	TookSeconds float64   `json:"tookSeconds"`
-	// OfferedRate is the requests a second of the description.
+	// OfferedRate is the rate of the description, in requests per second.
 	OfferedRate float64 `json:"offeredRate"`
 	// Classes has one entry for each class and, last, one for all.
 	Classes []ClassReport `json:"classes"`
-	// Counters are the rises of the router's counters, by name and reason.
+	// Counters are the increases of the router's counters during the load, by name
+	// and reason.
 	Counters map[string]float64 `json:"counters,omitempty"`
-	// PromptTokens counts those of all requests sent, to hold waste against.
+	// PromptTokens is the sum over all requests that were due, the base of the
+	// wasted share.
 	PromptTokens int      `json:"promptTokens"`
 	Timeline     []Second `json:"timeline"`
-	// Failures are those of the schedule, NotMade those that were not made.
+	// Failures is the schedule of failures, NotMade the failures of it that were not
+	// carried out, with the errors.
 	Failures []Failure `json:"failures,omitempty"`
 	NotMade  []string  `json:"notMade,omitempty"`
-	// Faults tells the first of the lost, doubled, damaged and falsely told
-	// requests.
+	// Faults lists the first requests that were lost, doubled, damaged or falsely
+	// reported as not run.
 	Faults []Fault `json:"faults,omitempty"`
 }
 
-// ClassReport is what came of the requests of one class.
+// ClassReport holds the results of the requests of one class.
 type ClassReport struct {
 	Name      string `json:"name"`
 	Due       int    `json:"due"`
@@ -47,26 +50,27 @@
 	Damaged   int    `json:"damaged"`
 	Doubled   int    `json:"doubled"`
 	Replayed  int    `json:"replayed"`
-	// FalseNotRun counts calls that ran though the caller was told that they
-	// did not.
+	// FalseNotRun counts calls that ran although they were reported to the caller as
+	// not run.
 	FalseNotRun int `json:"falseNotRun"`
-	// Good were answered whole, once and within both targets. GoodShare is
-	// their share of those due and not cancelled.
+	// Good counts requests that were answered completely, once and within both
+	// targets. GoodShare is their share of the requests that were due and not
+	// cancelled.
 	Good          int     `json:"good"`
 	GoodShare     float64 `json:"goodShare"`
 	GoodPerSecond float64 `json:"goodPerSecond"`
-	// FirstToken is the time to the first output, or to a call's answer.
+	// FirstToken is the time to the first output, or to the answer of a call.
 	// BetweenTokens is the time before each later token.
 	FirstToken    Percentiles `json:"firstTokenMillis"`
 	BetweenTokens Percentiles `json:"betweenTokensMillis"`
-	// Refusals, Failures, Losses and Retries count by reason.
+	// Refusals, Failures, Losses and Retries are counts by reason.
 	Refusals map[oriolebend.Reason]int `json:"refusals,omitempty"`
 	Failures map[oriolebend.Reason]int `json:"failures,omitempty"`
 	Losses   map[oriolebend.Reason]int `json:"losses,omitempty"`
 	Retries  map[oriolebend.Reason]int `json:"retries,omitempty"`
 }
 
-// Percentiles of a time, in milliseconds.
+// Percentiles holds percentiles of a latency, in milliseconds.
 type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -76,7 +80,7 @@
 	Max   float64 `json:"max"`
 }
 
-// Second is what came of the requests that were due in one second.
+// Second holds the results of the requests that were due in one second of the load.
 type Second struct {
 	Second     int         `json:"second"`
 	Due        int         `json:"due"`
@@ -85,7 +89,8 @@
 	FirstToken Percentiles `json:"firstTokenMillis"`
 }
 
-// Fault is one request that was lost, doubled, damaged or falsely told.
+// Fault describes one request that was lost, doubled, damaged or falsely reported as
+// not run.
 type Fault struct {
 	Request int    `json:"request"`
 	Class   string `json:"class"`
@@ -95,15 +100,15 @@
 }
 
 const (
-	// maxFaults bounds the faults that a report tells one by one.
+	// maxFaults is the largest number of faults that a report lists.
 	maxFaults = 20
-	// highestMicros and digits size the histograms: to ten minutes, to a
-	// thousandth of each value.
+	// highestMicros and digits are the range and precision of the histograms: up to
+	// ten minutes, with three significant digits.
 	highestMicros = int64(10 * time.Minute / time.Microsecond)
 	digits        = 3
 )
 
-// timer gathers times into a histogram.
+// timer collects latencies in a histogram.
 type timer struct{ histogram *hdrhistogram.Histogram }
 
 func newTimer() timer {
@@ -112,7 +117,7 @@
 
 func (t timer) add(took time.Duration, count int) {
 	micros := min(max(took.Microseconds(), 1), highestMicros)
-	_ = t.histogram.RecordValues(micros, int64(count)) // never above the bound
+	_ = t.histogram.RecordValues(micros, int64(count)) // never out of range
 }
 
 func (t timer) percentiles() Percentiles {
@@ -126,7 +131,7 @@
 	return Percentiles{Count: t.histogram.TotalCount(), P50: at(50), P90: at(90), P95: at(95), P99: at(99), Max: at(100)}
 }
 
-// tally gathers the results of one class.
+// tally accumulates the results of one class.
 type tally struct {
 	report         ClassReport
 	first, between timer
@@ -195,11 +200,12 @@
 	}
 }
 
-// good reports whether the request met both targets with a whole answer. The
-// time between tokens is their mean, over everything that came between.
+// good reports whether a request got a complete answer within both targets. The time
+// between tokens is the mean from the first to the last output, pauses and retries
+// included.
 func (r *Result) good(class Class) bool {
-	whole := r.Outcome == OutcomeAnswered && r.Damage == "" && r.Doubled == ""
-	if !whole || r.First > time.Duration(class.FirstWithin) {
+	complete := r.Outcome == OutcomeAnswered && r.Damage == "" && r.Doubled == ""
+	if !complete || r.First > time.Duration(class.FirstWithin) {
 		return false
 	}
 	if class.Kind == KindCall || r.Tokens < 2 {
@@ -211,8 +217,8 @@
 func (t *tally) finish(took time.Duration) ClassReport {
 	t.report.FirstToken = t.first.percentiles()
 	t.report.BetweenTokens = t.between.percentiles()
-	if wanted := t.report.Due - t.report.Cancelled; wanted > 0 {
-		t.report.GoodShare = float64(t.report.Good) / float64(wanted)
+	if expected := t.report.Due - t.report.Cancelled; expected > 0 {
+		t.report.GoodShare = float64(t.report.Good) / float64(expected)
 	}
 	if took > 0 {
 		t.report.GoodPerSecond = float64(t.report.Good) / took.Seconds()
@@ -220,7 +226,8 @@
 	return t.report
 }
 
-// report makes the report of a run that has ended.
+// report builds the report of a run that has ended. before and after are the router's
+// counters.
 func (r *runner) report(before, after map[string]float64) Report {
 	d := r.config.Description
 	report := Report{
@@ -229,9 +236,9 @@
 		Started:     r.sender.start,
 		TookSeconds: r.took.Seconds(),
 		OfferedRate: d.Rate,
-		Counters:    rises(before, after),
+		Counters:    increases(before, after),
 		Failures:    d.Failures,
-		NotMade:     r.failed,
+		NotMade:     r.notInjected,
 	}
 	sort.Slice(r.results, func(i, j int) bool { return r.results[i].Request.Number < r.results[j].Request.Number })
 	all := newTally("all")
@@ -254,7 +261,7 @@
 }
 
 func (r *Report) addFault(result Result, class Class) {
-	fault := Fault{Request: result.Request.Number, Class: class.Name, Key: keyOf(r.Run, result.Request)}
+	fault := Fault{Request: result.Request.Number, Class: class.Name, Key: idempotencyKey(r.Run, result.Request)}
 	switch {
 	case len(r.Faults) >= maxFaults:
 		return
@@ -272,6 +279,7 @@
 	r.Faults = append(r.Faults, fault)
 }
 
+// timeline sorts results by the second in which their requests were due.
 func timeline(d Description, results []Result) []Second {
 	var seconds []Second
 	var timers []timer
@@ -299,12 +307,12 @@
 	return seconds
 }
 
-// All returns the class report of all requests.
+// All returns the ClassReport of all classes together.
 func (r *Report) All() ClassReport {
 	return r.Classes[len(r.Classes)-1]
 }
 
-// BrokenError tells that requests were lost, doubled, damaged or falsely told
+// BrokenError reports that requests were lost, doubled, damaged or falsely reported
 // as not run.
 type BrokenError struct{ Lost, Doubled, Damaged, FalseNotRun int }
 
@@ -313,7 +321,8 @@
 	return fmt.Sprintf("%d requests lost, %d doubled, %d damaged, %d told as not run that ran", e.Lost, e.Doubled, e.Damaged, e.FalseNotRun)
 }
 
-// Broken returns a *BrokenError if there was any such request.
+// Broken returns a *BrokenError if any request was lost, doubled, damaged or falsely
+// reported as not run.
 func (r *Report) Broken() error {
 	all := r.All()
 	if all.Lost+all.Doubled+all.Damaged+all.FalseNotRun == 0 {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -14,20 +14,21 @@
 	"github.com/oriolebend/oriolebend/internal/pause"
 )
 
-// Config sets up a run.
+// Config configures a run.
 type Config struct {
 	Description Description
-	// Run is part of every key; empty means one made of the time. Two runs with
-	// the same Run and Description send the same keys.
+	// Run is the prefix of every idempotency key; empty means one made from the
+	// present time. Two runs with the same Run and Description send the same keys.
 	Run string
-	// SettleFor is how long late dispatches get to arrive before calls that
-	// were told as not run are looked for; zero means 2s.
+	// SettleFor is the time after the load that late dispatches get to arrive,
+	// before the services are queried for calls that were reported as not run; zero
+	// means 2s.
 	SettleFor time.Duration
-	// Progress is called about once a second; nil is not called.
+	// Progress is called about once a second, unless it is nil.
 	Progress func(Progress)
 }
 
-// Progress is how far a run is.
+// Progress is the state of a run in progress.
 type Progress struct {
 	Elapsed    time.Duration
 	Planned    int
@@ -43,14 +44,14 @@
 
 var dialer = net.Dialer{Timeout: dialTimeout}
 
-// Run sends a load and returns its report. Ending ctx ends the load early; what
-// is in progress is then cancelled.
+// Run sends a load and returns its report. If ctx is cancelled, the load ends early
+// and the requests in progress are cancelled.
 func Run(ctx context.Context, c Config) (Report, error) {
 	if c.Run == "" {
 		c.Run = "load-" + strconv.FormatInt(time.Now().UnixNano(), 36)
 	}
 	if c.SettleFor == 0 {
-		c.SettleFor = defaultSettle
+		c.SettleFor = defaultSettleFor
 	}
 	before, err := scrape(ctx, c.Description.MetricsURLs)
 	if err != nil {
@@ -66,20 +67,21 @@
 	return r.report(before, after), nil
 }
 
+// runner runs one load and collects its results.
 type runner struct {
 	config Config
 	sender *sender
 	plan   []Request
-	places chan struct{}
+	slots  chan struct{}
 	wait   sync.WaitGroup
 
-	mu         sync.Mutex
-	results    []Result
-	sent       int
-	inProgress int
-	ended      map[Outcome]int
-	took       time.Duration
-	failed     []string
+	mu          sync.Mutex
+	results     []Result
+	sent        int
+	inProgress  int
+	ended       map[Outcome]int
+	took        time.Duration
+	notInjected []string
 }
 
 func newRunner(c Config) *runner {
@@ -94,7 +96,7 @@
 		config: c,
 		sender: &sender{description: d, client: &http.Client{Transport: transport}, run: c.Run},
 		plan:   Plan(d),
-		places: make(chan struct{}, d.InFlight),
+		slots:  make(chan struct{}, d.InFlight),
 		ended:  map[Outcome]int{},
 	}
 }
@@ -104,13 +106,13 @@
 	defer r.sender.client.CloseIdleConnections()
 	watching, stop := context.WithCancel(ctx)
 	var watchers sync.WaitGroup
-	watchers.Go(func() { r.tellProgress(watching) })
-	watchers.Go(func() { r.bringFailures(watching) })
+	watchers.Go(func() { r.reportProgress(watching) })
+	watchers.Go(func() { r.injectFailures(watching) })
 	for _, request := range r.plan {
 		if !pause.For(ctx, time.Until(r.sender.start.Add(request.At))) {
 			break
 		}
-		r.begin(ctx, request)
+		r.startRequest(ctx, request)
 	}
 	r.wait.Wait()
 	stop()
@@ -118,13 +120,14 @@
 	r.took = time.Since(r.sender.start)
 }
 
-// begin sends a request, or counts it as unsent: to wait for a place would turn
-// an overload into a lower load and hide it.
-func (r *runner) begin(ctx context.Context, request Request) {
+// startRequest sends a request in the background. If InFlight requests are in progress, it
+// counts the request as unsent instead of waiting: waiting would turn an overload
+// into a lower load and hide it.
+func (r *runner) startRequest(ctx context.Context, request Request) {
 	select {
-	case r.places <- struct{}{}:
+	case r.slots <- struct{}{}:
 	default:
-		r.end(Result{Request: request, Outcome: OutcomeUnsent})
+		r.addResult(Result{Request: request, Outcome: OutcomeUnsent})
 		return
 	}
 	r.mu.Lock()
@@ -133,22 +136,22 @@
 	r.mu.Unlock()
 	r.wait.Go(func() {
 		result := r.sender.deliver(ctx, request)
-		<-r.places
+		<-r.slots
 		r.mu.Lock()
 		r.inProgress--
 		r.mu.Unlock()
-		r.end(result)
+		r.addResult(result)
 	})
 }
 
-func (r *runner) end(result Result) {
+func (r *runner) addResult(result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, result)
 	r.ended[result.Outcome]++
 }
 
-func (r *runner) tellProgress(ctx context.Context) {
+func (r *runner) reportProgress(ctx context.Context) {
 	if r.config.Progress == nil {
 		return
 	}
@@ -173,8 +176,9 @@
 	}
 }
 
-// bringFailures asks for each failure of the schedule when it is due.
-func (r *runner) bringFailures(ctx context.Context) {
+// injectFailures requests each failure of the schedule when it is due, and records
+// the requests that fail.
+func (r *runner) injectFailures(ctx context.Context) {
 	for _, failure := range r.config.Description.Failures {
 		if !pause.For(ctx, time.Until(r.sender.start.Add(time.Duration(failure.At)))) {
 			return
@@ -184,17 +188,19 @@
 			continue
 		}
 		r.mu.Lock()
-		r.failed = append(r.failed, fmt.Sprintf("%s %s: %v", failure.Do, failure.Target, err))
+		r.notInjected = append(r.notInjected, fmt.Sprintf("%s %s: %v", failure.Do, failure.Target, err))
 		r.mu.Unlock()
 	}
 }
 
-// FailureError tells that a failure of the schedule was not brought about.
+// FailureError reports that the server at FailuresURL did not carry out a failure of
+// the schedule.
 type FailureError struct{ Status string }
 
 // Error implements error.
 func (e *FailureError) Error() string { return "answered " + e.Status }
 
+// postFailure requests one failure from the server at url.
 func postFailure(ctx context.Context, client *http.Client, url string, f Failure) error {
 	body, err := json.Marshal(f)
 	if err != nil {
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -25,8 +25,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// fakeEntry answers as a whole system would, but for one fault. Several entries
-// that share it know each other's records.
+// fakeEntry answers as a complete system would, except for one fault. Entries that
+// share it share the request records.
 type fakeEntry struct {
 	fault string
 	mu    sync.Mutex
@@ -56,7 +56,7 @@
 	return out
 }
 
-func (f *fakeEntry) answer(r entry.Request, sending int) []caller.Chunk {
+func (f *fakeEntry) answer(r entry.Request, attempt int) []caller.Chunk {
 	refusal := &oriolebend.Problem{Reason: oriolebend.ReasonOverloaded, Ran: oriolebend.RanNo, RetryAfter: time.Millisecond}
 	lost := &oriolebend.Problem{Reason: oriolebend.ReasonOutcomeLost, Ran: oriolebend.RanUnknown}
 	switch {
@@ -66,7 +66,7 @@
 		return []caller.Chunk{{Call: &message.CallAnswer{Status: http.StatusNotFound}}}
 	case f.fault == "silent":
 		return nil
-	case f.fault == "refused" || f.fault == "false not run" || f.fault == "refused once" && sending == 1:
+	case f.fault == "refused" || f.fault == "false not run" || f.fault == "refused once" && attempt == 1:
 		return []caller.Chunk{{Problem: refusal}}
 	case f.fault == "unknown":
 		return []caller.Chunk{{Problem: lost}}
@@ -111,8 +111,8 @@
 
 func (f *fakeEntry) Settled() bool { return true }
 
-// entries serves a fake behind two ports. The fault "connection" breaks every
-// second connection off after the request was read.
+// entries serves one fakeEntry on two ports and returns their URLs. The fault
+// "connection" aborts every second connection after the request was read.
 func entries(t *testing.T, fault string) []string {
 	fake := &fakeEntry{fault: fault, known: map[message.Scope]string{}, seen: map[string]int{}}
 	handler := caller.New(caller.Config{
@@ -156,7 +156,7 @@
 	return d
 }
 
-// TestFaultsShow: each fault of an entry shows as what it is.
+// TestFaultsShow checks that each fault of an entry is counted under its own kind.
 func TestFaultsShow(t *testing.T) {
 	for _, c := range []struct {
 		fault string
@@ -195,9 +195,8 @@
 	}
 }
 
-// Symptom: a router that answers nothing looks like a quiet one. Sequence: the
-// entry takes requests and never answers. Cause: counts of answered requests
-// only.
+// TestSilentEntry guards against reports that count answered requests only: an entry
+// that accepts requests and never answers would then look like an idle one.
 func TestSilentEntry(t *testing.T) {
 	is := is.New(t)
 	d := shortDescription(entries(t, "silent"))
@@ -206,12 +205,13 @@
 	is.NoErr(err)
 	all := report.All()
 	is.True(all.Unsent > 0)
-	is.Equal(all.Losses[reasonGaveUp]+all.Unsent, 20)
+	is.Equal(all.Losses[reasonCallerTimeout]+all.Unsent, 20)
 	var broken *BrokenError
 	is.True(errors.As(report.Broken(), &broken))
 }
 
-// TestCancelled: what the load cancels itself is not held against the router.
+// TestCancelled checks that requests that the load cancels itself don't count as
+// faults of the router.
 func TestCancelled(t *testing.T) {
 	is := is.New(t)
 	d := shortDescription(entries(t, "silent"))
@@ -225,8 +225,8 @@
 	is.NoErr(report.Broken())
 }
 
-// TestFailuresAndCounters: the schedule is asked for, and counters are taken
-// before and after.
+// TestFailuresAndCounters checks that the failures of the schedule are requested, and
+// that counters are reported as their increase during the load.
 func TestFailuresAndCounters(t *testing.T) {
 	is := is.New(t)
 	counters := metrics.New(metrics.Config{Role: "entry", Node: "a"})
@@ -280,7 +280,7 @@
 	is.True(strings.Contains(out, "brief"))
 	_, err = run(t, append(urls, "--json", file("b.json"), "--rate", "800", "--quiet", file("a.toml"))...)
 	is.NoErr(err)
-	// A report without any output, with a failure, is plotted too.
+	// A report with a failure and without any output can be plotted, too.
 	is.NoErr(PlotTimeline(file("empty"), Report{Timeline: []Second{{NotWhole: 1}}, Failures: []Failure{{Do: "killEngine"}}}))
 	out, err = run(t, "compare", file("a.json"), file("b.json"))
 	is.NoErr(err)
@@ -308,7 +308,7 @@
 	is.True(errors.As(err, &file))
 }
 
-// TestExamples: the example loads are good descriptions.
+// TestExamples checks that the example loads are valid descriptions.
 func TestExamples(t *testing.T) {
 	is := is.New(t)
 	files, err := filepath.Glob("../../examples/load/*.toml")
--- a/internal/load/scrape.go
+++ b/internal/load/scrape.go
@@ -11,10 +11,11 @@
 	"github.com/prometheus/common/model"
 )
 
-// metricPrefix begins the counters that a report takes from the entries.
+// metricPrefix is the name prefix of the counters that a report contains.
 const metricPrefix = "oriolebend_"
 
-// scrape adds up the router's counters over all processes, by name and reason.
+// scrape reads the router's counters from all URLs and sums them by name, with the
+// values of the labels reason and event.
 func scrape(ctx context.Context, urls []string) (map[string]float64, error) {
 	sums := map[string]float64{}
 	for _, url := range urls {
@@ -64,13 +65,13 @@
 	return nil
 }
 
-// rises returns what rose between two scrapes.
-func rises(before, after map[string]float64) map[string]float64 {
-	risen := map[string]float64{}
+// increases returns the counters that increased between two scrapes, with the increase.
+func increases(before, after map[string]float64) map[string]float64 {
+	increased := map[string]float64{}
 	for key, value := range after {
-		if rise := value - before[key]; rise > 0 {
-			risen[key] = rise
+		if increase := value - before[key]; increase > 0 {
+			increased[key] = increase
 		}
 	}
-	return risen
+	return increased
 }
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -15,27 +15,29 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Result is what came of one planned request.
+// Result is the result of one planned request.
 type Result struct {
 	Request Request
 	Outcome Outcome
-	// Reason is why it was not answered.
+	// Reason is why the request was not answered.
 	Reason oriolebend.Reason
-	// Retries counts the reasons for which it was sent again.
+	// Retries has the reason of every retry.
 	Retries []oriolebend.Reason
-	// First is the time from when it was due to its first output, Last to its
-	// last.
+	// First is the time from when the request was due to its first output, Last the
+	// time to its last output.
 	First, Last time.Duration
 	Tokens      int
 	gaps        []gap
-	// Replayed is true for a stored answer.
+	// Replayed is true if the answer came from the stored record of the request.
 	Replayed bool
-	// Damage tells how the answer differs from the whole one; empty if not.
+	// Damage describes how the answer differs from the expected one; empty if it
+	// does not.
 	Damage string
-	// FalseNotRun is true if the caller was told that a call did not run, and it
-	// did.
+	// FalseNotRun is true if the caller was informed that a call did not run, and
+	// it did run.
 	FalseNotRun bool
-	// Doubled tells how a second execution or answer shows; empty if not.
+	// Doubled describes the evidence of a second execution or a second answer; empty
+	// if there is none.
 	Doubled string
 }
 
@@ -43,15 +45,18 @@
 type sender struct {
 	description Description
 	client      *http.Client
-	// run tells the keys of this run from those of others.
+	// run is the prefix that distinguishes the keys of this run from those of other
+	// runs.
 	run   string
 	start time.Time
 }
 
-// retryPause is how long a caller waits that lost its connection.
-const retryPause = 50 * time.Millisecond
+// minRetryDelay is the least delay before a retry; it applies if the entry named no
+// longer one, as after a lost connection.
+const minRetryDelay = 50 * time.Millisecond
 
-// deliver sends a request until it has an outcome.
+// deliver sends a request as planned and returns its result. The caller's timeout
+// counts from when the request was due.
 func (s *sender) deliver(ctx context.Context, r Request) Result {
 	due := s.start.Add(r.At)
 	ctx, cancel := context.WithDeadline(ctx, due.Add(time.Duration(s.description.Within)))
@@ -60,39 +65,41 @@
 		return s.deliverCancelled(ctx, r)
 	}
 	if !r.Again {
-		return s.deliverWhole(ctx, r)
+		return s.deliverOnce(ctx, r)
 	}
 	return s.deliverTwice(ctx, r)
 }
 
-func (s *sender) deliverWhole(ctx context.Context, r Request) Result {
-	result, _ := s.try(ctx, r, 0)
+// deliverOnce sends a request that is neither cancelled nor sent twice.
+func (s *sender) deliverOnce(ctx context.Context, r Request) Result {
+	result, _ := s.sendWithRetries(ctx, r, 0)
 	return result
 }
 
-// deliverCancelled sends a request and cancels it, if it is not answered before.
+// deliverCancelled sends a request and cancels it at the planned time, if it has not
+// ended before.
 func (s *sender) deliverCancelled(ctx context.Context, r Request) Result {
 	ctx, cancel := context.WithDeadline(ctx, s.start.Add(r.At+r.CancelAfter))
 	defer cancel()
-	result, _ := s.try(ctx, r, 0)
+	result, _ := s.sendWithRetries(ctx, r, 0)
 	if result.Outcome == OutcomeLost && ctx.Err() != nil {
 		result.Outcome, result.Reason = OutcomeCancelled, ""
 	}
 	return result
 }
 
-// deliverTwice sends a request to two entries with the same key. Both must get
-// the same answer of the same record.
+// deliverTwice sends a request to two entries with the same idempotency key. Both
+// must return the same answer from the same request record.
 func (s *sender) deliverTwice(ctx context.Context, r Request) Result {
 	var second Result
 	var secondAttempt attempt
 	var wait sync.WaitGroup
 	wait.Go(func() {
 		if pause.For(ctx, time.Duration(s.description.Classes[r.Class].AgainAfter)) {
-			second, secondAttempt = s.try(ctx, r, 1)
+			second, secondAttempt = s.sendWithRetries(ctx, r, 1)
 		}
 	})
-	result, first := s.try(ctx, r, 0)
+	result, first := s.sendWithRetries(ctx, r, 0)
 	wait.Wait()
 	result.Retries = append(result.Retries, second.Retries...)
 	if result.Doubled == "" {
@@ -113,30 +120,31 @@
 	return result
 }
 
-// try sends a request, first to the entry of its turn and an offset, and again
-// with the same key as often as a caller would.
-func (s *sender) try(ctx context.Context, r Request, offset int) (Result, attempt) {
+// sendWithRetries sends a request and retries it with the same key as a caller would. Attempts
+// go to the entries in turn, beginning with that of the request's number plus offset.
+func (s *sender) sendWithRetries(ctx context.Context, r Request, offset int) (Result, attempt) {
 	result := Result{Request: r}
-	sent := s.sending(r)
+	sent := s.buildMessage(r)
 	entries := s.description.Entries
 	for number := 1; ; number++ {
 		entry := entries[(r.Number+offset+number-1)%len(entries)]
 		a := send(ctx, s.client, entry, sent)
-		s.take(&result, a)
+		s.addTimes(&result, a)
 		if number == s.description.Tries || !a.mayRetry() || ctx.Err() != nil {
 			s.finish(&result, a)
 			return result, a
 		}
 		result.Retries = append(result.Retries, a.reason)
-		if !pause.For(ctx, max(a.retryAfter, retryPause)) {
+		if !pause.For(ctx, max(a.retryAfter, minRetryDelay)) {
 			s.finish(&result, a)
 			return result, a
 		}
 	}
 }
 
-// take adds the times of one sending. The first output of any counts.
-func (s *sender) take(result *Result, a attempt) {
+// addTimes adds the times of one attempt. The first output of any attempt counts as the
+// first output of the request.
+func (s *sender) addTimes(result *Result, a attempt) {
 	if a.first.IsZero() {
 		return
 	}
@@ -148,6 +156,7 @@
 	result.gaps = append(result.gaps, a.gaps...)
 }
 
+// finish sets the result from the last attempt and verifies a complete answer.
 func (s *sender) finish(result *Result, a attempt) {
 	result.Outcome, result.Reason = a.outcome, a.reason
 	result.Tokens, result.Replayed = a.tokens, a.replayed
@@ -160,7 +169,7 @@
 	}
 }
 
-// verify holds an answer against the one that the stand-ins give.
+// verify compares an answer with that of the stand-in engines and services.
 func (s *sender) verify(result *Result, class Class, a attempt) {
 	var err error
 	r := result.Request
@@ -178,7 +187,8 @@
 	}
 }
 
-// verifyCall reads the answer of a stand-in service, which counts executions.
+// verifyCall checks the answer of a stand-in service, which counts the executions of
+// each call.
 func verifyCall(text string) (damage, doubled string) {
 	var answered struct {
 		Execution int `json:"execution"`
@@ -192,17 +202,17 @@
 	return "", ""
 }
 
-// keyOf returns the idempotency key of a request.
-func keyOf(run string, r Request) string {
+// idempotencyKey returns the idempotency key of a request.
+func idempotencyKey(run string, r Request) string {
 	return fmt.Sprintf("%s-%d", run, r.Number)
 }
 
-// sending builds what is sent for a request.
-func (s *sender) sending(r Request) sending {
+// buildMessage builds the HTTP message of a request.
+func (s *sender) buildMessage(r Request) httpMessage {
 	class, organisation := s.description.Classes[r.Class], s.description.Organisations[r.Organisation]
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
-	header.Set(caller.HeaderKey, keyOf(s.run, r))
+	header.Set(caller.HeaderKey, idempotencyKey(s.run, r))
 	header.Set(caller.HeaderOrganisation, organisation.Name)
 	set := func(name, value string) {
 		if value != "" {
@@ -217,7 +227,7 @@
 	if class.Deadline > 0 {
 		header.Set(caller.HeaderDeadline, time.Duration(class.Deadline).String())
 	}
-	return sending{kind: class.Kind, path: class.path(), header: header, body: s.body(r, class)}
+	return httpMessage{kind: class.Kind, path: class.path(), header: header, body: s.body(r, class)}
 }
 
 func (c Class) path() string {
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -10,7 +10,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Table writes a report for people.
+// Table writes a report as text tables.
 func (r *Report) Table(out io.Writer) error {
 	fmt.Fprintf(out, "run %s, seed %d: %.1f requests a second offered, %.1f s\n\n", r.Run, r.Seed, r.OfferedRate, r.TookSeconds)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -34,14 +34,14 @@
 
 const percent = 100
 
-func writePercentiles(out io.Writer, class, what string, p Percentiles) {
+func writePercentiles(out io.Writer, class, measure string, p Percentiles) {
 	if p.Count > 0 {
-		fmt.Fprintf(out, "%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", class, what, p.P50, p.P90, p.P95, p.P99, p.Max)
+		fmt.Fprintf(out, "%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", class, measure, p.P50, p.P90, p.P95, p.P99, p.Max)
 	}
 }
 
-// writeReasons writes what was refused, failed, lost and sent again, and what
-// the router counted.
+// writeReasons writes the counts of refusals, failures, losses and retries by reason,
+// then the router's counters, the faults and the failures that were not made.
 func (r *Report) writeReasons(out io.Writer) {
 	all := r.All()
 	for _, counted := range []struct {
