--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -22,8 +22,8 @@
 	// CancelAfter is the time from when the request is due to its cancellation; zero
 	// means that it is not cancelled.
 	CancelAfter time.Duration
-	// Again is true if the request is sent a second time with the same key.
-	Again bool
+	// Duplicate is true if the request is sent a second time with the same key.
+	Duplicate bool
 }
 
 // Plan returns the requests of a description in the order in which they are due. The
@@ -59,7 +59,7 @@
 	case drawn < c.CancelShare:
 		r.CancelAfter = 1 + time.Duration(random.Int64N(int64(c.CancelAfter)))
 	case drawn < c.CancelShare+c.AgainShare:
-		r.Again = true
+		r.Duplicate = true
 	}
 	return r
 }
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -48,7 +48,7 @@
 	is.True(math.Abs(float64(len(plan))-4000) < 4*math.Sqrt(4000))
 	briefs, cancelled, again, above := 0, 0, 0, 0
 	for _, r := range plan {
-		if r.Again {
+		if r.Duplicate {
 			again++
 		}
 		if r.Class != 0 {
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -64,7 +64,7 @@
 	if r.CancelAfter > 0 {
 		return s.deliverCancelled(ctx, r)
 	}
-	if !r.Again {
+	if !r.Duplicate {
 		return s.deliverOnce(ctx, r)
 	}
 	return s.deliverTwice(ctx, r)
