--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -62,7 +62,7 @@
 	within := func(share float64) bool { return share >= 0 && share <= 1 }
 	c.require(class.Name != "", "a class needs a name")
 	c.require(class.Share >= 0, "class %q: share must not be below 0", class.Name)
-	c.require(within(class.CancelShare+class.AgainShare) && within(class.CancelShare) && within(class.AgainShare),
+	c.require(within(class.CancelShare+class.DuplicateShare) && within(class.CancelShare) && within(class.DuplicateShare),
 		"class %q: cancelShare and againShare must be from 0 to 1 together", class.Name)
 	c.require(class.CancelShare == 0 || class.CancelAfter > 0, "class %q: cancelShare needs cancelAfter", class.Name)
 	c.require(class.Urgency == "" || class.Urgency.Valid(), "class %q: urgency must be urgent or patient", class.Name)
--- a/internal/load/description.go
+++ b/internal/load/description.go
@@ -137,10 +137,10 @@
 	// to CancelAfter after they are due.
 	CancelShare float64           `toml:"cancelShare"`
 	CancelAfter settings.Duration `toml:"cancelAfter"`
-	// AgainShare is the share of requests that are sent a second time with the same
+	// DuplicateShare is the share of requests that are sent a second time with the same
 	// key, to the next entry, AgainAfter later than the first time.
-	AgainShare float64           `toml:"againShare"`
-	AgainAfter settings.Duration `toml:"againAfter"`
+	DuplicateShare float64           `toml:"againShare"`
+	AgainAfter     settings.Duration `toml:"againAfter"`
 	// Unchecked turns off the verification of answers; set it if the engines are not
 	// the project's stand-ins.
 	Unchecked bool `toml:"unchecked"`
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -58,7 +58,7 @@
 	switch {
 	case drawn < c.CancelShare:
 		r.CancelAfter = 1 + time.Duration(random.Int64N(int64(c.CancelAfter)))
-	case drawn < c.CancelShare+c.AgainShare:
+	case drawn < c.CancelShare+c.DuplicateShare:
 		r.Duplicate = true
 	}
 	return r
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -19,7 +19,7 @@
 				Name: "brief", Kind: KindCompletion, Share: 3, Model: "planner-lm", CancelShare: 0.1, CancelAfter: settings.Duration(time.Second),
 				PromptTokens: Spread{100, 200, 800}, OutputTokens: Spread{4, 8, 16}, Prefixes: 3, PrefixTokens: 50,
 			},
-			{Name: "ping", Kind: KindCall, Share: 1, Path: "/services/dispatch-api/arrivals", PromptTokens: Spread{5, 5, 5}, AgainShare: 0.5},
+			{Name: "ping", Kind: KindCall, Share: 1, Path: "/services/dispatch-api/arrivals", PromptTokens: Spread{5, 5, 5}, DuplicateShare: 0.5},
 		},
 	}
 	d.fillDefaults()
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -147,9 +147,9 @@
 	d := Description{
 		Seed: 1, Entries: entries, Rate: 500, Requests: 60, Tries: 20,
 		Classes: []Class{
-			{Name: "brief", Kind: KindCompletion, Share: 1, Model: "planner-lm", PromptTokens: spread, OutputTokens: spread, AgainShare: 0.5, FirstWithin: within, BetweenWithin: within},
+			{Name: "brief", Kind: KindCompletion, Share: 1, Model: "planner-lm", PromptTokens: spread, OutputTokens: spread, DuplicateShare: 0.5, FirstWithin: within, BetweenWithin: within},
 			{Name: "chat", Kind: KindChat, Share: 1, Model: "planner-lm", PromptTokens: spread, OutputTokens: spread, FirstWithin: within, BetweenWithin: within},
-			{Name: "ping", Kind: KindCall, Share: 1, Path: "/services/dispatch-api/arrivals", StatusPath: "/services/dispatch-api/status/{identity}", PromptTokens: spread, AgainShare: 0.5, FirstWithin: within},
+			{Name: "ping", Kind: KindCall, Share: 1, Path: "/services/dispatch-api/arrivals", StatusPath: "/services/dispatch-api/status/{identity}", PromptTokens: spread, DuplicateShare: 0.5, FirstWithin: within},
 		},
 	}
 	d.fillDefaults()
@@ -216,7 +216,7 @@
 	is := is.New(t)
 	d := shortDescription(entries(t, "silent"))
 	for i := range d.Classes {
-		d.Classes[i].CancelShare, d.Classes[i].AgainShare = 1, 0
+		d.Classes[i].CancelShare, d.Classes[i].DuplicateShare = 1, 0
 		d.Classes[i].CancelAfter = settings.Duration(10 * time.Millisecond)
 	}
 	report, err := Run(t.Context(), Config{Description: d})
