--- a/internal/load/description.go
+++ b/internal/load/description.go
@@ -140,7 +140,7 @@
 	// DuplicateShare is the share of requests that are sent a second time with the same
 	// key, to the next entry, AgainAfter later than the first time.
 	DuplicateShare float64           `toml:"againShare"`
-	AgainAfter     settings.Duration `toml:"againAfter"`
+	DuplicateAfter settings.Duration `toml:"againAfter"`
 	// Unchecked turns off the verification of answers; set it if the engines are not
 	// the project's stand-ins.
 	Unchecked bool `toml:"unchecked"`
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -95,7 +95,7 @@
 	var secondAttempt attempt
 	var wait sync.WaitGroup
 	wait.Go(func() {
-		if pause.For(ctx, time.Duration(s.description.Classes[r.Class].AgainAfter)) {
+		if pause.For(ctx, time.Duration(s.description.Classes[r.Class].DuplicateAfter)) {
 			second, secondAttempt = s.sendWithRetries(ctx, r, 1)
 		}
 	})
