--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -74,7 +74,7 @@
 func markIncomplete(p *plot.Plot, seconds []Second) error {
 	var points plotter.XYs
 	for _, s := range seconds {
-		if s.NotWhole > 0 {
+		if s.Incomplete > 0 {
 			points = append(points, plotter.XY{X: float64(s.Second), Y: p.Y.Max})
 		}
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -85,7 +85,7 @@
 	Second     int         `json:"second"`
 	Due        int         `json:"due"`
 	Good       int         `json:"good"`
-	NotWhole   int         `json:"notWhole"`
+	Incomplete int         `json:"notWhole"`
 	FirstToken Percentiles `json:"firstTokenMillis"`
 }
 
@@ -295,7 +295,7 @@
 			second.Good++
 		}
 		if result.Outcome != OutcomeAnswered && result.Outcome != OutcomeCancelled {
-			second.NotWhole++
+			second.Incomplete++
 		}
 		if result.First > 0 {
 			timers[at].add(result.First, 1)
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -281,7 +281,7 @@
 	_, err = run(t, append(urls, "--json", file("b.json"), "--rate", "800", "--quiet", file("a.toml"))...)
 	is.NoErr(err)
 	// A report with a failure and without any output can be plotted, too.
-	is.NoErr(PlotTimeline(file("empty"), Report{Timeline: []Second{{NotWhole: 1}}, Failures: []Failure{{Do: "killEngine"}}}))
+	is.NoErr(PlotTimeline(file("empty"), Report{Timeline: []Second{{Incomplete: 1}}, Failures: []Failure{{Do: "killEngine"}}}))
 	out, err = run(t, "compare", file("a.json"), file("b.json"))
 	is.NoErr(err)
 	is.True(strings.Contains(out, "good share"))
