--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -95,7 +95,7 @@
 	Request int    `json:"request"`
 	Class   string `json:"class"`
 	Key     string `json:"key"`
-	What    string `json:"what"`
+	Kind    string `json:"what"`
 	Detail  string `json:"detail"`
 }
 
@@ -266,13 +266,13 @@
 	case len(r.Faults) >= maxFaults:
 		return
 	case result.FalseNotRun:
-		fault.What, fault.Detail = "falseNotRun", string(result.Reason)
+		fault.Kind, fault.Detail = "falseNotRun", string(result.Reason)
 	case result.Doubled != "":
-		fault.What, fault.Detail = "doubled", result.Doubled
+		fault.Kind, fault.Detail = "doubled", result.Doubled
 	case result.Damage != "":
-		fault.What, fault.Detail = "damaged", result.Damage
+		fault.Kind, fault.Detail = "damaged", result.Damage
 	case result.Outcome == OutcomeLost:
-		fault.What, fault.Detail = "lost", string(result.Reason)
+		fault.Kind, fault.Detail = "lost", string(result.Reason)
 	default:
 		return
 	}
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -61,7 +61,7 @@
 		fmt.Fprintf(out, "counters: %s\n", joinCounts(r.Counters))
 	}
 	for _, fault := range r.Faults {
-		fmt.Fprintf(out, "%s: request %d of %s, key %s: %s\n", fault.What, fault.Request, fault.Class, fault.Key, fault.Detail)
+		fmt.Fprintf(out, "%s: request %d of %s, key %s: %s\n", fault.Kind, fault.Request, fault.Class, fault.Key, fault.Detail)
 	}
 	for _, failure := range r.NotMade {
 		fmt.Fprintf(out, "failure not made: %s\n", failure)
