--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -312,12 +312,12 @@
 	return r.Classes[len(r.Classes)-1]
 }
 
-// BrokenError reports that requests were lost, doubled, damaged or falsely reported
+// FaultsError reports that requests were lost, doubled, damaged or falsely reported
 // as not run.
-type BrokenError struct{ Lost, Doubled, Damaged, FalseNotRun int }
+type FaultsError struct{ Lost, Doubled, Damaged, FalseNotRun int }
 
 // Error implements error.
-func (e *BrokenError) Error() string {
+func (e *FaultsError) Error() string {
 	return fmt.Sprintf("%d requests lost, %d doubled, %d damaged, %d told as not run that ran", e.Lost, e.Doubled, e.Damaged, e.FalseNotRun)
 }
 
@@ -328,5 +328,5 @@
 	if all.Lost+all.Doubled+all.Damaged+all.FalseNotRun == 0 {
 		return nil
 	}
-	return &BrokenError{Lost: all.Lost, Doubled: all.Doubled, Damaged: all.Damaged, FalseNotRun: all.FalseNotRun}
+	return &FaultsError{Lost: all.Lost, Doubled: all.Doubled, Damaged: all.Damaged, FalseNotRun: all.FalseNotRun}
 }
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -206,7 +206,7 @@
 	all := report.All()
 	is.True(all.Unsent > 0)
 	is.Equal(all.Losses[reasonCallerTimeout]+all.Unsent, 20)
-	var broken *BrokenError
+	var broken *FaultsError
 	is.True(errors.As(report.Broken(), &broken))
 }
 
