--- a/internal/load/command.go
+++ b/internal/load/command.go
@@ -121,7 +121,7 @@
 	if err := o.write(out, report); err != nil {
 		return err
 	}
-	return report.Broken()
+	return report.CheckFaults()
 }
 
 func (o *overrides) write(out io.Writer, report Report) error {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -321,9 +321,9 @@
 	return fmt.Sprintf("%d requests lost, %d doubled, %d damaged, %d told as not run that ran", e.Lost, e.Doubled, e.Damaged, e.FalseNotRun)
 }
 
-// Broken returns a *BrokenError if any request was lost, doubled, damaged or falsely
+// CheckFaults returns a *BrokenError if any request was lost, doubled, damaged or falsely
 // reported as not run.
-func (r *Report) Broken() error {
+func (r *Report) CheckFaults() error {
 	all := r.All()
 	if all.Lost+all.Doubled+all.Damaged+all.FalseNotRun == 0 {
 		return nil
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -190,7 +190,7 @@
 			if !c.good(all) {
 				t.Fatalf("%+v\n%v", all, report.Faults)
 			}
-			is.Equal(report.Broken() != nil, all.Doubled+all.Damaged+all.FalseNotRun > 0)
+			is.Equal(report.CheckFaults() != nil, all.Doubled+all.Damaged+all.FalseNotRun > 0)
 		})
 	}
 }
@@ -207,7 +207,7 @@
 	is.True(all.Unsent > 0)
 	is.Equal(all.Losses[reasonCallerTimeout]+all.Unsent, 20)
 	var broken *FaultsError
-	is.True(errors.As(report.Broken(), &broken))
+	is.True(errors.As(report.CheckFaults(), &broken))
 }
 
 // TestCancelled checks that requests that the load cancels itself don't count as
@@ -222,7 +222,7 @@
 	report, err := Run(t.Context(), Config{Description: d})
 	is.NoErr(err)
 	is.Equal(report.All().Cancelled, 60)
-	is.NoErr(report.Broken())
+	is.NoErr(report.CheckFaults())
 }
 
 // TestFailuresAndCounters checks that the failures of the schedule are requested, and
