--- a/internal/load/not_run.go
+++ b/internal/load/not_run.go
@@ -30,7 +30,7 @@
 			notRun = append(notRun, &r.results[i])
 		}
 	}
-	if len(notRun) == 0 || !pause.For(ctx, r.config.SettleFor) {
+	if len(notRun) == 0 || !pause.For(ctx, r.config.NotRunDelay) {
 		return
 	}
 	for _, result := range notRun {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -20,10 +20,10 @@
 	// Run is the prefix of every idempotency key; empty means one made from the
 	// present time. Two runs with the same Run and Description send the same keys.
 	Run string
-	// SettleFor is the time after the load that late dispatches get to arrive,
+	// NotRunDelay is the time after the load that late dispatches get to arrive,
 	// before the services are queried for calls that were reported as not run; zero
 	// means 2s.
-	SettleFor time.Duration
+	NotRunDelay time.Duration
 	// Progress is called about once a second, unless it is nil.
 	Progress func(Progress)
 }
@@ -50,8 +50,8 @@
 	if c.Run == "" {
 		c.Run = "load-" + strconv.FormatInt(time.Now().UnixNano(), 36)
 	}
-	if c.SettleFor == 0 {
-		c.SettleFor = defaultSettleFor
+	if c.NotRunDelay == 0 {
+		c.NotRunDelay = defaultSettleFor
 	}
 	before, err := scrape(ctx, c.Description.MetricsURLs)
 	if err != nil {
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -183,7 +183,7 @@
 			if c.fault == "refused" || c.fault == "false not run" {
 				d.Tries = 1
 			}
-			report, err := Run(t.Context(), Config{Description: d, SettleFor: time.Millisecond})
+			report, err := Run(t.Context(), Config{Description: d, NotRunDelay: time.Millisecond})
 			is.NoErr(err)
 			all := report.All()
 			is.Equal(all.Due, 60)
