--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -30,8 +30,8 @@
 	Timeline     []Second `json:"timeline"`
 	// Failures is the schedule of failures, NotMade the failures of it that were not
 	// carried out, with the errors.
-	Failures []Failure `json:"failures,omitempty"`
-	NotMade  []string  `json:"notMade,omitempty"`
+	Failures    []Failure `json:"failures,omitempty"`
+	NotInjected []string  `json:"notMade,omitempty"`
 	// Faults lists the first requests that were lost, doubled, damaged or falsely
 	// reported as not run.
 	Faults []Fault `json:"faults,omitempty"`
@@ -238,7 +238,7 @@
 		OfferedRate: d.Rate,
 		Counters:    increases(before, after),
 		Failures:    d.Failures,
-		NotMade:     r.notInjected,
+		NotInjected: r.notInjected,
 	}
 	sort.Slice(r.results, func(i, j int) bool { return r.results[i].Request.Number < r.results[j].Request.Number })
 	all := newTally("all")
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -253,7 +253,7 @@
 	report, err := Run(t.Context(), Config{Description: d})
 	is.NoErr(err)
 	is.True(strings.HasPrefix(asked.String(), `{"at":"10ms","do":"killEngine","target":"planner-1"`))
-	is.Equal(len(report.NotMade), 1)
+	is.Equal(len(report.NotInjected), 1)
 	is.Equal(report.Counters, map[string]float64{"wasted_prefill_tokens_total": 60, "retries_total/serverLost": 2})
 }
 
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -63,7 +63,7 @@
 	for _, fault := range r.Faults {
 		fmt.Fprintf(out, "%s: request %d of %s, key %s: %s\n", fault.Kind, fault.Request, fault.Class, fault.Key, fault.Detail)
 	}
-	for _, failure := range r.NotMade {
+	for _, failure := range r.NotInjected {
 		fmt.Fprintf(out, "failure not made: %s\n", failure)
 	}
 }
