--- a/internal/experiment/link.go
+++ b/internal/experiment/link.go
@@ -76,9 +76,9 @@
 	})
 }
 
-// allocateRates sets the rate of every transfer by progressive filling: it fixes the rates on
-// the link with the smallest share per transfer first, and divides the remaining
-// bandwidth among the other transfers.
+// allocateRates sets the rate of every transfer by progressive filling: it fixes the
+// rates on the link with the smallest share per transfer first, and divides the
+// remaining bandwidth among the other transfers.
 func (l *links) allocateRates() {
 	left, users := map[*node]float64{}, map[*node]int{}
 	for _, t := range l.active {
@@ -111,8 +111,8 @@
 	}
 }
 
-// completeFinished completes the transfers that have at most one byte left, which allows for
-// rounding.
+// completeFinished completes the transfers that have at most one byte left, which
+// allows for rounding.
 func (l *links) completeFinished() {
 	l.advance()
 	var unfinished, done []*transfer
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -267,10 +267,10 @@
 }
 
 // countersOf returns the sorted keys of the counters of an event.
-func (r *Result) countersOf(what string) []string {
+func (r *Result) countersOf(event string) []string {
 	var keys []string
 	for _, key := range slices.Sorted(maps.Keys(r.Counts)) {
-		if strings.HasPrefix(key, what+" ") {
+		if strings.HasPrefix(key, event+" ") {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -40,8 +40,8 @@
 	fmt.Fprintln(out)
 	for _, v := range r.Results {
 		fmt.Fprintf(out, "%s at %.2f:", v.Variant, v.Factor)
-		for _, what := range []string{"retry", "refused", "refusal", "prefillWasted", "prefillReleased", "retryDelayed", "givenUp", "gate"} {
-			for _, key := range v.countersOf(what) {
+		for _, event := range []string{"retry", "refused", "refusal", "prefillWasted", "prefillReleased", "retryDelayed", "givenUp", "gate"} {
+			for _, key := range v.countersOf(event) {
 				fmt.Fprintf(out, " %s=%d", key, v.Counts[key])
 			}
 		}
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -329,8 +329,8 @@
 	})
 }
 
-// countControlBytes adds the encoded size of a message that reserves or releases capacity to
-// controlBytes; other messages don't count.
+// countControlBytes adds the encoded size of a message that reserves or releases
+// capacity to controlBytes; other messages don't count.
 func (w *world) countControlBytes(m message.Message) {
 	switch m.(type) {
 	case message.Reserve, message.Offer, message.Grant, message.Refusal, message.Release:
@@ -369,7 +369,7 @@
 	}
 }
 
-// serverEventWithTime does the same for the events about the whole server.
+// serverEventWithTime does the same for events about the server.
 func serverEventWithTime(e gate.Event, at time.Time) gate.Event {
 	switch e := e.(type) {
 	case gate.LoadReported:
--- a/internal/load/description.go
+++ b/internal/load/description.go
@@ -137,8 +137,8 @@
 	// to CancelAfter after they are due.
 	CancelShare float64           `toml:"cancelShare"`
 	CancelAfter settings.Duration `toml:"cancelAfter"`
-	// DuplicateShare is the share of requests that are sent a second time with the same
-	// key, to the next entry, AgainAfter later than the first time.
+	// DuplicateShare is the share of requests that are sent a second time with the
+	// same key, to the next entry, DuplicateAfter later than the first time.
 	DuplicateShare float64           `toml:"againShare"`
 	DuplicateAfter settings.Duration `toml:"againAfter"`
 	// Unchecked turns off the verification of answers; set it if the engines are not
--- a/internal/load/not_run.go
+++ b/internal/load/not_run.go
@@ -14,8 +14,8 @@
 const (
 	// identityPlaceholder is the placeholder of a call's identity in a status path.
 	identityPlaceholder = "{identity}"
-	// defaultSettleFor is the default of Config.SettleFor.
-	defaultSettleFor = 2 * time.Second
+	// defaultNotRunDelay is the default of Config.NotRunDelay.
+	defaultNotRunDelay = 2 * time.Second
 	// statusTimeout is the timeout of one status query to a service.
 	statusTimeout = 5 * time.Second
 )
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// injectedFailures returns the failures that were due by the start of the run's last second. A
-// run that was ended early did not inject the others.
+// injectedFailures returns the failures that were due by the start of the run's last
+// second. A run that was ended early did not inject the others.
 func injectedFailures(r Report) []Failure {
 	last := 0
 	for _, s := range r.Timeline {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -28,8 +28,8 @@
 	// wasted share.
 	PromptTokens int      `json:"promptTokens"`
 	Timeline     []Second `json:"timeline"`
-	// Failures is the schedule of failures, NotMade the failures of it that were not
-	// carried out, with the errors.
+	// Failures is the schedule of failures, NotInjected the failures of it that
+	// were not carried out, with the errors.
 	Failures    []Failure `json:"failures,omitempty"`
 	NotInjected []string  `json:"notMade,omitempty"`
 	// Faults lists the first requests that were lost, doubled, damaged or falsely
@@ -321,8 +321,8 @@
 	return fmt.Sprintf("%d requests lost, %d doubled, %d damaged, %d told as not run that ran", e.Lost, e.Doubled, e.Damaged, e.FalseNotRun)
 }
 
-// CheckFaults returns a *BrokenError if any request was lost, doubled, damaged or falsely
-// reported as not run.
+// CheckFaults returns a *FaultsError if any request was lost, doubled, damaged or
+// falsely reported as not run.
 func (r *Report) CheckFaults() error {
 	all := r.All()
 	if all.Lost+all.Doubled+all.Damaged+all.FalseNotRun == 0 {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -51,7 +51,7 @@
 		c.Run = "load-" + strconv.FormatInt(time.Now().UnixNano(), 36)
 	}
 	if c.NotRunDelay == 0 {
-		c.NotRunDelay = defaultSettleFor
+		c.NotRunDelay = defaultNotRunDelay
 	}
 	before, err := scrape(ctx, c.Description.MetricsURLs)
 	if err != nil {
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -231,14 +231,14 @@
 	is := is.New(t)
 	counters := metrics.New(metrics.Config{Role: "entry", Node: "a"})
 	counters.Observe("wastedPrefillTokens", oriolebend.Patient, 5)
-	var asked bytes.Buffer
+	var requested bytes.Buffer
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", metrics.Handler(metrics.HandlerConfig{Metrics: []*metrics.Metrics{counters}}))
 	mux.HandleFunc("/fail", func(w http.ResponseWriter, r *http.Request) {
-		_, _ = asked.ReadFrom(r.Body)
+		_, _ = requested.ReadFrom(r.Body)
 		counters.Observe("wastedPrefillTokens", oriolebend.Patient, 30)
 		counters.Count("retry", oriolebend.ReasonServerLost, "")
-		if strings.Contains(asked.String(), "cutControl") {
+		if strings.Contains(requested.String(), "cutControl") {
 			w.WriteHeader(http.StatusBadRequest)
 		}
 	})
@@ -252,7 +252,7 @@
 	}
 	report, err := Run(t.Context(), Config{Description: d})
 	is.NoErr(err)
-	is.True(strings.HasPrefix(asked.String(), `{"at":"10ms","do":"killEngine","target":"planner-1"`))
+	is.True(strings.HasPrefix(requested.String(), `{"at":"10ms","do":"killEngine","target":"planner-1"`))
 	is.Equal(len(report.NotInjected), 1)
 	is.Equal(report.Counters, map[string]float64{"wasted_prefill_tokens_total": 60, "retries_total/serverLost": 2})
 }
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -120,8 +120,9 @@
 	return result
 }
 
-// sendWithRetries sends a request and retries it with the same key as a caller would. Attempts
-// go to the entries in turn, beginning with that of the request's number plus offset.
+// sendWithRetries sends a request and retries it with the same key as a caller would.
+// Attempts go to the entries in turn, beginning with the entry of the request's number
+// plus offset.
 func (s *sender) sendWithRetries(ctx context.Context, r Request, offset int) (Result, attempt) {
 	result := Result{Request: r}
 	sent := s.buildMessage(r)
