--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -19,7 +19,7 @@
 				Name: "brief", Kind: KindCompletion, Share: 3, Model: "planner-lm", CancelShare: 0.1, CancelAfter: settings.Duration(time.Second),
 				PromptTokens: Spread{100, 200, 800}, OutputTokens: Spread{4, 8, 16}, Prefixes: 3, PrefixTokens: 50,
 			},
-			{Name: "ping", Kind: KindCall, Share: 1, Path: "/services/dispatch-api/arrivals", PromptTokens: Spread{5, 5, 5}, AgainShare: 0.5},
+			{Name: "ping", Kind: KindCall, Share: 1, Path: "/services/dispatch-api/arrivals", PromptTokens: Spread{5, 5, 5}, DuplicateShare: 0.5},
 		},
 	}
 	d.fillDefaults()
@@ -36,8 +36,8 @@
 	is.True(plan[9] != Plan(d)[9])
 }
 
-// TestPlanFollowsDescription: shares, rate, lengths and prefixes come out as
-// described, within what chance leaves (four standard deviations).
+// TestPlanFollowsDescription checks that shares, rate, lengths and prefixes of a plan
+// are as described, within four standard deviations.
 func TestPlanFollowsDescription(t *testing.T) {
 	is := is.New(t)
 	d := testDescription()
@@ -48,7 +48,7 @@
 	is.True(math.Abs(float64(len(plan))-4000) < 4*math.Sqrt(4000))
 	briefs, cancelled, again, above := 0, 0, 0, 0
 	for _, r := range plan {
-		if r.Again {
+		if r.Duplicate {
 			again++
 		}
 		if r.Class != 0 {
@@ -100,7 +100,8 @@
 	is.True(math.Abs(float64(within)/float64(len(plan))-0.6) < 0.05)
 }
 
-func TestFaultsAreToldAtOnce(t *testing.T) {
+// TestAllFaultsReported checks that a description's error lists all of its faults.
+func TestAllFaultsReported(t *testing.T) {
 	for _, c := range []struct {
 		text   string
 		faults int
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -25,8 +25,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// fakeEntry answers as a whole system would, but for one fault. Several entries
-// that share it know each other's records.
+// fakeEntry answers as a complete system would, except for one fault. Entries that
+// share it share the request records.
 type fakeEntry struct {
 	fault string
 	mu    sync.Mutex
@@ -56,7 +56,7 @@
 	return out
 }
 
-func (f *fakeEntry) answer(r entry.Request, sending int) []caller.Chunk {
+func (f *fakeEntry) answer(r entry.Request, attempt int) []caller.Chunk {
 	refusal := &oriolebend.Problem{Reason: oriolebend.ReasonOverloaded, Ran: oriolebend.RanNo, RetryAfter: time.Millisecond}
 	lost := &oriolebend.Problem{Reason: oriolebend.ReasonOutcomeLost, Ran: oriolebend.RanUnknown}
 	switch {
@@ -66,7 +66,7 @@
 		return []caller.Chunk{{Call: &message.CallAnswer{Status: http.StatusNotFound}}}
 	case f.fault == "silent":
 		return nil
-	case f.fault == "refused" || f.fault == "false not run" || f.fault == "refused once" && sending == 1:
+	case f.fault == "refused" || f.fault == "false not run" || f.fault == "refused once" && attempt == 1:
 		return []caller.Chunk{{Problem: refusal}}
 	case f.fault == "unknown":
 		return []caller.Chunk{{Problem: lost}}
@@ -111,8 +111,8 @@
 
 func (f *fakeEntry) Settled() bool { return true }
 
-// entries serves a fake behind two ports. The fault "connection" breaks every
-// second connection off after the request was read.
+// entries serves one fakeEntry on two ports and returns their URLs. The fault
+// "connection" aborts every second connection after the request was read.
 func entries(t *testing.T, fault string) []string {
 	fake := &fakeEntry{fault: fault, known: map[message.Scope]string{}, seen: map[string]int{}}
 	handler := caller.New(caller.Config{
@@ -147,16 +147,16 @@
 	d := Description{
 		Seed: 1, Entries: entries, Rate: 500, Requests: 60, Tries: 20,
 		Classes: []Class{
-			{Name: "brief", Kind: KindCompletion, Share: 1, Model: "planner-lm", PromptTokens: spread, OutputTokens: spread, AgainShare: 0.5, FirstWithin: within, BetweenWithin: within},
+			{Name: "brief", Kind: KindCompletion, Share: 1, Model: "planner-lm", PromptTokens: spread, OutputTokens: spread, DuplicateShare: 0.5, FirstWithin: within, BetweenWithin: within},
 			{Name: "chat", Kind: KindChat, Share: 1, Model: "planner-lm", PromptTokens: spread, OutputTokens: spread, FirstWithin: within, BetweenWithin: within},
-			{Name: "ping", Kind: KindCall, Share: 1, Path: "/services/dispatch-api/arrivals", StatusPath: "/services/dispatch-api/status/{identity}", PromptTokens: spread, AgainShare: 0.5, FirstWithin: within},
+			{Name: "ping", Kind: KindCall, Share: 1, Path: "/services/dispatch-api/arrivals", StatusPath: "/services/dispatch-api/status/{identity}", PromptTokens: spread, DuplicateShare: 0.5, FirstWithin: within},
 		},
 	}
 	d.fillDefaults()
 	return d
 }
 
-// TestFaultsShow: each fault of an entry shows as what it is.
+// TestFaultsShow checks that each fault of an entry is counted under its own kind.
 func TestFaultsShow(t *testing.T) {
 	for _, c := range []struct {
 		fault string
@@ -183,21 +183,20 @@
 			if c.fault == "refused" || c.fault == "false not run" {
 				d.Tries = 1
 			}
-			report, err := Run(t.Context(), Config{Description: d, SettleFor: time.Millisecond})
+			report, err := Run(t.Context(), Config{Description: d, NotRunDelay: time.Millisecond})
 			is.NoErr(err)
 			all := report.All()
 			is.Equal(all.Due, 60)
 			if !c.good(all) {
 				t.Fatalf("%+v\n%v", all, report.Faults)
 			}
-			is.Equal(report.Broken() != nil, all.Doubled+all.Damaged+all.FalseNotRun > 0)
+			is.Equal(report.CheckFaults() != nil, all.Doubled+all.Damaged+all.FalseNotRun > 0)
 		})
 	}
 }
 
-// Symptom: a router that answers nothing looks like a quiet one. Sequence: the
-// entry takes requests and never answers. Cause: counts of answered requests
-// only.
+// TestSilentEntry guards against reports that count answered requests only: an entry
+// that accepts requests and never answers would then look like an idle one.
 func TestSilentEntry(t *testing.T) {
 	is := is.New(t)
 	d := shortDescription(entries(t, "silent"))
@@ -206,39 +205,40 @@
 	is.NoErr(err)
 	all := report.All()
 	is.True(all.Unsent > 0)
-	is.Equal(all.Losses[reasonGaveUp]+all.Unsent, 20)
-	var broken *BrokenError
-	is.True(errors.As(report.Broken(), &broken))
+	is.Equal(all.Losses[reasonCallerTimeout]+all.Unsent, 20)
+	var broken *FaultsError
+	is.True(errors.As(report.CheckFaults(), &broken))
 }
 
-// TestCancelled: what the load cancels itself is not held against the router.
+// TestCancelled checks that requests that the load cancels itself don't count as
+// faults of the router.
 func TestCancelled(t *testing.T) {
 	is := is.New(t)
 	d := shortDescription(entries(t, "silent"))
 	for i := range d.Classes {
-		d.Classes[i].CancelShare, d.Classes[i].AgainShare = 1, 0
+		d.Classes[i].CancelShare, d.Classes[i].DuplicateShare = 1, 0
 		d.Classes[i].CancelAfter = settings.Duration(10 * time.Millisecond)
 	}
 	report, err := Run(t.Context(), Config{Description: d})
 	is.NoErr(err)
 	is.Equal(report.All().Cancelled, 60)
-	is.NoErr(report.Broken())
+	is.NoErr(report.CheckFaults())
 }
 
-// TestFailuresAndCounters: the schedule is asked for, and counters are taken
-// before and after.
+// TestFailuresAndCounters checks that the failures of the schedule are requested, and
+// that counters are reported as their increase during the load.
 func TestFailuresAndCounters(t *testing.T) {
 	is := is.New(t)
 	counters := metrics.New(metrics.Config{Role: "entry", Node: "a"})
 	counters.Observe("wastedPrefillTokens", oriolebend.Patient, 5)
-	var asked bytes.Buffer
+	var requested bytes.Buffer
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", metrics.Handler(metrics.HandlerConfig{Metrics: []*metrics.Metrics{counters}}))
 	mux.HandleFunc("/fail", func(w http.ResponseWriter, r *http.Request) {
-		_, _ = asked.ReadFrom(r.Body)
+		_, _ = requested.ReadFrom(r.Body)
 		counters.Observe("wastedPrefillTokens", oriolebend.Patient, 30)
 		counters.Count("retry", oriolebend.ReasonServerLost, "")
-		if strings.Contains(asked.String(), "cutControl") {
+		if strings.Contains(requested.String(), "cutControl") {
 			w.WriteHeader(http.StatusBadRequest)
 		}
 	})
@@ -252,8 +252,8 @@
 	}
 	report, err := Run(t.Context(), Config{Description: d})
 	is.NoErr(err)
-	is.True(strings.HasPrefix(asked.String(), `{"at":"10ms","do":"killEngine","target":"planner-1"`))
-	is.Equal(len(report.NotMade), 1)
+	is.True(strings.HasPrefix(requested.String(), `{"at":"10ms","do":"killEngine","target":"planner-1"`))
+	is.Equal(len(report.NotInjected), 1)
 	is.Equal(report.Counters, map[string]float64{"wasted_prefill_tokens_total": 60, "retries_total/serverLost": 2})
 }
 
@@ -280,8 +280,8 @@
 	is.True(strings.Contains(out, "brief"))
 	_, err = run(t, append(urls, "--json", file("b.json"), "--rate", "800", "--quiet", file("a.toml"))...)
 	is.NoErr(err)
-	// A report without any output, with a failure, is plotted too.
-	is.NoErr(PlotTimeline(file("empty"), Report{Timeline: []Second{{NotWhole: 1}}, Failures: []Failure{{Do: "killEngine"}}}))
+	// A report with a failure and without any output can be plotted, too.
+	is.NoErr(PlotTimeline(file("empty"), Report{Timeline: []Second{{Incomplete: 1}}, Failures: []Failure{{Do: "killEngine"}}}))
 	out, err = run(t, "compare", file("a.json"), file("b.json"))
 	is.NoErr(err)
 	is.True(strings.Contains(out, "good share"))
@@ -308,7 +308,7 @@
 	is.True(errors.As(err, &file))
 }
 
-// TestExamples: the example loads are good descriptions.
+// TestExamples checks that the example loads are valid descriptions.
 func TestExamples(t *testing.T) {
 	is := is.New(t)
 	files, err := filepath.Glob("../../examples/load/*.toml")
