--- a/internal/steady/drift.go
+++ b/internal/clockdrift/drift.go
@@ -1,6 +1,7 @@
-// Package steady detects time that the monotonic clock did not count, such as the suspension
-// of a VM.
-package steady
+// Package clockdrift detects time that the monotonic clock did not count, such as the suspension of
+// a VM. In control VMs, packages quota and serverlimit use it to start their counts again after a
+// suspension.
+package clockdrift
 
 import "time"
 
@@ -16,12 +17,12 @@
 }
 
 // maxDrift is the largest difference between the advances of the two clocks from one call of
-// Moved to the next that is not reported.
+// Jumped to the next that is not reported.
 const maxDrift = 200 * time.Millisecond
 
-// Moved reports whether the two clocks have drifted apart by more than maxDrift since the last
+// Jumped reports whether the two clocks have drifted apart by more than maxDrift since the last
 // call. monotonic is the time on the monotonic clock, wall the time of day.
-func (d *Drift) Moved(monotonic time.Duration, wall time.Time) bool {
+func (d *Drift) Jumped(monotonic time.Duration, wall time.Time) bool {
 	drift := wall.Round(0).Sub(d.wall.Round(0)) - (monotonic - d.monotonic)
 	first := d.wall.IsZero()
 	d.monotonic, d.wall = monotonic, wall
--- a/internal/steady/drift_test.go
+++ b/internal/clockdrift/drift_test.go
@@ -1,4 +1,4 @@
-package steady
+package clockdrift
 
 import (
 	"testing"
@@ -14,9 +14,9 @@
 	is := is.New(t)
 	wall := time.Date(2131, 3, 1, 0, 0, 0, 0, time.UTC)
 	var d Drift
-	is.True(!d.Moved(time.Second, wall))
-	is.True(!d.Moved(2*time.Second, wall.Add(time.Second+maxDrift/2)))
-	is.True(d.Moved(3*time.Second, wall.Add(5*time.Second)))
-	is.True(!d.Moved(4*time.Second, wall.Add(6*time.Second)))
-	is.True(d.Moved(5*time.Second, wall)) // the wall clock was set back
+	is.True(!d.Jumped(time.Second, wall))
+	is.True(!d.Jumped(2*time.Second, wall.Add(time.Second+maxDrift/2)))
+	is.True(d.Jumped(3*time.Second, wall.Add(5*time.Second)))
+	is.True(!d.Jumped(4*time.Second, wall.Add(6*time.Second)))
+	is.True(d.Jumped(5*time.Second, wall)) // the wall clock was set back
 }
--- a/internal/quota/server.go
+++ b/internal/quota/server.go
@@ -10,12 +10,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"github.com/oriolebend/oriolebend/internal/clockdrift"
 	"github.com/oriolebend/oriolebend/internal/message"
 	"github.com/oriolebend/oriolebend/internal/peer"
 	"github.com/oriolebend/oriolebend/internal/reducer"
 	"github.com/oriolebend/oriolebend/internal/reducer/quota"
 	"github.com/oriolebend/oriolebend/internal/routing"
-	"github.com/oriolebend/oriolebend/internal/steady"
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
@@ -38,7 +38,7 @@
 	mutex sync.Mutex
 	state *quota.State
 	start time.Time
-	clock steady.Drift
+	clock clockdrift.Drift
 }
 
 // Prepare initialises the server; it must be called before any other method.
@@ -135,7 +135,7 @@
 	now := time.Now()
 	leader := s.Leader()
 	s.reduce(quota.LeadershipObserved{At: now, Lead: leader == s.Self, Leader: leader, Members: s.Members()})
-	if s.clock.Moved(now.Sub(s.start), now) {
+	if s.clock.Jumped(now.Sub(s.start), now) {
 		s.reduce(quota.ClockJumped{At: now})
 		s.Logger.Warn("quotas are counted anew, time has passed that the clock did not count")
 	}
--- a/internal/serverlimit/server.go
+++ b/internal/serverlimit/server.go
@@ -8,12 +8,12 @@
 	"sync"
 	"time"
 
+	"github.com/oriolebend/oriolebend/internal/clockdrift"
 	"github.com/oriolebend/oriolebend/internal/message"
 	"github.com/oriolebend/oriolebend/internal/pause"
 	"github.com/oriolebend/oriolebend/internal/peer"
 	"github.com/oriolebend/oriolebend/internal/reducer"
 	"github.com/oriolebend/oriolebend/internal/reducer/serverlimit"
-	"github.com/oriolebend/oriolebend/internal/steady"
 )
 
 // Server counts, in one control VM while it leads, the requests to backend servers with a limit.
@@ -27,7 +27,7 @@
 	mutex sync.Mutex
 	state *serverlimit.State
 	start time.Time
-	clock steady.Drift
+	clock clockdrift.Drift
 }
 
 // Prepare initialises the server; it must be called before any other method.
@@ -88,7 +88,7 @@
 // caller holds the mutex.
 func (s *Server) updateLeadership() {
 	now := time.Now()
-	jumped := s.clock.Moved(now.Sub(s.start), now)
+	jumped := s.clock.Jumped(now.Sub(s.start), now)
 	s.reduce(serverlimit.LeadershipObserved{At: now, Lead: s.Leads(), Term: s.Term(), ClockJumped: jumped})
 }
 
