--- a/internal/backend/body.go
+++ b/internal/backend/body.go
@@ -4,7 +4,7 @@
 	"errors"
 	"io"
 
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 )
 
 const (
@@ -18,7 +18,7 @@
 // Body is the body of an answer. It holds as much of the body in memory as the limits
 // allow. The rest is read from the server when the caller has read all that is held.
 type Body struct {
-	held   *heldbytes.Holding
+	held   *memorybudget.Holding
 	pieces [][]byte
 	// returnedBytes is the memory of the piece that Next returned last.
 	returnedBytes int64
@@ -32,7 +32,7 @@
 // Hold reads the body into memory, up to limit bytes and as far as h allows. It reads in
 // pieces, so that a long answer is copied neither when it grows nor when it is written.
 // Release must be called when the body is not needed any more; it closes h.
-func (r *Response) Hold(h *heldbytes.Holding, limit int64) (*Body, error) {
+func (r *Response) Hold(h *memorybudget.Holding, limit int64) (*Body, error) {
 	b := &Body{held: h, length: r.length}
 	size := int64(0)
 	for {
@@ -45,7 +45,7 @@
 			return b, nil
 		}
 		piece := make([]byte, next)
-		n, err := heldbytes.Fill(r, piece)
+		n, err := memorybudget.Fill(r, piece)
 		size += int64(n)
 		if n > 0 {
 			b.pieces = append(b.pieces, piece[:n])
--- a/internal/backend/body_test.go
+++ b/internal/backend/body_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 )
 
 // Guards against a piece of an answer that is not counted as held while a slow caller reads it.
@@ -23,19 +23,19 @@
 		Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}, Freshness: time.Second,
 	})
 	is.NoErr(err)
-	account := heldbytes.New(heldbytes.Config{Limit: 1 << 20})
-	body, err := response.Hold(account.Open(heldbytes.Answer, "s"), length)
+	account := memorybudget.New(memorybudget.Config{Limit: 1 << 20})
+	body, err := response.Hold(account.Open(memorybudget.Answer, "s"), length)
 	is.NoErr(err)
 	is.Equal(body.Length(), int64(length))
 	for remaining := int64(length); remaining > 0; {
-		is.True(account.Held(heldbytes.Answer) >= remaining)
+		is.True(account.Held(memorybudget.Answer) >= remaining)
 		piece, err := body.Next()
 		is.NoErr(err)
-		is.True(account.Held(heldbytes.Answer) >= remaining) // the caller has not read the piece yet
+		is.True(account.Held(memorybudget.Answer) >= remaining) // the caller has not read the piece yet
 		remaining -= int64(len(piece))
 	}
 	_, err = body.Next()
 	is.Equal(err, io.EOF)
 	body.Release()
-	is.Equal(account.Held(heldbytes.Answer), int64(0))
+	is.Equal(account.Held(memorybudget.Answer), int64(0))
 }
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -9,8 +9,8 @@
 
 	"github.com/labstack/echo/v5"
 
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
 	"github.com/oriolebend/oriolebend/internal/logging"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
@@ -33,7 +33,7 @@
 	}
 	control := http.NewResponseController(c.Response())
 	h.logDeadlineError(control.SetReadDeadline(time.Now().Add(h.Caller.BodyTimeout.Or(defaultBodyTimeout))))
-	held, _ := c.Get(heldKey).(*heldbytes.Holding)
+	held, _ := c.Get(heldKey).(*memorybudget.Holding)
 	body, err := held.Read(limited, r.ContentLength)
 	if err != nil {
 		return nil, bodyProblem(r, err, limit)
@@ -54,7 +54,7 @@
 // request in progress would be lost with it.
 func (h *handler) holdBody(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
-		held := h.Held.Open(heldbytes.Request, heldbytes.PeerOf(c.Request().RemoteAddr))
+		held := h.Held.Open(memorybudget.Request, memorybudget.PeerOf(c.Request().RemoteAddr))
 		defer held.Close()
 		c.Set(heldKey, held)
 		return next(c)
@@ -83,7 +83,7 @@
 }
 
 func bodyProblem(r *http.Request, err error, limit int64) error {
-	if _, full := errors.AsType[*heldbytes.FullError](err); full {
+	if _, full := errors.AsType[*memorybudget.FullError](err); full {
 		return noBodyMemory(r)
 	}
 	var overLimit *http.MaxBytesError
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -10,7 +10,7 @@
 	"github.com/labstack/echo/v5"
 	"github.com/labstack/echo/v5/middleware"
 
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 	"github.com/oriolebend/oriolebend/internal/reducer/entry"
 	"github.com/oriolebend/oriolebend/internal/settings"
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
@@ -62,7 +62,7 @@
 	Prefix func(model, prompt string) []uint64
 	// Held accounts for the bodies of requests in progress. If it is nil, or if
 	// Caller.MaxHeldBytes is set, the handler uses an account of its own.
-	Held *heldbytes.Account
+	Held *memorybudget.Account
 	// WriteTimeout bounds each write to a caller; a request whose caller reads no
 	// output for so long is cancelled. Zero means 10s.
 	WriteTimeout time.Duration
@@ -126,7 +126,7 @@
 		c.Caller.MaxBodyBytes = defaultBodyBytes
 	}
 	if c.Held == nil || c.Caller.MaxHeldBytes > 0 {
-		c.Held = heldbytes.New(heldbytes.Config{Limit: cmp.Or(c.Caller.MaxHeldBytes, settings.Node{}.HeldBytes())})
+		c.Held = memorybudget.New(memorybudget.Config{Limit: cmp.Or(c.Caller.MaxHeldBytes, settings.Node{}.HeldBytes())})
 	}
 	if c.Caller.MaxPromptTokens == 0 {
 		c.Caller.MaxPromptTokens = defaultPromptTokens
--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/oriolebend/oriolebend/internal/backend"
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
 	"github.com/oriolebend/oriolebend/internal/http1"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 	"github.com/oriolebend/oriolebend/internal/reducer/dispatch"
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
@@ -123,7 +123,7 @@
 	w.sent++
 	w.tried = append(w.tried, grant.Server.Instance)
 	request := w.outgoing(SendOptions{Instance: grant.Server.Instance})
-	held := w.f.config.Held.Open(heldbytes.Answer, grant.Server.Address)
+	held := w.f.config.Held.Open(memorybudget.Answer, grant.Server.Address)
 	w.answers = append(w.answers, held)
 	w.f.background.Go(func() { results <- w.exchange(ctx, grant, request, held) })
 	return 1, nil
@@ -137,7 +137,7 @@
 }
 
 // exchange sends a plain call once and reads its answer.
-func (w *work) exchange(ctx context.Context, g dispatch.Grant, request backend.Request, held *heldbytes.Holding) result {
+func (w *work) exchange(ctx context.Context, g dispatch.Grant, request backend.Request, held *memorybudget.Holding) result {
 	r := result{grant: g}
 	response, err := w.f.send(ctx, g.Server, request)
 	if err != nil {
--- a/internal/forwarder/event.go
+++ b/internal/forwarder/event.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 )
 
 // event is one complete event of a stream.
@@ -32,11 +32,11 @@
 	reader *bufio.Reader
 	// held accounts for the memory of an event that is longer than usual, counted is the part of it
 	// that is accounted for.
-	held    *heldbytes.Holding
+	held    *memorybudget.Holding
 	counted int
 }
 
-func newEventReader(r io.Reader, held *heldbytes.Holding) *eventReader {
+func newEventReader(r io.Reader, held *memorybudget.Holding) *eventReader {
 	return &eventReader{reader: bufio.NewReaderSize(r, 2<<10), held: held}
 }
 
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/oriolebend/oriolebend/internal/backend"
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
 	"github.com/oriolebend/oriolebend/internal/http1"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 	"github.com/oriolebend/oriolebend/internal/message"
 	"github.com/oriolebend/oriolebend/internal/quarantine"
 	"github.com/oriolebend/oriolebend/internal/reducer"
@@ -54,7 +54,7 @@
 	MaxAnswerBytes int64
 	// Held accounts for the memory of held answers, together with that of request bodies; nil
 	// counts nothing.
-	Held *heldbytes.Account
+	Held *memorybudget.Account
 }
 
 const defaultMaxAnswerBytes = 16 << 20
@@ -104,7 +104,7 @@
 		routed:    make(chan struct{}),
 		serversAt: map[string]int{},
 		addresses: map[string]string{},
-		inflight:  inflightBytes{limit: int64(heldbytes.DefaultPeerShare * float64(c.Held.Limit()))},
+		inflight:  inflightBytes{limit: int64(memorybudget.DefaultPeerShare * float64(c.Held.Limit()))},
 	}
 }
 
--- a/internal/forwarder/held_test.go
+++ b/internal/forwarder/held_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 )
 
 const (
@@ -20,7 +20,7 @@
 	longBody   = 100 << 10
 )
 
-func smallRoom(c *Config) { c.Held = heldbytes.New(heldbytes.Config{Limit: roomBytes}) }
+func smallRoom(c *Config) { c.Held = memorybudget.New(memorybudget.Config{Limit: roomBytes}) }
 
 // answersLong answers with a long body; if cut is set, only a part of it is sent.
 func answersLong(cut bool) http.HandlerFunc {
@@ -43,7 +43,7 @@
 	is := is.New(s.t)
 	for began := time.Now(); ; time.Sleep(time.Millisecond) {
 		held := s.forwarder.config.Held
-		if held.Held(heldbytes.Request)+held.Held(heldbytes.Answer) == 0 {
+		if held.Held(memorybudget.Request)+held.Held(memorybudget.Answer) == 0 {
 			return
 		}
 		is.True(time.Since(began) < 5*time.Second) // memory was not released
@@ -61,7 +61,7 @@
 		is.Equal(status, http.StatusOK)
 		is.Equal(header.Get("Content-Length"), strconv.Itoa(longAnswer))
 		is.Equal(len(body), longAnswer)
-		is.True(s.forwarder.config.Held.Refused(heldbytes.Answer) > 0)
+		is.True(s.forwarder.config.Held.Refused(memorybudget.Answer) > 0)
 		s.allGivenBack()
 	}
 }
--- a/internal/forwarder/inflight_bytes.go
+++ b/internal/forwarder/inflight_bytes.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/oriolebend/oriolebend/internal/backend"
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 	"github.com/oriolebend/oriolebend/internal/message"
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
@@ -43,7 +43,7 @@
 
 // longBytes returns the number of bytes that a request with this body counts for.
 func longBytes(body []byte) int64 {
-	if len(body) <= heldbytes.SmallBytes {
+	if len(body) <= memorybudget.SmallBytes {
 		return 0
 	}
 	return int64(len(body))
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/oriolebend/oriolebend/internal/backend"
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
 	"github.com/oriolebend/oriolebend/internal/http1"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 	"github.com/oriolebend/oriolebend/internal/reducer/dispatch"
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
@@ -180,7 +180,7 @@
 // forwardEvents forwards events as they arrive. Only complete events are forwarded: if the server
 // stops in the middle of an event, another server can continue after the last complete one.
 func (s *streamSend) forwardEvents(response *backend.Response) streamResult {
-	held := s.f.config.Held.Open(heldbytes.Answer, s.grant.Server.Address)
+	held := s.f.config.Held.Open(memorybudget.Answer, s.grant.Server.Address)
 	defer held.Close()
 	reader := newEventReader(response, held)
 	last := time.Now()
--- a/internal/forwarder/work.go
+++ b/internal/forwarder/work.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"github.com/oriolebend/oriolebend/internal/backend"
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
 	"github.com/oriolebend/oriolebend/internal/http1"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 	"github.com/oriolebend/oriolebend/internal/quarantine"
 	"github.com/oriolebend/oriolebend/internal/reducer/dispatch"
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
@@ -42,7 +42,7 @@
 	retried bool
 
 	// answers holds the memory of the answers to the sends of this request.
-	answers []*heldbytes.Holding
+	answers []*memorybudget.Holding
 
 	// sent counts the servers that the request was sent to, tried names them.
 	sent  int
--- a/internal/http1/connection.go
+++ b/internal/http1/connection.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
@@ -158,7 +158,7 @@
 		}
 	}
 	_ = c.conn.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
-	held := c.server.config.Held.Open(heldbytes.Request, heldbytes.PeerOf(c.conn.RemoteAddr().String()))
+	held := c.server.config.Held.Open(memorybudget.Request, memorybudget.PeerOf(c.conn.RemoteAddr().String()))
 	body, err := readBody(c.reader, h, limits.MaxBodyBytes, held)
 	if err != nil {
 		held.Close()
@@ -221,7 +221,7 @@
 // refusalOf returns how a request that was not read is answered. The status is zero if the
 // connection ended, since there is no caller to answer.
 func refusalOf(err error) Refusal {
-	if full, ok := errors.AsType[*heldbytes.FullError](err); ok {
+	if full, ok := errors.AsType[*memorybudget.FullError](err); ok {
 		return Refusal{
 			Status: http.StatusServiceUnavailable, Reason: oriolebend.ReasonMemoryShort,
 			Detail: full.Error(), RetryAfter: memoryRetryAfter,
--- a/internal/http1/held_test.go
+++ b/internal/http1/held_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
@@ -25,7 +25,7 @@
 // bodies over the common limit are refused before they are read, and short requests never are.
 func TestLongBodiesAreRefusedWithoutMemory(t *testing.T) {
 	is := is.New(t)
-	account := heldbytes.New(heldbytes.Config{Limit: 2 * longBody})
+	account := memorybudget.New(memorybudget.Config{Limit: 2 * longBody})
 	var refused atomic.Pointer[Refusal]
 	begun, release := make(chan struct{}), make(chan struct{})
 	_, dial := startServer(t, Config{
@@ -47,7 +47,7 @@
 	}
 	_, slow := send("/slow", longBody)
 	<-begun
-	is.Equal(account.Held(heldbytes.Request), int64(longBody))
+	is.Equal(account.Held(memorybudget.Request), int64(longBody))
 	_, second := send("/second", longBody)
 	answer, err := http.ReadResponse(second, nil)
 	is.NoErr(err)
@@ -62,7 +62,7 @@
 	answer, err = http.ReadResponse(slow, nil)
 	is.NoErr(err)
 	is.Equal(answer.StatusCode, http.StatusOK)
-	for start := time.Now(); account.Held(heldbytes.Request) != 0; time.Sleep(time.Millisecond) {
+	for start := time.Now(); account.Held(memorybudget.Request) != 0; time.Sleep(time.Millisecond) {
 		is.True(time.Since(start) < 5*time.Second) // bytes stay held
 	}
 }
@@ -72,7 +72,7 @@
 	for _, framing := range []string{"Content-Length: 100000", "Transfer-Encoding: chunked"} {
 		t.Run(framing, func(t *testing.T) {
 			is := is.New(t)
-			account := heldbytes.New(heldbytes.Config{Limit: 4 * longBody})
+			account := memorybudget.New(memorybudget.Config{Limit: 4 * longBody})
 			limits := Limits{HeaderTimeout: 100 * time.Millisecond}
 			_, dial := startServer(t, Config{Handler: echo, Held: account, Limits: func() Limits { return limits }})
 			conn := dial()
@@ -81,7 +81,7 @@
 			answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			is.NoErr(err)
 			is.Equal(answer.StatusCode, http.StatusRequestTimeout)
-			is.Equal(account.Held(heldbytes.Request), int64(0))
+			is.Equal(account.Held(memorybudget.Request), int64(0))
 		})
 	}
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -17,7 +17,7 @@
 	"strings"
 	"time"
 
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 )
 
 // Request is one complete request of a caller.
@@ -32,7 +32,7 @@
 	Received time.Time
 
 	// held accounts for the memory of the body.
-	held *heldbytes.Holding
+	held *memorybudget.Holding
 }
 
 // Path returns the target without its query.
@@ -167,7 +167,7 @@
 }
 
 // readBody reads the complete body.
-func readBody(r *bufio.Reader, h head, limit int64, held *heldbytes.Holding) ([]byte, error) {
+func readBody(r *bufio.Reader, h head, limit int64, held *memorybudget.Holding) ([]byte, error) {
 	if h.length > limit {
 		return nil, tooLarge(limit)
 	}
@@ -176,7 +176,7 @@
 	}
 	body, err := held.Read(io.LimitReader(httputil.NewChunkedReader(r), limit+1), -1)
 	if err != nil {
-		if _, full := errors.AsType[*heldbytes.FullError](err); full || errors.Is(err, io.ErrUnexpectedEOF) {
+		if _, full := errors.AsType[*memorybudget.FullError](err); full || errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil, err
 		}
 		return nil, malformed("chunks", err)
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
@@ -62,7 +62,7 @@
 	// idle for longest is closed for a new one.
 	MaxConnections int
 	// Held accounts for the bodies of requests; nil accounts for none.
-	Held *heldbytes.Account
+	Held *memorybudget.Account
 }
 
 // Refusal describes the answer to a request that was not read.
--- a/internal/heldbytes/account.go
+++ b/internal/memorybudget/account.go
@@ -1,11 +1,12 @@
-// Package heldbytes accounts for the bytes that a process holds for its peers: request bodies
-// that callers send, and answers of backend servers that callers have not read yet. Their sum is
-// bounded, and so is the share of each peer.
+// Package memorybudget bounds the memory that a process holds for its peers: request bodies that
+// callers send, and answers of backend servers that callers have not read yet. The sum of their
+// bytes is bounded, and so is the share of each peer. Entries and forwarders count the bodies and
+// answers of requests in an Account, and control VMs guard their HTTP API with one.
 //
 // Each body and each answer has a bound of its own, but a process is killed for the sum: a hundred
 // callers that each stay within their bound, and send or read slowly, use all memory of a small VM,
 // and every request in progress is lost with the process.
-package heldbytes
+package memorybudget
 
 import (
 	"cmp"
@@ -201,7 +202,7 @@
 	if e.Peer {
 		whose = "one peer"
 	}
-	return fmt.Sprintf("heldbytes: no room for %d bytes of a body (%s): %d of %d bytes are held for %s",
+	return fmt.Sprintf("memorybudget: no room for %d bytes of a body (%s): %d of %d bytes are held for %s",
 		e.Requested, e.Kind, e.Held, e.Limit, whose)
 }
 
@@ -210,5 +211,5 @@
 
 // Error implements error.
 func (e *ClosedError) Error() string {
-	return fmt.Sprintf("heldbytes: the holding of a body (%s) is closed", e.Kind)
+	return fmt.Sprintf("memorybudget: the holding of a body (%s) is closed", e.Kind)
 }
--- a/internal/heldbytes/account_test.go
+++ b/internal/memorybudget/account_test.go
@@ -1,4 +1,4 @@
-package heldbytes
+package memorybudget
 
 import (
 	"errors"
--- a/internal/role/memory.go
+++ b/internal/role/memory.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 	"github.com/oriolebend/oriolebend/internal/settings"
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
@@ -35,7 +35,7 @@
 func (p Process) registerHeldBytes() {
 	gauge := p.metrics.Gauge
 	gauge("held_bytes_limit", "Bytes of bodies that may be held for callers and servers.", func() float64 { return float64(p.Held.Limit()) })
-	for _, kind := range heldbytes.Kinds() {
+	for _, kind := range memorybudget.Kinds() {
 		name := string(kind)
 		gauge(name+"_bytes_held", "Bytes of bodies of this kind that are held.", func() float64 { return float64(p.Held.Held(kind)) })
 		gauge(name+"_bytes_refused", "How often bytes of a body were refused for lack of memory so far.", func() float64 { return float64(p.Held.Refused(kind)) })
@@ -54,7 +54,7 @@
 // Guard returns a handler that bounds the memory and time for the bodies that next
 // reads.
 func (p Process) Guard(next http.Handler) http.Handler {
-	return heldbytes.Guard{Account: p.Held, Within: guardedBodyTimeout, Refuse: p.refuseBody}.Handler(next)
+	return memorybudget.Guard{Account: p.Held, Within: guardedBodyTimeout, Refuse: p.refuseBody}.Handler(next)
 }
 
 func (p Process) refuseBody(w http.ResponseWriter, r *http.Request, err error) {
--- a/internal/role/process.go
+++ b/internal/role/process.go
@@ -10,7 +10,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/oriolebend/oriolebend/internal/heldbytes"
+	"github.com/oriolebend/oriolebend/internal/memorybudget"
 	"github.com/oriolebend/oriolebend/internal/message"
 	"github.com/oriolebend/oriolebend/internal/metrics"
 	"github.com/oriolebend/oriolebend/internal/peer"
@@ -35,7 +35,7 @@
 	Observer Observer
 	// Held accounts for the bytes of bodies that the process holds in memory. If nil, the
 	// process creates an account with the limit of its settings.
-	Held *heldbytes.Account
+	Held *memorybudget.Account
 	// Orders sends orders to the model engines of routes; if nil, no engine is
 	// ordered to change its role. Only control VMs use it.
 	Orders EngineOrders
@@ -57,7 +57,7 @@
 	}
 	p.metrics = metrics.New(metrics.Config{Role: role, Node: node, Organisations: organisations, Logger: p.Logger})
 	if p.Held == nil {
-		p.Held = heldbytes.New(heldbytes.Config{Limit: p.Settings.Node.HeldBytes()})
+		p.Held = memorybudget.New(memorybudget.Config{Limit: p.Settings.Node.HeldBytes()})
 	}
 	p.registerHeldBytes()
 	return p
