--- a/internal/places/allocator.go
+++ b/internal/placements/allocator.go
@@ -1,6 +1,7 @@
-// Package places carries placement requests between forwarders and the control VM that grants
-// placements at model engines: an Allocator runs in each control VM, a Client in each forwarder.
-package places
+// Package placements connects forwarders with the control VM that grants placements at model
+// engines: an Allocator runs in each control VM, a Client in each forwarder. The reducer of package
+// placement decides which requests get a placement.
+package placements
 
 import (
 	"context"
--- a/internal/places/client.go
+++ b/internal/placements/client.go
@@ -1,4 +1,4 @@
-package places
+package placements
 
 import (
 	"cmp"
--- a/internal/role/control_process.go
+++ b/internal/role/control_process.go
@@ -13,7 +13,7 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 	"github.com/oriolebend/oriolebend/internal/operator"
 	"github.com/oriolebend/oriolebend/internal/peer"
-	"github.com/oriolebend/oriolebend/internal/places"
+	"github.com/oriolebend/oriolebend/internal/placements"
 	"github.com/oriolebend/oriolebend/internal/quarantine"
 	"github.com/oriolebend/oriolebend/internal/quota"
 	"github.com/oriolebend/oriolebend/internal/reducer/control"
@@ -47,7 +47,7 @@
 	routes       *routewatch.Server
 	joiner       *Joiner
 	pools        *PoolController
-	places       *places.Allocator
+	places       *placements.Allocator
 	observer     *routewatch.Follower
 	crashes      *quarantine.Store
 	crashReports *crashreports.DiskStore
--- a/internal/role/control_routing.go
+++ b/internal/role/control_routing.go
@@ -8,7 +8,7 @@
 
 	"github.com/oriolebend/oriolebend/internal/message"
 	"github.com/oriolebend/oriolebend/internal/peer"
-	"github.com/oriolebend/oriolebend/internal/places"
+	"github.com/oriolebend/oriolebend/internal/placements"
 	"github.com/oriolebend/oriolebend/internal/reducer/control"
 	"github.com/oriolebend/oriolebend/internal/routewatch"
 	"github.com/oriolebend/oriolebend/internal/routing"
@@ -108,7 +108,7 @@
 // placements and divides model engines between prefill and decode by that state.
 func (c *ControlProcess) buildObserver(name string) {
 	p := c.process
-	c.places = &places.Allocator{Leads: c.Leads, Replaced: c.otherLeads, Logger: p.Logger}
+	c.places = &placements.Allocator{Leads: c.Leads, Replaced: c.otherLeads, Logger: p.Logger}
 	c.places.Prepare()
 	sinks := routewatch.Sinks{c.places}
 	if p.Orders != nil {
--- a/internal/role/forwarder_process.go
+++ b/internal/role/forwarder_process.go
@@ -13,7 +13,7 @@
 	"github.com/oriolebend/oriolebend/internal/http1"
 	"github.com/oriolebend/oriolebend/internal/message"
 	"github.com/oriolebend/oriolebend/internal/peer"
-	"github.com/oriolebend/oriolebend/internal/places"
+	"github.com/oriolebend/oriolebend/internal/placements"
 	"github.com/oriolebend/oriolebend/internal/quarantine"
 	"github.com/oriolebend/oriolebend/internal/quota"
 	"github.com/oriolebend/oriolebend/internal/reducer/dispatch"
@@ -39,7 +39,7 @@
 	endpoint      *peer.Endpoint
 	forwarder     *forwarder.Forwarder
 	follower      *routewatch.Follower
-	places        *places.Client
+	places        *placements.Client
 	quotas        *quota.Client
 	limits        *serverlimit.Client
 	crashes       *quarantine.Store
@@ -68,7 +68,7 @@
 		return nil, fmt.Errorf("listen for peers: %w", err)
 	}
 	process.endpoint, process.crashReporter.Dialer = endpoint, endpoint
-	process.places = &places.Client{
+	process.places = &placements.Client{
 		Node: p.Settings.Node.Name, FailureDomain: p.Settings.Node.FailureDomain, Dialer: endpoint, Logger: p.Logger,
 		Leader: func() string { return process.follower.Leader() },
 	}
