--- a/internal/reducer/once/fleet_test.go
+++ b/internal/reducer/atmostonce/fleet_test.go
@@ -1,4 +1,4 @@
-package once
+package atmostonce
 
 import (
 	"fmt"
