--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,8 +1,8 @@
-// Package backend sends requests to backend servers over HTTP/1.1. It does not use
-// net/http's transport, because a request must be written to one connection and
-// never silently to a second one, the caller must learn whether anything was
-// written, and an answer that belongs to another request must be detected. It
-// parses messages with net/http.
+// Package backend sends the requests of a forwarder to backend servers over HTTP/1.1. It
+// does not use net/http's transport, because a request must be written to one connection
+// and never silently to a second one, the forwarder must learn whether anything was
+// written, and an answer that belongs to another request must be detected. It parses
+// messages with net/http.
 package backend
 
 import (
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller serves the HTTP API for callers: the completions protocol for
-// models, and calls of plain services by path.
+// Package caller serves the HTTP API of an entry for callers: the completions protocol
+// for models, and calls of plain services by path.
 package caller
 
 import (
--- a/internal/crashreports/sender.go
+++ b/internal/crashreports/sender.go
@@ -1,5 +1,6 @@
-// Package crashreports sends the reports of requests under which servers crashed from process to
-// process, and saves them over restarts.
+// Package crashreports sends the reports of requests under which servers crashed from a forwarder to
+// control VMs, relays and other forwarders, and receives them there. A control VM saves them in its
+// data folder, so that they survive a restart.
 package crashreports
 
 import (
--- a/internal/disk/store.go
+++ b/internal/disk/store.go
@@ -1,7 +1,10 @@
-// Package disk stores a member's log, vote and snapshots in one data folder. Changes are durable
-// once Save has returned without an error. A write that a crash cut short is dropped at the next
-// start. Damage to durable data is reported with its file and place, and never repaired by
-// guessing.
+// Package disk stores the log, vote and snapshots of one member of an agreement group in its data
+// folder. Package replica reads and writes the folder of a control VM, package crashreports saves
+// its reports there, and operators' subcommands inspect, back up and restore it.
+//
+// Changes are durable once Save has returned without an error. A write that a crash cut short is
+// dropped at the next start. Damage to durable data is reported with its file and place, and never
+// repaired by guessing.
 package disk
 
 import (
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,4 +1,5 @@
-// Package engine is a client for the HTTP protocol of model engines.
+// Package engine is the client with which a sidecar calls its model engine over HTTP. It also
+// defines the interface Engine and the data of the engine protocol.
 package engine
 
 import (
--- a/internal/engine/enginetest/enginetest.go
+++ b/internal/engine/enginetest/enginetest.go
@@ -1,5 +1,5 @@
-// Package enginetest tests the contract of engine.Engine against a client and its
-// engine.
+// Package enginetest holds the tests of the contract of engine.Engine, which run against a
+// client and its engine. The tests of package standin run them with stand-in engines.
 package enginetest
 
 import (
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -1,8 +1,8 @@
-// Package http1 serves callers of routes over HTTP/1.1. It does not use net/http's
-// server, because routed requests depend on properties which that server hides: a
-// request that two parsers could read differently is refused, the end of a caller's
-// connection cancels its request at once, a connection is closed only between
-// requests, and an answer that ends early can't look complete. It parses messages
+// Package http1 is the HTTP/1.1 server with which a forwarder serves callers of routes.
+// It does not use net/http's server, because routed requests depend on properties which
+// that server hides: a request that two parsers could read differently is refused, the
+// end of a caller's connection cancels its request at once, a connection is closed only
+// between requests, and an answer that ends early can't look complete. It parses messages
 // with net/http.
 package http1
 
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,4 +1,5 @@
-// Package identity looks up the owners of keys.
+// Package identity finds the owner of a key that a caller sends. Entries look up the organisations
+// of their settings with it, and forwarders those of the declared routing.
 package identity
 
 import "github.com/oriolebend/oriolebend/pkg/oriolebend"
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,4 +1,5 @@
-// Package mailbox provides an unbounded queue between goroutines.
+// Package mailbox provides an unbounded queue between goroutines. The loops of package role receive
+// their events through it, and senders of messages to peers use it as their send queue.
 package mailbox
 
 import "sync"
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics collects the Prometheus metrics of a role.
+// Package metrics collects the Prometheus metrics of each role that package role runs, and
+// serves them over HTTP together with the health of the process.
 package metrics
 
 import (
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,5 @@
-// Package pause waits for a duration or until a context ends.
+// Package pause waits for a duration or until a context ends. Loops that retry or poll use it
+// between two rounds.
 package pause
 
 import (
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,8 +1,8 @@
-// Package policy implements the routing and queueing policies. They select the
-// backend servers of a pool that receive a reservation request, the offer that
+// Package policy implements the routing and queueing policies of entries. They select
+// the backend servers of a pool that receive a reservation request, the offer that
 // is accepted, and the order in which queued work proceeds. Policies are generic
-// over the member type and deterministic: callers pass in the time and the
-// source of random numbers.
+// over the member type and deterministic: the code that calls them passes in the time
+// and the source of random numbers. Other packages use the rendezvous hashing only.
 package policy
 
 import (
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -1,5 +1,6 @@
-// Package quarantine holds the crash reports and quarantined requests of one process, and is safe
-// for use by several goroutines.
+// Package quarantine holds the crash reports and quarantined requests of one process: a forwarder,
+// a control VM or a relay. It wraps the reducer of the same name and is safe for use by several
+// goroutines.
 package quarantine
 
 import (
--- a/internal/reducer/limit/limit.go
+++ b/internal/reducer/limit/limit.go
@@ -1,6 +1,6 @@
 // Package limit bounds what an entry admits and has in progress: it provides an
 // adaptive concurrency limit for each pool and a rate limit for each
-// organisation.
+// organisation. The reducers of packages quota and serverlimit use its token bucket.
 package limit
 
 import "time"
--- a/internal/reducer/retry/budget.go
+++ b/internal/reducer/retry/budget.go
@@ -1,5 +1,6 @@
 // Package retry decides whether and when work is tried again: budgets limit
-// retries to a share of successes, and pauses have full jitter.
+// retries to a share of successes, and retry delays have full jitter. The reducer
+// of the entry uses both; package routewatch uses the delays between reconnects.
 package retry
 
 import (
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica runs one member of an agreement group. It connects the pure reducer of package
-// agreement with the data folder of package disk and the streams of package peer.
+// Package replica runs a control VM's member of the agreement group. It connects the pure reducer
+// of package agreement with the data folder of package disk and the streams of package peer.
 //
 // One goroutine runs the reducer. A second one makes changes durable; those that arrive during one
 // sync share the next. A third applies committed commands to the state machine, and one goroutine
--- a/internal/requestlog/line.go
+++ b/internal/requestlog/line.go
@@ -1,7 +1,8 @@
 // Package requestlog reconstructs the history of one request from the logs of several
 // processes: the lines of the request, related events of the servers and processes that
 // these lines name, and the reason for the request's outcome. It also finds crashes of
-// servers and the requests that may have caused them.
+// servers and the requests that may have caused them. The operators' subcommands print
+// both.
 package requestlog
 
 import (
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,5 +1,6 @@
 // Package routing stores the declared routing as part of the replicated state of the
-// control VMs, and provides the table that finds the route of a request.
+// control VMs, and provides the table in which a forwarder finds the route and the
+// organisation of a request.
 package routing
 
 import (
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service calls plain services: HTTP servers that run beside the model
-// engines. Some of their calls may not be repeated.
+// Package service is the client with which a sidecar calls its plain service: an HTTP
+// server that is not a model engine. Some of the calls may not be repeated.
 package service
 
 import (
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -1,3 +1,5 @@
+// Package soak holds only tests. They run the real program as separate processes, inject
+// faults from outside, and check what callers, backend servers and operators observe.
 package soak
 
 import (
--- a/pkg/oriolebend/client/client.go
+++ b/pkg/oriolebend/client/client.go
@@ -1,6 +1,7 @@
-// Package client is a client of the operator API of the control VMs. It retries
-// requests where a retry is safe. Retries of an order carry the same order id, so that
-// an order whose answer was lost is executed only once.
+// Package client is a client of the operator API of the control VMs, for programs of
+// operators and for the operators' subcommands. It retries requests where a retry is
+// safe. Retries of an order carry the same order id, so that an order whose answer was
+// lost is executed only once.
 package client
 
 import (
