--- a/internal/reducer/gate/drain.go
+++ b/internal/reducer/gate/drain.go
@@ -41,8 +41,8 @@
 }
 
 // awaitsDeclaredState reports whether the gate still waits for its declared
-// state. Otherwise a gate that restarts in front of a leaving server would
-// accept new work until the control VMs report the state again.
+// state. Without this wait, a gate that restarts in front of a leaving server
+// would accept new work until the control VMs report the state again.
 func (s *State) awaitsDeclaredState() bool {
 	return s.drain.declared == "" && s.now.Sub(s.started) < s.config.DeclaredWithin
 }
--- a/internal/reducer/gate/event.go
+++ b/internal/reducer/gate/event.go
@@ -1,5 +1,7 @@
 // Package gate is the reducer of the sidecar. It alone decides which work its
 // backend server is given. It is pure: it uses no clock, socket or randomness.
+//
+// In its comments, pings are urgent requests, and briefs are long patient ones.
 package gate
 
 import (
--- a/internal/reducer/gate/gate_test.go
+++ b/internal/reducer/gate/gate_test.go
@@ -339,7 +339,7 @@
 	return fmt.Sprintf("%s/%d", a.RequestID, a.Number)
 }
 
-// render writes effects in one line. Those that only read lists are left out
+// render writes effects in one line. Effects that only read lists are left out
 // unless lists is true.
 func render(effects []Effect, lists bool) string {
 	var texts []string
--- a/internal/reducer/gate/grant.go
+++ b/internal/reducer/gate/grant.go
@@ -19,7 +19,7 @@
 // The first decode that doesn't fit is promised the earliest capacity that is
 // predicted for it. Reservations behind it may only take capacity that this
 // promise leaves. Without the promise, small reservations would pass a large
-// one for ever. If they could not pass at all, memory would be idle until the
+// one forever. If they could not pass at all, memory would be idle until the
 // large one fits.
 func (s *State) grantQueued() {
 	if !s.queue.changed {
@@ -58,12 +58,13 @@
 }
 
 // mayBePassed reports whether reservations behind one that has no capacity may
-// be tried. Slots become free one at a time and the queue's order decides who
-// takes them, so prefills and calls can't be passed, with one exception. An
-// aged patient prefill whose turn has come would make pings wait for the end of
-// another brief. Pings may therefore pass it while a brief is computed or only
-// memory is short. The exception ends when the patient prefill is older than
-// passableAges times AgeAfter, or pings could keep the memory short for ever.
+// be tried. Slots become free one at a time and the queue's order decides which
+// reservation takes one, so prefills and calls can't be passed, with one
+// exception. An aged patient prefill whose turn has come would make pings wait
+// for the end of another brief. Pings may therefore pass it while a brief is
+// computed or only memory is short. The exception ends when the patient prefill
+// is older than passableAges times AgeAfter, or pings could keep the memory
+// short forever.
 func (s *State) mayBePassed(r *reservation) bool {
 	switch r.reserve.Phase {
 	case message.PhaseDecode:
--- a/internal/reducer/gate/lease.go
+++ b/internal/reducer/gate/lease.go
@@ -92,8 +92,8 @@
 	s.emit(CancelWork{Attempt: r.reserve.Attempt})
 }
 
-// retryCancels repeats the cancellations that were not confirmed. A lost one
-// would leave memory held by work whose caller has left.
+// retryCancels repeats the cancellations that were not confirmed. A lost
+// cancellation would leave memory held by work whose caller has left.
 func (s *State) retryCancels() {
 	for _, r := range s.heldReservations() {
 		if r.stage == stageCancelling && s.now.Sub(r.cancelSentAt) >= s.config.CancelRetry {
--- a/internal/reducer/gate/limit.go
+++ b/internal/reducer/gate/limit.go
@@ -17,7 +17,7 @@
 	minDecodes = 4
 	// bestDrift is the factor by which the best known time grows with each
 	// window, so that a service that became permanently slower isn't limited
-	// for ever.
+	// forever.
 	bestDrift = 1.02
 )
 
--- a/internal/reducer/gate/predict_test.go
+++ b/internal/reducer/gate/predict_test.go
@@ -43,9 +43,9 @@
 	is.True(within(p.callTime(), 30*time.Millisecond))
 }
 
-// Symptom: a slow server's answers become slower as it is given more work.
-// Sequence: the server meets its target, then misses it, then meets it again.
-// Cause: a fixed limit of the work in progress.
+// Guards against a slow server that is given ever more work, which makes its
+// answers slower still. It happens if the limit of the work in progress is
+// fixed. The server meets its target, then misses it, then meets it again.
 func TestLimitAdaptsToServer(t *testing.T) {
 	is := is.New(t)
 	calls, decodes := newLimit(1, 20), newLimit(minDecodes, 20)
--- a/internal/reducer/gate/property_test.go
+++ b/internal/reducer/gate/property_test.go
@@ -66,11 +66,10 @@
 	os.Exit(m.Run())
 }
 
-// Symptom: memory held by nobody, a call that runs twice, an entry that waits
-// for ever, a ping that waits behind a brief.
-// Sequence: any. Entries, the server, operators and clocks act at random,
-// including restarts of the gate and the engine.
-// Cause: an interleaving that no script covers.
+// Guards against memory that no reservation owns, a call that runs twice, an
+// entry that waits forever, and a ping that waits behind a brief, in
+// interleavings that no script covers. Entries, the server, operators and clocks
+// act at random, including restarts of the gate and the engine.
 func TestRandomInterleavings(t *testing.T) {
 	for _, role := range []oriolebend.PoolRole{oriolebend.Prefill, oriolebend.Decode, oriolebend.Service} {
 		t.Run(string(role), func(t *testing.T) {
--- a/internal/reducer/gate/reserve.go
+++ b/internal/reducer/gate/reserve.go
@@ -8,7 +8,7 @@
 )
 
 // minRetryAfter is the lower bound of the retry delays that follow from a
-// prediction, and the retry delay of some refusals without one.
+// prediction, and the retry delay of some refusals without a prediction.
 const minRetryAfter = 50 * time.Millisecond
 
 // handleReserve answers a Reserve with an Offer or a Refusal.
@@ -256,8 +256,8 @@
 }
 
 // checkDeadline refuses a reservation that can't meet its deadline. The entry
-// can then answer its caller or try another server at once, and no work is paid
-// for in vain.
+// can then answer its caller or try another server at once, and no work is
+// wasted.
 func (s *State) checkDeadline(r *reservation, wait time.Duration) (message.Refusal, bool) {
 	if r.deadlineAt.IsZero() {
 		return message.Refusal{}, false
--- a/internal/reducer/gate/session.go
+++ b/internal/reducer/gate/session.go
@@ -140,7 +140,7 @@
 	s.emit(EndSession{Session: id})
 }
 
-// releaseOther closes an attempt that another session holds, or none.
+// releaseOther closes an attempt that another session or no session holds.
 func (s *State) releaseOther(id SessionID, m message.Release) {
 	live := s.attempts[m.Attempt]
 	if s.sessions[id] == nil {
--- a/internal/reducer/gate/timing_bench_test.go
+++ b/internal/reducer/gate/timing_bench_test.go
@@ -218,7 +218,7 @@
 	m.reserve(r.prefill, r, message.PhasePrefill, 0)
 }
 
-// probe returns a reservation that stands for the request's prefill in
+// probe returns a reservation that represents the request's prefill in
 // predictions.
 func (g *modelGate) probe(r *modelRequest) *reservation {
 	probe := &reservation{uncachedTokens: r.prompt, reserve: message.Reserve{Phase: message.PhasePrefill, Urgency: r.urgency}}
--- a/internal/reducer/gate/work.go
+++ b/internal/reducer/gate/work.go
@@ -108,8 +108,8 @@
 // maxTransfers is how many transfers of one urgency the server's link carries
 // at once. A few at a time end sooner than many in parallel, and with a limit
 // of one, a stalled transfer would hold up all others. Each urgency has its own
-// limit, so that the small transfer of a ping does not wait for that of a long
-// brief.
+// limit, so that the small transfer of a ping does not wait for the large one
+// of a brief.
 const maxTransfers = 2
 
 // countTransfers counts the decodes of an urgency whose transfer is in
