--- a/internal/reducer/entry/decode.go
+++ b/internal/reducer/entry/decode.go
@@ -9,8 +9,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// openDecodeIfDue reserves decode capacity unless the pause before that has not
-// ended.
+// openDecodeIfDue reserves decode capacity, unless the pause before the next
+// try is still running.
 func (s *State) openDecodeIfDue(r *request, startIn time.Duration) {
 	if r.due[alarmReserve].IsZero() {
 		s.openDecode(r, startIn)
@@ -125,8 +125,8 @@
 // server can still begin.
 //
 // A transfer that began while its result was valid may continue for the
-// result's lifetime once more. Breaking off one that is merely slow throws away
-// what it moved and loads the links with the same bytes again. The symptom
+// result's lifetime once more. Aborting a transfer that is merely slow discards
+// the bytes that it moved and loads the links with them again. The symptom
 // would be retries for transferStalled that grow with the load.
 func (s *State) transferStallAfter(r *request, g *round, left time.Duration) time.Duration {
 	expected := idleTransfer(r.result.KVBytes, g.chosen)
--- a/internal/reducer/entry/output.go
+++ b/internal/reducer/entry/output.go
@@ -30,7 +30,7 @@
 type verdict string
 
 const (
-	partNext      verdict = "next"      // goes on where the output ends
+	partNext      verdict = "next"      // continues where the output ends
 	partDuplicate verdict = "duplicate" // holds nothing new
 	partAhead     verdict = "ahead"     // an earlier part is missing
 	partBroken    verdict = "broken"    // does not fit what was delivered
--- a/internal/reducer/entry/predict.go
+++ b/internal/reducer/entry/predict.go
@@ -80,7 +80,7 @@
 // rateMeter measures the rate of events a second, with exponential decay.
 type rateMeter struct {
 	rate float64
-	// since is the time of the first event and seen that of the last one.
+	// since is the time of the first event, and seen the time of the last one.
 	since, seen time.Time
 }
 
--- a/internal/reducer/entry/predict_test.go
+++ b/internal/reducer/entry/predict_test.go
@@ -9,9 +9,10 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Guards against refusing all patient requests while the servers serve them.
-// One old request finds no capacity for minutes and the others overtake it;
-// admission went by the age of the oldest request without output alone.
+// Guards against refusing all patient requests while the servers serve them. It
+// happens if admission looks only at the age of the oldest request without
+// output, and that request finds no capacity for minutes while others overtake
+// it.
 func TestOldRequestDoesNotBlockAdmission(t *testing.T) {
 	is := is.New(t)
 	s := New(Config{})
--- a/internal/reducer/entry/prefill.go
+++ b/internal/reducer/entry/prefill.go
@@ -32,8 +32,8 @@
 }
 
 // sendPrefill starts the prefill once its reservation is held. If the policy
-// reserves decode capacity as well, advance calls it only once that is held
-// too.
+// reserves decode capacity as well, advance calls sendPrefill only once that
+// capacity is held too.
 func (s *State) sendPrefill(r *request) {
 	g := r.prefill
 	if !g.granted || !g.sent.IsZero() {
--- a/internal/reducer/entry/retry.go
+++ b/internal/reducer/entry/retry.go
@@ -12,7 +12,7 @@
 	return retry.FullJitter(s.rng, s.config.RetryBase, s.config.RetryMax, r.tries)
 }
 
-// retryWork runs dispatched work that failed again, within the budgets of the
+// retryWork retries dispatched work that failed, within the budgets of the
 // organisation and of the lane. An accepted request is not dropped because a
 // budget is empty: it waits. If the wait would end after its deadline, the
 // request gets its final answer now instead of at the deadline.
@@ -79,8 +79,8 @@
 	s.waitAndRetry(r, retry.FullJitter(s.rng, s.config.RetryMax, s.config.RetryMax, 0))
 }
 
-// acquireRetry takes the retry of a request whose turn has come off the
-// budgets. If they are empty, it returns false and the request waits on.
+// acquireRetry charges the budgets for the retry of a request whose turn has
+// come. If they are empty, it returns false and the request waits on.
 func (s *State) acquireRetry(r *request) bool {
 	if !r.needsRetryToken {
 		return true
@@ -109,9 +109,9 @@
 }
 
 const (
-	// maxServersLost is how many servers may be lost in a row under a request
-	// before it waits long: two can be lost with their failure domain while the
-	// request is retried.
+	// maxServersLost is the number of servers lost in a row, while they worked
+	// on a request, from which the request waits long: two can be lost with
+	// their failure domain while the request is retried.
 	maxServersLost = quarantine.Limit
 	// minLossWait and maxLossWait bound that wait, which doubles with each
 	// further loss. A server takes seconds to return, so that a request which
@@ -121,12 +121,12 @@
 	maxLossWait = 10 * time.Minute
 )
 
-// lostTooManyServers reports whether several servers in a row were lost under a
-// request.
+// lostTooManyServers reports whether several servers in a row were lost while
+// they worked on the request.
 func (r *request) lostTooManyServers() bool { return r.serversLost >= maxServersLost }
 
-// delayAfterLosses lets a request wait under which several servers in a row
-// were lost.
+// delayAfterLosses lets a request wait after several servers in a row were lost
+// while they worked on it.
 //
 // The request may crash each server that begins to run it. Retried within the
 // usual two seconds, it would take down one server after the other with
