--- a/internal/reducer/order/event.go
+++ b/internal/reducer/order/event.go
@@ -12,7 +12,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Event is something that happened. At is when, by the sidecar's clock.
+// Event is an input of the reducer. The field At of an event is its time by the
+// sidecar's clock.
 type Event interface{ orderEvent() }
 
 // Started is the first event; the process of the sidecar has started.
--- a/internal/reducer/order/permit.go
+++ b/internal/reducer/order/permit.go
@@ -22,8 +22,8 @@
 }
 
 // awaitPermit requests a permit. The server stays at work meanwhile, because
-// other servers may have to change first. Only a server that holds no model or
-// that has begun to change stays out of work.
+// other servers may have to change first. A server stays out of work only if it
+// holds no model, has begun to change, or may still be changed by a lost order.
 func (s *State) awaitPermit(at time.Time, out, load bool) []Effect {
 	var effects []Effect
 	empty := len(s.info.Models) == 0
--- a/internal/reducer/order/state.go
+++ b/internal/reducer/order/state.go
@@ -79,7 +79,7 @@
 	hasOrdered bool // an order was issued in this incarnation
 	lostOrder  *engine.Order
 	// overlapsLost is true if the last order was issued while a lost order could
-	// still act. An effect that the engine shows may then be that of the lost
+	// still act. An effect that the engine shows may then come from the lost
 	// order.
 	overlapsLost bool
 	// issuedIncarnation is the incarnation of the engine at the time of the last
--- a/internal/reducer/record/claim.go
+++ b/internal/reducer/record/claim.go
@@ -43,7 +43,8 @@
 
 // claimOfUsedID answers a claim whose request id was used before. If it is an
 // earlier id of this record, the claim arrived late: a retry has taken the
-// record over since, and the claim is answered with the outcome of its request.
+// record over since. The claim is answered "not run" if its request was closed
+// so, else with the current record. Any other used id is refused as malformed.
 func (s *State) claimOfUsedID(r *record, m message.Claim) message.ClaimAnswer {
 	e, ok := r.findEarlierID(m.RequestID)
 	if !ok {
--- a/internal/reducer/record/record.go
+++ b/internal/reducer/record/record.go
@@ -106,8 +106,8 @@
 }
 
 // canReopen reports whether a retry may run the request again: either it never
-// ran, or it is repeatable and failed for a transient reason. once is that of the
-// claim. It may be true for a record that is not once, if the route was declared
+// ran, or it is repeatable and failed for a transient reason. once is the claim's
+// value. It may be true for a record that is not once, if the route was declared
 // as at most once in between. Such a claim does not reopen a record whose request
 // may have run.
 func (r *record) canReopen(once bool) bool {
--- a/internal/reducer/record/settle.go
+++ b/internal/reducer/record/settle.go
@@ -173,9 +173,10 @@
 	s.setState(r, to)
 }
 
-// storeAnswer stores an answer for replay. If the answer exceeds a limit, it
-// only sets the reason answerNotKept. It must be called before the record is
-// added to its list, because the list skips records without an answer for good.
+// storeAnswer stores an answer for replay. If there is no answer or it exceeds a
+// limit, storeAnswer only sets the reason answerNotKept. It must be called before
+// the record is added to its list, because the list skips records without an
+// answer for good.
 func (s *State) storeAnswer(r *record, a *message.Answer) {
 	if a == nil {
 		r.reason = oriolebend.ReasonAnswerNotKept
@@ -191,9 +192,9 @@
 	s.answerBytes += size
 }
 
-// IsTransient reports whether a retry may succeed after a failure. A brief that
-// failed together with its server must not be answered with that failure for a
-// day. An error in the command itself recurs with every retry.
+// IsTransient reports whether a retry may succeed after a failure. A request
+// that failed together with its server must not be answered with that failure
+// for a day. An error in the command itself recurs with every retry.
 func IsTransient(reason oriolebend.Reason) bool {
 	switch reason {
 	case oriolebend.ReasonMalformed, oriolebend.ReasonTooLarge, oriolebend.ReasonForbidden,
