--- a/internal/reducer/limit/bucket.go
+++ b/internal/reducer/limit/bucket.go
@@ -27,8 +27,9 @@
 }
 
 // Take takes an amount if at least that much is there beyond the amount kept
-// for others. An amount above Burst is taken once the bucket is full, and later
-// ones wait until it is made up for: otherwise it could never be taken.
+// for others, and reports whether it did. An amount above Burst, which could
+// otherwise never be taken, is taken once the bucket is full; later amounts wait
+// until the excess is refilled.
 func (b *Bucket) Take(now time.Time, amount, kept float64) bool {
 	if b.Level(now) < min(amount, b.Burst)+kept {
 		return false
@@ -53,6 +54,6 @@
 	return time.Duration(missing / b.PerSecond * float64(time.Second))
 }
 
-// never stands for an amount that can never be taken; it is longer than any
-// caller waits.
+// never is the wait for an amount that can never be taken. It is longer than
+// any caller waits.
 const never = 24 * time.Hour
--- a/internal/reducer/retry/budget_test.go
+++ b/internal/reducer/retry/budget_test.go
@@ -63,7 +63,8 @@
 }
 
 // Guards against accepted work that waits for a minute after a second of
-// stalled transfers: retries that can't wait were taken far below zero.
+// stalled transfers. It happens if retries that can't wait take the budget far
+// below zero.
 func TestDebtIsBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
