--- a/internal/reducer/dispatch/admit.go
+++ b/internal/reducer/dispatch/admit.go
@@ -64,8 +64,8 @@
 }
 
 // Overloaded reports whether the latency of a service is so high that a part of its plain
-// requests is refused. A second send beside the first one would then only make the
-// queue longer.
+// requests is refused. A second send of a request while the first
+// one runs would then only make the queue longer.
 func (s *State) Overloaded(at time.Time, name string, target time.Duration) bool {
 	v := s.services[name]
 	return v != nil && v.sojournKnown(at) && v.sojourn.value > admitAll*target.Seconds()
--- a/internal/reducer/dispatch/average_test.go
+++ b/internal/reducer/dispatch/average_test.go
@@ -7,10 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a division that leaves four of fifty engines in the prefill pool, so that
-// streams begin seconds late. A caller returns to an engine that still holds its prompt, and the
-// engine responds at once. If the highest of all rates counted as the engines' own rate, the
-// prefill pool would seem much too fast. An outlier must not move the estimate far.
+// TestQuantileOfRates guards against a division that leaves four of fifty engines in the prefill
+// pool, so that streams begin seconds late. A caller returns to an engine that still holds its
+// prompt, and the engine responds at once. If the highest of all rates counted as the engines' own
+// rate, the prefill pool would seem much too fast. An outlier must not move the estimate far.
 func TestQuantileOfRates(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 0))
--- a/internal/reducer/dispatch/bench_test.go
+++ b/internal/reducer/dispatch/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// BenchmarkPlacementRequested chooses engines for generations at sites of 30, 100 and 320 forwarders, as
-// the leader does for all of them.
+// BenchmarkPlacementRequested chooses engines for generations at sites of 30, 100 and 320
+// forwarders, as the leader does for all of them.
 func BenchmarkPlacementRequested(b *testing.B) {
 	for _, engines := range []int{60, 180, 1100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) { benchmarkPlacementRequested(b, engines) })
--- a/internal/reducer/dispatch/fleet_test.go
+++ b/internal/reducer/dispatch/fleet_test.go
@@ -15,9 +15,9 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Guards against a log that reports an eighth of the memory as free for ten seconds in which
-// requests are refused for lack of it. One of eight engines is lost for good and is silent from
-// then on. Its memory must not count as free.
+// TestMemoryOfSilentEnginesIsNotFree guards against a log that reports an eighth of the memory as
+// free for ten seconds in which requests are refused for lack of it. One of eight engines is lost
+// for good and is silent from then on. Its memory must not count as free.
 func TestMemoryOfSilentEnginesIsNotFree(t *testing.T) {
 	is := is.New(t)
 	s := New(Config{Seed: 1})
@@ -31,8 +31,9 @@
 	is.Equal(s.FreeShare(scriptStart, "s"), 0.0)
 }
 
-// Single changes to the list of servers lead to the same state as replacing the complete list,
-// also for servers that are removed while they have work in progress.
+// TestServerChangesEqualCompleteList checks that single changes to the list of servers lead to the
+// same state as replacing the complete list, also for servers that are removed while they have work
+// in progress.
 func TestServerChangesEqualCompleteList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		complete, changed := New(Config{Seed: 1}), New(Config{Seed: 1})
--- a/internal/reducer/dispatch/notice.go
+++ b/internal/reducer/dispatch/notice.go
@@ -149,8 +149,8 @@
 	return Limit{PerSecond: kept.perSecond, ReportedAt: kept.limitReported}, true
 }
 
-// UnavailableReason returns why a server currently accepts nothing from this forwarder, empty if it
-// does.
+// UnavailableReason returns why a server currently accepts nothing from this forwarder, empty if
+// the server accepts requests.
 func (s *State) UnavailableReason(at time.Time, server message.BackendServer) oriolebend.Reason {
 	_, reason := s.unavailableUntil(at, server)
 	return reason
--- a/internal/reducer/dispatch/outcome.go
+++ b/internal/reducer/dispatch/outcome.go
@@ -30,7 +30,7 @@
 	defer s.dropIfIdle(p)
 	p.pendingPrompt = max(0, p.pendingPrompt-e.Grant.Need.Prompt)
 	if c := s.grantedServer(e.Grant.Server); c != nil {
-		c.fullAt += e.Grant.Need.Output // reserved until now, and not yet written
+		c.fullAt += e.Grant.Need.Output // the output's memory was reserved until now and is not yet written
 		if !e.Unused {
 			c.refusedLast = false
 		}
--- a/internal/reducer/dispatch/overload_test.go
+++ b/internal/reducer/dispatch/overload_test.go
@@ -161,7 +161,8 @@
 	}
 }
 
-// sum sums a count from one second to another, exclusively.
+// sum sums a count over the seconds between two seconds, including the first and excluding the
+// last.
 func sum(counts map[int]int, from, to int) int {
 	total := 0
 	for second := from; second < to; second++ {
@@ -170,9 +171,10 @@
 	return total
 }
 
-// Guards against a plain service that answers nearly all requests late after it has lost
-// servers. Two of three servers leave, and the load is more than the last one can handle. Its
-// queue is always full, and each answer takes as long as the whole queue.
+// TestLastServerOfAPlainServiceAnswersInTime guards against a plain service that answers nearly all
+// requests late after it has lost servers. Two of three servers leave, and the load is more than
+// the last one can handle. Its queue is always full, and each answer takes as long as the whole
+// queue.
 //
 // The load is 250 requests a second at a server that handles 200.
 func TestLastServerOfAPlainServiceAnswersInTime(t *testing.T) {
@@ -185,14 +187,14 @@
 	t.Logf("in time, late, refused a second: without %d %d %d, with %d %d %d",
 		sum(without.inTime, from, to)/10, sum(without.late, from, to)/10, sum(without.refused, from, to)/10,
 		sum(with.inTime, from, to)/10, sum(with.late, from, to)/10, sum(with.refused, from, to)/10)
-	is.True(sum(without.inTime, from, to) < capacity*(to-from)*65/100) // without admission nearly all answers are late
+	is.True(sum(without.inTime, from, to) < capacity*(to-from)*65/100) // without admission many answers are late
 	is.True(sum(with.inTime, from, to) > capacity*(to-from)*8/10)
 	is.True(sum(with.late, from, to) < sum(with.inTime, from, to)/10)
 }
 
-// Guards against answers that stay late after a peak because queues are full when it ends.
-// For four seconds the load is one and a half times what three servers can handle, then a
-// third of that.
+// TestPlainServiceRecoversAfterAPeak guards against answers that stay late after a peak because
+// queues are full when it ends. For four seconds the load is one and a half times what three
+// servers can handle, then a third of that.
 func TestPlainServiceRecoversAfterAPeak(t *testing.T) {
 	is := is.New(t)
 	s := newPlainSite(3, true)
@@ -209,7 +211,8 @@
 	is.True(sum(s.late, 9, 12) < sum(s.inTime, 9, 12)/50)
 }
 
-// A few answers that were delayed by lost packets do not cause refusals.
+// TestFewSlowAnswersCauseNoRefusals checks that a few answers that were delayed by lost packets do
+// not cause refusals.
 func TestFewSlowAnswersCauseNoRefusals(t *testing.T) {
 	is := is.New(t)
 	s := New(Config{Seed: 1})
--- a/internal/reducer/dispatch/removed_test.go
+++ b/internal/reducer/dispatch/removed_test.go
@@ -11,10 +11,10 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Guards against an allocator that keeps granting placements at crashed engines, each of which
-// is returned. The engine was listed here and then removed, and the allocator has not received
-// the removal. A removed engine must be reported as leaving, while an engine that was never
-// listed is accepted.
+// TestRemovedServerIsLeaving guards against an allocator that keeps granting placements at crashed
+// engines, each of which is returned. The engine was listed here and then removed, and the
+// allocator has not received the removal. A removed engine must be reported as leaving, while an
+// engine that was never listed is accepted.
 func TestRemovedServerIsLeaving(t *testing.T) {
 	is := is.New(t)
 	at := time.Date(2131, 3, 1, 0, 0, 0, 0, time.UTC)
--- a/internal/reducer/dispatch/script_test.go
+++ b/internal/reducer/dispatch/script_test.go
@@ -241,8 +241,8 @@
 	}
 }
 
-// The counts of each server return to zero once all work has ended, whatever the order of
-// events. A count above zero would leave the server unused for good.
+// TestCountsReturnToZero checks that the counts of each server return to zero once all work has
+// ended, whatever the order of events. A count above zero would leave the server unused for good.
 func TestCountsReturnToZero(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Config{FailureDomain: "a", Seed: 1})
--- a/internal/reducer/dispatch/state.go
+++ b/internal/reducer/dispatch/state.go
@@ -1,6 +1,8 @@
 // Package dispatch is the reducer that decides, in a forwarder, to which backend
 // server a routed request is sent, whether it may be retried, and when it is
-// refused instead. It is pure: time comes in events, randomness from a seed.
+// refused instead. Package placement runs it too, in the allocator: the process that
+// grants placements at model engines to all forwarders. The reducer is pure: time
+// comes in events, randomness from a seed.
 package dispatch
 
 import (
@@ -93,8 +95,8 @@
 	// there.
 	pendingPrompt int
 	heldMemory    int
-	// prefillsUntil is when a decode engine finishes prefilling a prompt itself, beside
-	// its generations.
+	// prefillsUntil is when a decode engine finishes prefilling a prompt itself, between the
+	// tokens of its generations.
 	prefillsUntil time.Time
 	// failedInRow counts consecutive failures. Until avoidUntil other servers are preferred.
 	failedInRow int
