--- a/internal/reducer/placement/event.go
+++ b/internal/reducer/placement/event.go
@@ -56,7 +56,8 @@
 	Failed, Unused bool
 }
 
-// Ended ends a placement.
+// Ended reports how the send of a placement ended, and ends the placement. With
+// dispatch.OutcomeCut the placement is retained until its work is likely to have ended.
 type Ended struct {
 	At      time.Time
 	Key     Key
@@ -77,7 +78,7 @@
 	Session uint64
 }
 
-// Ticked passes time.
+// Ticked reports the current time.
 type Ticked struct{ At time.Time }
 
 func (Fleet) isPlacementEvent() {}
--- a/internal/reducer/placement/fairness_test.go
+++ b/internal/reducer/placement/fairness_test.go
@@ -109,11 +109,11 @@
 	s.apply(Reduce(s.state, Ticked{At: s.now}))
 }
 
-// Guards against a small organisation that is hardly served while large ones send most of the
-// load. Memory is short for minutes, and three of sixteen organisations send two thirds of the
-// load, each within its quota. In the queue, an organisation with more requests has more entries.
-// Each request must have the same chance, whatever its organisation, so that each organisation is
-// served as often as all together.
+// TestNoOrganisationIsStarvedByOthers guards against a small organisation that is hardly served
+// while large ones send most of the load. Memory is short for minutes, and three of sixteen
+// organisations send two thirds of the load, each within its quota. In the queue, an organisation
+// with more requests has more entries. Each request must have the same chance, whatever its
+// organisation, so that each organisation is served as often as all together.
 func TestNoOrganisationIsStarvedByOthers(t *testing.T) {
 	is := is.New(t)
 	s := newFairSite()
--- a/internal/reducer/placement/flow.go
+++ b/internal/reducer/placement/flow.go
@@ -47,11 +47,11 @@
 // weight is how much of an engine a request is likely to use relative to other requests of
 // its service, by its memory times the tokens that it writes while it holds the memory.
 //
-// In a peak not all requests can be served. Those that use as much as three others are
-// refused at a shorter queue, and return when the peak is over. This saves between a fifth
-// and a half of the requests that were lost in peaks, refused twice, on four days of large
-// sites. The bounds prevent the largest requests from being refused whenever any request
-// waits, and the smallest from waiting until they are late.
+// In a peak not all requests can be served. Those that use as much as three others are refused at a
+// shorter queue, and return when the peak is over. At large sites, this saves between a fifth and a
+// half of the requests that would otherwise be lost in peaks because they are refused twice. The
+// bounds prevent the largest requests from being refused whenever any request waits, and the
+// smallest from waiting until they are late.
 func (f *flow) weight(n dispatch.Need) float64 {
 	size := float64(n.Memory()) * float64(max(1, n.Output))
 	if f.size == 0 {
@@ -81,7 +81,7 @@
 }
 
 // usualTime is how long a token of memory is held, which equals the time of a placement of
-// usual size.
+// usual size. It returns false until enoughEnded placements have ended.
 func (f *flow) usualTime() (time.Duration, bool) {
 	if f.ended < enoughEnded || f.freed <= 0 {
 		return 0, false
@@ -89,10 +89,10 @@
 	return time.Duration(f.work / f.freed * float64(time.Second)), true
 }
 
-// freeRate is the memory that becomes free per second, by Little's law: the memory held
-// divided by the time for which it is held. The memory freed in the last seconds would
-// reflect the demand instead, which at the beginning of a peak is far below the capacity
-// of the engines.
+// freeRate is the memory that becomes free per second, by Little's law: the memory held divided by
+// the time for which it is held. It returns false if that is not known. The memory freed in the
+// last seconds would reflect the demand instead, which at the beginning of a peak is far below the
+// capacity of the engines.
 func (f *flow) freeRate() (float64, bool) {
 	if f.ended < enoughEnded || f.work <= 0 || f.held == 0 {
 		return 0, false
@@ -101,7 +101,7 @@
 }
 
 // timeToFree is how long it takes until an amount of memory has become free, if only a share
-// of the memory becoming free counts.
+// of the memory becoming free counts. It returns false if the rate is not known.
 func (f *flow) timeToFree(memory int, share float64) (time.Duration, bool) {
 	rate, known := f.freeRate()
 	if !known {
@@ -111,9 +111,9 @@
 }
 
 const (
-	// returnFirst is the retry delay of the first refused caller: peaks last for seconds, and
-	// a caller that returns during the same peak is refused again. With three
-	// seconds, days with peaks of five were worth a hundredth less.
+	// returnFirst is the retry delay of the first refused caller: peaks last for seconds, and a
+	// caller that returns during the same peak is refused again. With three seconds, the requests
+	// served on days with peaks of five seconds were worth a hundredth less.
 	returnFirst = 4 * time.Second
 	// returnLast is the longest retry delay; callers wait no longer than for a third
 	// of the time that they have.
--- a/internal/reducer/placement/sizes.go
+++ b/internal/reducer/placement/sizes.go
@@ -103,8 +103,8 @@
 func (z *sizes) behind(class int) bool { return z.relativeShare(class) < behindFrom }
 
 // queueFactor is the factor on the queue that a request of a class is assumed to wait behind. While
-// any class has fallen behind, it is lower for classes that are served less often than others, and
-// higher for those that are served more often.
+// any class has fallen behind, the factor is lower for classes that are served less often than
+// others, and higher for those that are served more often.
 func (z *sizes) queueFactor(class int) float64 {
 	for other := range z.classes {
 		if z.behind(other) {
--- a/internal/reducer/placement/sizes_test.go
+++ b/internal/reducer/placement/sizes_test.go
@@ -152,11 +152,11 @@
 	return tenths, all
 }
 
-// Guards against the largest prompts being hardly served for as long as memory is short. Callers
-// send twice the capacity of the engines. When some memory becomes free, the large request that
-// has waited longest does not fit, and a smaller one behind it takes the memory; the large one is
-// also refused at a shorter queue. The largest tenth must be served at least half as often as all
-// requests, and so must the fifth below it.
+// TestLargeRequestsInAShortage guards against the largest prompts being hardly served for as long
+// as memory is short. Callers send twice the capacity of the engines. When some memory becomes
+// free, the large request that has waited longest does not fit, and a smaller one behind it takes
+// the memory; the large one is also refused at a shorter queue. The largest tenth must be served at
+// least half as often as all requests, and so must the fifth below it.
 func TestLargeRequestsInAShortage(t *testing.T) {
 	for _, site := range sizedSites {
 		for _, length := range []time.Duration{2 * time.Second, 10 * time.Second, 60 * time.Second} {
--- a/internal/reducer/placement/state.go
+++ b/internal/reducer/placement/state.go
@@ -22,7 +22,7 @@
 	overcommit = 1.02
 	// fullFor is how long an engine that refused is not tried again unless work ends
 	// there. All ends of work are known here; the time is for memory that an engine
-	// frees by itself, a few steps of its batch.
+	// frees by itself, which takes a few steps of its batch.
 	fullFor = 500 * time.Millisecond
 )
 
@@ -199,8 +199,8 @@
 // cut retains the placement of a stream that broke off.
 //
 // An engine whose response is lost on the network keeps working until it notices, if it
-// does. A network that reset one response in ten on half of the engines made memory of a
-// site seem free that was in use: five in six placements then granted met a full engine.
+// does. A network that reset one response in ten on half of the engines made memory that was
+// in use seem free: five in six placements then granted met a full engine.
 func (s *State) cut(at time.Time, key Key) {
 	p, found := s.placements[key]
 	if !found {
--- a/internal/reducer/pools/event.go
+++ b/internal/reducer/pools/event.go
@@ -26,7 +26,7 @@
 // LoadsReported reports the work of one forwarder within about a second.
 type LoadsReported struct{ Loads []message.ServiceLoad }
 
-// Ticked passes a second.
+// Ticked reports that a second has passed.
 type Ticked struct{ At time.Time }
 
 // OrderAnswered reports the result of an order.
--- a/internal/reducer/pools/state.go
+++ b/internal/reducer/pools/state.go
@@ -46,11 +46,10 @@
 	// with three times as many tokens, the surplus engines of the prefill pool would arrive
 	// two seconds later.
 	enoughWritten = 600
-	// worthMoving and worthMovingShare are how many engines, and which share of
-	// all, the prefill pool must be off by. Moving one engine of a dozen for
-	// less costs a tenth of the worth of days with failures: the engine is
-	// unavailable for seconds, and a small prefill pool has no spare for one
-	// that crashes.
+	// worthMoving and worthMovingShare are how many engines, and which share of all, the prefill
+	// pool must be off by. Moving one engine of a dozen for less lowers the worth of the requests
+	// served on days with failures by a tenth: the engine is unavailable for seconds, and a small
+	// prefill pool has no spare for one that crashes.
 	worthMoving      = 1.6
 	worthMovingShare = 0.04
 	// shortFor is how long the prefill pool must be too small before a decode
