--- a/internal/reducer/agreement/effect.go
+++ b/internal/reducer/agreement/effect.go
@@ -66,8 +66,8 @@
 // Apply passes committed entries to the state machine; Applied follows.
 type Apply struct{ Entries []Committed }
 
-// Committed is one entry to apply. ID is that of the proposal or membership change that waits for
-// the entry on this member, or zero.
+// Committed is one entry to apply. ID identifies the proposal or membership change that waits for
+// the entry on this member; it is zero if there is none.
 type Committed struct {
 	Entry message.LogEntry
 	ID    uint64
--- a/internal/reducer/agreement/event.go
+++ b/internal/reducer/agreement/event.go
@@ -2,8 +2,8 @@
 
 import "github.com/oriolebend/oriolebend/internal/message"
 
-// Event is an input of Reduce. Tick is the time of the event, counted by the steady clock of this
-// member since its start; after a pause of the process the tick jumps ahead.
+// Event is an input of Reduce. Tick is the time of the event, counted by the monotonic clock of
+// this member since its start; after a pause of the process the tick jumps ahead.
 type Event interface{ tick() uint64 }
 
 // Ticked reports that time has passed.
--- a/internal/reducer/agreement/follower.go
+++ b/internal/reducer/agreement/follower.go
@@ -43,7 +43,8 @@
 	s.send(m.From, answer, afterAll)
 }
 
-// acceptLeader accepts the sender as the leader of the current term.
+// acceptLeader accepts the sender as the leader of the current term. If this member leads the term
+// itself, it emits Fatal and returns false.
 func (s *State) acceptLeader(leader string) bool {
 	if s.Role == Leader {
 		s.emit(Fatal{Detail: fmt.Sprintf("two leaders in term %d: %s and %s",
@@ -74,8 +75,8 @@
 	s.markHardStateDirty()
 }
 
-// lowerRecovery lowers the recovery index to the end of the log of a leader with a shorter log
-// than the one at which the recovery began: the log of a leader holds all committed entries.
+// lowerRecovery lowers the recovery index to the end of the leader's log if the index is beyond that
+// end: the log of a leader holds all committed entries.
 func (s *State) lowerRecovery(leaderLast uint64) {
 	if s.Hard.RecoverTo > leaderLast {
 		s.Hard.RecoverTo = leaderLast
@@ -91,7 +92,8 @@
 	}
 }
 
-// storeEntries appends the entries that the log lacks and replaces those that differ.
+// storeEntries appends the entries that the log lacks and replaces those that differ. If a
+// committed entry differs, it emits Fatal and returns false.
 func (s *State) storeEntries(entries []message.LogEntry) bool {
 	for i, e := range entries {
 		term, ok := s.log.term(e.Index)
--- a/internal/reducer/agreement/leader.go
+++ b/internal/reducer/agreement/leader.go
@@ -162,8 +162,8 @@
 
 // checkLease makes a leader step down if no quorum has answered within LeaseTicks.
 //
-// Otherwise a leader that is cut off would keep answering as leader beside the one that the other
-// members elect, and callers would be directed to a leader that can accept nothing. Followers
+// Otherwise a leader that is cut off would keep answering as leader after the other members have
+// elected another one, and callers would be directed to a leader that can accept nothing. Followers
 // wait for ElectionTicks, which is longer, before they elect another.
 func (s *State) checkLease() {
 	if s.Role != Leader {
--- a/internal/reducer/agreement/saving.go
+++ b/internal/reducer/agreement/saving.go
@@ -21,8 +21,8 @@
 // index. Since the message is held until Persisted, no other member has seen a vote that is
 // forgotten.
 type saving struct {
-	// sequence is that of the newest Persist, hardSequence that of the newest one with the hard
-	// state, and syncedSequence that of the newest one that is synced.
+	// sequence is the Sequence of the newest Persist, hardSequence the one of the newest Persist
+	// with the hard state, and syncedSequence the one of the newest Persist that is synced.
 	sequence       uint64
 	hardSequence   uint64
 	syncedSequence uint64
--- a/internal/reducer/agreement/sim_test.go
+++ b/internal/reducer/agreement/sim_test.go
@@ -105,8 +105,8 @@
 	v.state = New(config, restored, s.now)
 }
 
-// crash loses the writes that are not synced, except for the first ones in number written, which
-// reached the disk though their sync was never reported.
+// crash loses the writes that are not synced. The given number of them reached the disk, although
+// their sync was never reported; these are kept.
 func (s *sim) crash(v *vm, written int) {
 	for _, p := range v.pending[:min(written, len(v.pending))] {
 		v.write(p)
--- a/internal/reducer/agreement/state.go
+++ b/internal/reducer/agreement/state.go
@@ -46,7 +46,8 @@
 	Hard   HardState
 	// Leader is the leader of the term, empty if unknown.
 	Leader string
-	// Members are those of the last EntryMembers in the log, committed or not, at MembersIndex.
+	// Members are the members in the last EntryMembers of the log, committed or not, at
+	// MembersIndex.
 	Members      []message.Member
 	MembersIndex uint64
 	// Synced is the last index that is durable here, Commit the last that is known to be
--- a/internal/reducer/agreement/transfer.go
+++ b/internal/reducer/agreement/transfer.go
@@ -28,8 +28,8 @@
 	return best
 }
 
-// continueTransfer asks the successor to stand for election once it has synced all entries and
-// none waits to be applied here, and steps down.
+// continueTransfer asks the successor to stand for election and steps down, once the successor has
+// synced all entries and this member has passed them to its state machine.
 //
 // The election of the successor does not wait for the lease, so the leader must not keep
 // answering as leader after the request.
