--- a/internal/reducer/member/main_test.go
+++ b/internal/reducer/member/main_test.go
@@ -14,5 +14,5 @@
 			panic(err)
 		}
 	}
-	os.Exit(m.Run()) // which parses the command line
+	os.Exit(m.Run()) // Run parses the command line
 }
--- a/internal/reducer/member/state.go
+++ b/internal/reducer/member/state.go
@@ -227,7 +227,8 @@
 
 // expireLeases ends the leases that were not renewed. If more than half expire at once, this
 // control VM is probably cut off from healthy servers. These get one more lease, during which a
-// leader that is cut off from its quorum too is deposed.
+// leader that is cut off from its quorum too is deposed. Within ten lease times this happens at
+// most once.
 func (s *State) expireLeases(at time.Time) []Effect {
 	var expired []string
 	valid := 0
--- a/internal/reducer/recovery/recovery.go
+++ b/internal/reducer/recovery/recovery.go
@@ -1,8 +1,8 @@
-// Package recovery implements the reducer that determines the outcome of requests
-// whose outcome is lost. It runs on the leading control VM, because that VM holds all
-// records and there is only one at a time: entries start and stop, and each would have
-// to learn of the records that others left behind. The reducer is pure: it uses no
-// clock, socket or unseeded randomness.
+// Package recovery implements the reducer that determines the outcome of requests whose outcome is
+// lost. It runs on the leading control VM, because that VM holds all records and there is only one
+// at a time. The entry processes, which carry requests, start and stop; each would have to learn of
+// the records that others left behind. The reducer is pure: it uses no clock, socket or unseeded
+// randomness.
 //
 // It never runs a request again. It sends status queries at growing intervals, and
 // resolves a record only from an answer that proves the outcome: the response of the
@@ -30,7 +30,8 @@
 	defaultInFlight     = 16
 )
 
-// Limits of the HTTP status codes that prove an outcome: those of success.
+// Bounds of the HTTP status codes that prove an outcome, those of success: statusOK is the first
+// such code, statusLimit the first one beyond.
 const (
 	statusOK    = 200
 	statusLimit = 300
