--- a/internal/reducer/quarantine/answered.go
+++ b/internal/reducer/quarantine/answered.go
@@ -6,8 +6,8 @@
 	// answeredFor is for how long after an answer to a request a server's crash is not
 	// attributed to that request. A request that many callers send, such as a list that all
 	// of them read, is in progress at every server that crashes for any reason, and is
-	// answered many times a minute. A request that begins to crash servers because their
-	// program was replaced is quarantined that much later.
+	// answered many times a minute. A request that begins to crash servers because the
+	// servers' program was replaced is quarantined that much later.
 	answeredFor = time.Minute
 	// answeredSlots bounds the memory to 64 KB: it is enough for the answers of one minute
 	// at 60 requests a second, with some reserve.
--- a/internal/reducer/quarantine/script_test.go
+++ b/internal/reducer/quarantine/script_test.go
@@ -120,8 +120,9 @@
 	return strings.Join(words, " ")
 }
 
-// Guards against unbounded memory after a failure domain is lost and thousands of requests are
-// reported. Requests under which several servers crashed are kept in preference to others.
+// TestReportsAreBounded guards against unbounded memory after a failure domain is lost and
+// thousands of requests are reported. Requests under which several servers crashed are kept in
+// preference to others.
 func TestReportsAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := New(Config{TrackAnswers: true})
@@ -141,8 +142,8 @@
 	is.Equal(len(s.requests[1].reports), maxReports)
 }
 
-// Processes that receive the same reports have the same state, whatever the order and however
-// often they receive them.
+// TestOrderOfReportsDoesNotMatter checks that processes that receive the same reports have the same
+// state, whatever the order and however often they receive them.
 func TestOrderOfReportsDoesNotMatter(t *testing.T) {
 	is := is.New(t)
 	var reports []message.CrashReport
--- a/internal/reducer/quarantine/state.go
+++ b/internal/reducer/quarantine/state.go
@@ -54,7 +54,7 @@
 // Config sets up a State.
 type Config struct {
 	// MinReports is the number of reports of a request from which on they are sent to other
-	// processes. Forwarders send every report. Control VMs, which send to all forwarders,
+	// processes; zero means 1. Forwarders send every report. Control VMs, which send to all forwarders,
 	// wait for Limit reports: the loss of a failure domain causes thousands of reports, and
 	// hardly any is followed by a second one of the same request.
 	MinReports int
--- a/internal/reducer/quota/comparison_test.go
+++ b/internal/reducer/quota/comparison_test.go
@@ -189,11 +189,11 @@
 	return result
 }
 
-// Compares three methods of counting quotas over 33 and 300 forwarders on the same requests. With
-// a fixed part of the quota at each forwarder, most requests within the quotas are refused. With
-// grants that each forwarder sends to the others half a second late, some of them are refused, and
-// the bound is exceeded while half of the forwarders are partitioned. With the leader's bucket,
-// neither happens.
+// TestCountingMethods compares three methods of counting quotas over 33 and 300 forwarders on the
+// same requests. With a fixed part of the quota at each forwarder, most requests within the quotas
+// are refused. With grants that each forwarder sends to the others half a second late, some of them
+// are refused, and the bound is exceeded while half of the forwarders are partitioned. With the
+// leader's bucket, neither happens.
 func TestCountingMethods(t *testing.T) {
 	for _, forwarders := range []int{33, 300} {
 		t.Run(fmt.Sprint(forwarders), func(t *testing.T) {
--- a/internal/reducer/quota/fleet_test.go
+++ b/internal/reducer/quota/fleet_test.go
@@ -163,10 +163,10 @@
 	return worst
 }
 
-// Guards against an organisation that is served beyond its quota. It requests several times
-// its quota while control VMs are killed and suspended and the leader changes; forwarders query
-// the leader, or another control VM that they believe to lead. One control VM does not know
-// what another one has granted.
+// TestQuotaHoldsOverTheFleet guards against an organisation that is served beyond its quota. It
+// requests several times its quota while control VMs are killed and suspended and the leader
+// changes; forwarders query the leader, or another control VM that they believe to lead. One
+// control VM does not know what another one has granted.
 func TestQuotaHoldsOverTheFleet(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -185,9 +185,10 @@
 	}
 }
 
-// Guards against refusals of callers below their quota after a restart. All control VMs are
-// killed and are up again within a second, while callers request half of the quota. Buckets
-// begin empty, and the reserves must last until the leader's buckets have filled.
+// TestCallersBelowTheirQuotaAreServed guards against refusals of callers below their quota after a
+// restart. All control VMs are killed and are up again within a second, while callers request half
+// of the quota. Buckets begin empty, and the reserves must last until the leader's buckets have
+// filled.
 func TestCallersBelowTheirQuotaAreServed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
--- a/internal/reducer/serverlimit/comparison_test.go
+++ b/internal/reducer/serverlimit/comparison_test.go
@@ -137,12 +137,12 @@
 	return result
 }
 
-// Compares three methods of enforcing a server's limit over 9, 33 and 300 forwarders on the same
-// requests. A fixed part at each forwarder stays unused until it suffices for one request, and then
-// each forwarder sends one. With sends that each forwarder reports to the others half a second
-// late, each forwarder makes up for requests that several sent at once; the more forwarders, the
-// more of the limit is unused. With the leader's count, all of the limit is used, for some requests
-// to the leader a second.
+// TestLimitingMethods compares three methods of enforcing a server's limit over 9, 33 and 300
+// forwarders on the same requests. A fixed part at each forwarder stays unused until it suffices
+// for one request, and then each forwarder sends one. With sends that each forwarder reports to the
+// others half a second late, each forwarder makes up for requests that several sent at once; the
+// more forwarders, the more of the limit is unused. With the leader's count, all of the limit is
+// used, for some requests to the leader a second.
 func TestLimitingMethods(t *testing.T) {
 	for _, forwarders := range []int{9, 33, 300} {
 		t.Run(fmt.Sprint(forwarders), func(t *testing.T) {
