--- a/internal/reducer/fleet/compare_test.go
+++ b/internal/reducer/fleet/compare_test.go
@@ -108,7 +108,8 @@
 	}
 }
 
-// BenchmarkOverload compares the product with the baseline at growing load.
+// BenchmarkOverload compares reserving decode memory, and round robin, with the baseline at growing
+// load.
 func BenchmarkOverload(b *testing.B) {
 	for _, site := range sites {
 		for _, scale := range []float64{0.8, 1, 1.2, 1.5, 2} {
--- a/internal/reducer/fleet/gate_test.go
+++ b/internal/reducer/fleet/gate_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// later runs a function after the time that the engine beside the sidecar takes to answer, unless
-// the server has crashed since.
+// later runs a function after the time that the sidecar's engine takes to answer, unless the
+// server has crashed since.
 func (g *simGate) later(run func()) {
 	epoch := g.epoch
 	g.fleet.after(time.Millisecond, func() {
--- a/internal/reducer/registry/address.go
+++ b/internal/reducer/registry/address.go
@@ -24,7 +24,7 @@
 // earlier instance. With ten control VMs, in nine cases of ten only a view that merges the reports
 // of all of them can detect that the earlier instance has ended. If the earlier instance were used
 // until it is silent, for five seconds, each crashed engine would cost a dozen prompts that are
-// read and then refused by the wrong instance: 289 prompts on a day on which a fifth of 180 engines
+// prefilled and then refused by the wrong instance: 289 prompts on a day on which a fifth of 180 engines
 // crashed twice.
 func (v *View) resolveAddress(address string) []message.BackendServer {
 	var changed []message.BackendServer
--- a/internal/reducer/registry/view_test.go
+++ b/internal/reducer/registry/view_test.go
@@ -10,9 +10,9 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// Applying every change of a view results in the same servers as merging all reports at once,
-// whatever control VMs report, in whatever order their sessions end, and whenever Changes is
-// called.
+// TestChangesAddUpToTheWhole checks that applying every change of a view results in the same
+// servers as merging all reports at once, whatever control VMs report, in whatever order their
+// sessions end, and whenever Changes is called.
 func TestChangesAddUpToTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := scriptStart
