--- a/internal/forwarder/backoff_test.go
+++ b/internal/forwarder/backoff_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// backoffFrom is the time since a server first requested a backoff period from which on no more
-	// than backoffFree requests may reach it until the period ends.
+	// backoffFrom is the time after a server's first request for a backoff period. From then until
+	// the period ends, no more than backoffFree requests may reach the server.
 	backoffFrom = 500 * time.Millisecond
 	backoffFree = 2
 )
@@ -55,10 +55,10 @@
 }
 
 // Guards against a server that refuses requests with a Retry-After header, and is sent more
-// requests than the servers that work. The server was avoided for a moment and then had the least
-// work of all, because its refusals were taken for a full queue and no kind of send read the
-// header: in the second after its first refusals it got the most requests. Callers whose request
-// may be sent to one server got its refusals.
+// requests than the servers that work. If its refusals were taken for a full queue and a kind of
+// send ignored the header, the server would be avoided for a moment and then have the least work of
+// all: in the second after its first refusals it would get the most requests. Callers whose request
+// may be sent to only one server would get its refusals.
 func TestBackoffHoldsForEverySend(t *testing.T) {
 	const period = 2 * time.Second
 	for _, kind := range append([]sendKind{reservations}, sendKinds...) {
--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -217,8 +217,8 @@
 }
 
 // recordNotSent records that a send was not made because its server has not yet read the requests
-// that it was sent before. Another server can be tried; after maxSkippedServers of them each
-// further one counts as a send.
+// that it was sent before. Another server can be tried. After maxSkippedServers such servers each
+// further one counts as a send, so that the request ends if all servers are like that.
 func (w *work) recordNotSent(reason oriolebend.Reason) {
 	w.declined = reason
 	if w.skipped++; w.skipped <= maxSkippedServers {
@@ -277,7 +277,7 @@
 const retryAfterRefusal = 100 * time.Millisecond
 
 // retryAfterBacklog is the retry delay for callers whose request is longer than servers can accept
-// now. A server that reads nothing is given up within a few seconds.
+// now. Requests to a server that reads nothing are given up within a few seconds.
 const retryAfterBacklog = time.Second
 
 // giveUpWithRetry answers a request that no server served. The caller may retry soon, or, if all
--- a/internal/forwarder/crash_test.go
+++ b/internal/forwarder/crash_test.go
@@ -42,8 +42,8 @@
 	time.Sleep(settle)
 }
 
-// Guards against logs that can't tell a server that crashed from a connection that broke. A line is
-// logged for the crash, and none for the broken connection.
+// Guards against logs that do not distinguish a server that crashed from a connection that broke. A
+// line is logged for the crash, and none for the broken connection.
 func TestCrashedServerIsLogged(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/internal/forwarder/dialect.go
+++ b/internal/forwarder/dialect.go
@@ -42,7 +42,7 @@
 
 // RequestInfo holds what the headers of a caller's request state about it.
 type RequestInfo struct {
-	// ID names the request; each try of a caller has its own.
+	// ID identifies the request; each try of a caller has its own ID.
 	ID string
 	// Call is the same for all tries of a caller at one request, and differs between requests; zero
 	// means that the caller did not state it.
@@ -55,7 +55,7 @@
 	// Expected is the caller's estimate of the number of output tokens; zero means that there is
 	// none.
 	Expected int
-	// Resumes is set if the caller has a part of the answer already.
+	// Resumes is set if the caller already has a part of the answer.
 	Resumes bool
 	// Credential is the caller's credential.
 	Credential Credential
@@ -111,12 +111,12 @@
 	// others and reads their prompts again, which delays all its work. In peaks that happened to
 	// 3.5 in 100 generations with 1.5, and to 1.3 in 100 with 2.0.
 	localMargin = 2.0
-	// placedMargin is the same for a placement that was granted by the allocator, which knows all
-	// placements. The allocator grants no more than what the generations of an engine are expected
-	// to need, so that a generation that writes less leaves room for one that writes more. Reserved
-	// memory can't be shared like that: in peaks an engine preempted 6 in 100 generations with 1.0
-	// and 2 in 100 with 0.4. With 0.4 it also carried a tenth more than with 2.0 and without the
-	// allocator's limit.
+	// placedMargin is used in place of localMargin for a placement that was granted by the
+	// allocator, which knows all placements. The allocator grants no more than what the generations
+	// of an engine are expected to need, so that a generation that writes less leaves room for one
+	// that writes more. Reserved memory can't be shared like that: in peaks an engine preempted 6
+	// in 100 generations with 1.0 and 2 in 100 with 0.4. With 0.4 it also carried a tenth more than
+	// with 2.0 and without the allocator's limit.
 	placedMargin = 0.4
 )
 
@@ -158,7 +158,7 @@
 	Tokens int
 }
 
-// IdentityError is the error of a request without a unique name.
+// IdentityError is the error of a request without a valid ID, for example with several IDs.
 type IdentityError struct{ Detail string }
 
 // Error implements error.
--- a/internal/forwarder/fingerprint.go
+++ b/internal/forwarder/fingerprint.go
@@ -14,8 +14,8 @@
 // estimates differ from try to try.
 //
 // The fingerprint must include the organisation, and the hash must be collision-resistant.
-// Otherwise one caller could get the requests of others quarantined for what its own requests did
-// to servers.
+// Otherwise one caller could get the requests of others quarantined for server crashes that its own
+// requests caused.
 func fingerprintOf(r *http1.Request, organisation string) quarantine.Fingerprint {
 	hash := sha256.New()
 	for _, part := range []string{organisation, r.Method, r.Host, r.Target} {
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -310,7 +310,7 @@
 	is.Equal(strings.ReplaceAll(body, "\n", " "), "id: 1 data: 1  id: 2 data: 2  id: 3 data: 3  id: 4 data: 4  id: 5 data: 5  ")
 }
 
-// Guards against an incomplete plan that looks complete: if the server of a stream that may not be
+// Guards against an incomplete answer that looks complete: if the server of a stream that may not be
 // resumed crashes, the regular end of the answer must not be sent.
 func TestCutStreamLooksCut(t *testing.T) {
 	is := is.New(t)
@@ -324,8 +324,7 @@
 	is.True(strings.Contains(body, "data: 2"))
 }
 
-// Guards against an engine that works on for a caller that has closed its connection in the middle
-// of a stream.
+// Guards against an engine that continues a stream whose caller has closed its connection.
 func TestCallerThatLeavesIsCancelled(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 0)
@@ -400,8 +399,8 @@
 	return status, body
 }
 
-// The order of a generation: memory is reserved at its decode engine, then its prompt is read, then
-// it runs with both.
+// A generation first reserves memory at its decode engine, then has its prompt read, and then runs
+// with the reservation and the prefill result.
 func TestGenerationReservesBeforeItsPrefill(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10000)
@@ -415,8 +414,8 @@
 	is.Equal(decode.seen(), "POST /reservations; POST /reservations; POST /cut/ source reserved=h1")
 }
 
-// Guards against a stream that may not be repeated and fails although nothing of it ran. The
-// prefill result expires before its transfer: the same engine computes the prompt itself.
+// Guards against a stream that may not be repeated and fails although it did not run at all. The
+// prefill result expires before its transfer, so the same engine must read the prompt itself.
 func TestExpiredResultIsRecomputed(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10000)
@@ -430,9 +429,9 @@
 }
 
 // Guards against an engine that gets work long after its leaving was confirmed. A request has its
-// placement there; its prompt waits in the queue of a prefill engine for more than a second, while
-// the decode engine leaves. The request goes to another engine, and the reservation and the prefill
-// result are released.
+// placement there, and its prompt waits in the queue of a prefill engine for more than a second while
+// the decode engine leaves. The request must be sent to another engine, and the reservation and the
+// prefill result must be released.
 func TestEngineThatLeftDuringThePrefill(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10000)
--- a/internal/forwarder/identity_test.go
+++ b/internal/forwarder/identity_test.go
@@ -17,7 +17,7 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// callerSite is a site whose servers record for whom they run requests.
+// callerSite is a site whose servers record the organisation of each request that they run.
 type callerSite struct {
 	*site
 	mutex  sync.Mutex
@@ -196,7 +196,7 @@
 }
 
 // Guards against a caller's key in a log. Requests are refused for each possible reason and logged;
-// what the caller shows must not be logged with the rest of its request.
+// the caller's credential must not be logged with the rest of its request.
 func TestKeysAreNotLogged(t *testing.T) {
 	is := is.New(t)
 	s := newCallerSite(t)
--- a/internal/forwarder/inflight_bytes.go
+++ b/internal/forwarder/inflight_bytes.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// overloadBytes is the number of bytes of other requests at a server from which on they are as
+	// overloadBytes is the number of bytes of other requests at a server above which they are as
 	// likely to have crashed it as any single request.
 	overloadBytes = 1 << 20
-	// historyPeriod is how long the past load of a server is kept: requests of callers are shorter.
+	// historyPeriod is how long the past load of a server is kept. Callers' requests take less time.
 	historyPeriod = 30 * time.Second
 )
 
@@ -72,7 +72,7 @@
 	return true
 }
 
-// remove ends what add began.
+// remove uncounts a request that add counted.
 func (b *inflightBytes) remove(address string, n int64) {
 	if n == 0 {
 		return
@@ -131,7 +131,7 @@
 }
 
 // overloadedByOthers reports whether a server that crashed under this request had so many bytes of
-// other requests in flight that its crash proves nothing about this one.
+// other requests in flight that its crash proves nothing about this request.
 //
 // A server crashes if it can't hold the requests that it is sent. Otherwise a request that was in
 // flight during three such crashes would be quarantined and refused to all callers, although it
--- a/internal/forwarder/leaving_test.go
+++ b/internal/forwarder/leaving_test.go
@@ -11,8 +11,8 @@
 
 // Guards against a server that leaves and still gets requests until it exits, some of which it then
 // breaks off. The server reports its leaving in its answers; its announcement is late, or goes to a
-// control VM that is cut off. Before the forwarder read the header itself, such a server got
-// requests from every kind of send for as long as it ran.
+// control VM that is cut off. A forwarder that did not read the header itself would send such a
+// server requests of every kind for as long as it runs.
 func TestReportedLeavingHoldsForEverySend(t *testing.T) {
 	const (
 		// drain is how long a server that has reported its leaving continues to serve.
--- a/internal/forwarder/native_dialect.go
+++ b/internal/forwarder/native_dialect.go
@@ -36,10 +36,10 @@
 	credentialScheme   = "Bearer"
 )
 
-// routerHeaders are set by the router alone.
+// routerHeaders are the headers that only the router sets; they are removed from callers' requests.
 var routerHeaders = []string{headerInstance, headerPhase, headerSource, headerHold}
 
-// NativeDialect is the router's own dialect. A request that its caller did not name has no name.
+// NativeDialect is the router's own dialect. In it, callers may leave out the ID of a request.
 type NativeDialect struct{}
 
 var _ Dialect = NativeDialect{}
--- a/internal/forwarder/placement_test.go
+++ b/internal/forwarder/placement_test.go
@@ -41,10 +41,10 @@
 	o.ended = append(o.ended, e.Outcome)
 }
 
-// Guards against prompts that are read in vain, 489 in one day, with the reason "server left while
-// the prompt was read". The control VMs are partitioned; engines report their leaving to one side,
-// while the other side goes on granting placements there. Forwarders, which receive reports from both sides,
-// used such placements. They must release them before any prompt is read, and report the reason.
+// Guards against prompts that are read for a decode engine that has left, 489 in one day. The control
+// VMs are partitioned; engines report their leaving to one side, while the other side goes on
+// granting placements there. Forwarders receive reports from both sides: they must release such
+// placements before any prompt is read, and report the reason.
 func TestPlacementAtALeavingEngineIsReleased(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10000)
@@ -104,7 +104,7 @@
 // Guards against placements that are rejected in the second after a restart of the whole site. The
 // leader already knows an engine that the forwarder has not learned of yet. If the forwarder took
 // an unknown engine for one that has left, each request would ask for a placement four times and
-// then be placed by a forwarder that knows a quarter of the engines.
+// then be placed by the forwarder itself, which knows a quarter of the engines.
 func TestPlacementAtAnUnknownEngineIsAccepted(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10000)
--- a/internal/forwarder/reserve.go
+++ b/internal/forwarder/reserve.go
@@ -32,9 +32,9 @@
 	cleanupTimeout = time.Second
 )
 
-// reserve finds a placement for a stream and reserves memory at its decode engine before a prefill
-// is paid for, so that no prefill result is computed in vain. While no engine has memory, the
-// request waits.
+// reserve finds a placement for a stream and reserves memory at its decode engine. It does so before
+// the prefill, so that no prefill result is computed for which there is no memory. While no engine
+// has memory, the request waits.
 func (w *work) reserve(ctx context.Context) (*streamSend, *refusal) {
 	waited := false
 	for {
--- a/internal/forwarder/retry_detector.go
+++ b/internal/forwarder/retry_detector.go
@@ -17,7 +17,7 @@
 	maxTrackedRoutes = 4096
 	// retryShare is the share of the longest time of a route's callers below which a request is
 	// taken for a retry. The times of first tries differ by 15 in 100, and callers that were refused
-	// come back after a fifth of their time or more.
+	// retry after a fifth of their time or more.
 	retryShare = 0.8
 )
 
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -76,7 +76,8 @@
 	retryAfter time.Duration
 }
 
-// run carries out one send.
+// run makes one send: it requests the prefill, checks that the request may still be sent to the
+// decode engine, and sends it.
 func (s *streamSend) run(ctx context.Context) streamResult {
 	s.placed = time.Since(s.request.Received)
 	if left, held := s.f.config.Quarantine.Quarantined(s.fingerprint); held {
@@ -138,7 +139,7 @@
 }
 
 // mayRepeat reports whether the request may be sent to the same server once more. It acquires a new
-// permission if one is needed, since that of the previous send is used up.
+// permission if one is needed, since the previous send has used up the earlier one.
 func (s *streamSend) mayRepeat(ctx context.Context) bool {
 	delete(s.permissions, s.grant.Server.Start())
 	return s.acquirePermission(ctx, s.permissions, s.grant.Server) && s.f.mayResend(s.grant)
--- a/internal/forwarder/work.go
+++ b/internal/forwarder/work.go
@@ -54,8 +54,8 @@
 	// skipped counts the servers that the request could not be sent to because they read too
 	// slowly.
 	skipped int
-	// prefills counts the prefills that were requested in vain, before a send that was not made. A
-	// second one counts as a repeat.
+	// prefills counts the prefills whose result was not used, because the send after them was not
+	// made. After the first of them, each further placement counts as a retry.
 	prefills int
 	// prompted is set once a prefill engine was asked to read the prompt.
 	prompted bool
@@ -196,8 +196,8 @@
 	w.respond(status, http.Header{}, reason, oriolebend.RanNo)
 }
 
-// giveUp answers a request that got no answer from a server: as not run if that is certain, else as
-// failed, which promises nothing.
+// giveUp answers a request that got no answer from a server: as not run if that is certain, otherwise
+// as failed, which leaves open whether it ran.
 func (w *work) giveUp(ctx context.Context, reason oriolebend.Reason, after time.Duration) {
 	if w.answer.Begun() {
 		w.log(0, reason, w.ran) // the connection is closed, so that the answer can't look complete
--- a/internal/placements/client.go
+++ b/internal/placements/client.go
@@ -23,8 +23,8 @@
 	leaderConfirmations = 2
 	// openTimeout bounds the opening of a session.
 	openTimeout = time.Second
-	// answerMargin is how long after the end of its wait the answer to a placement request is still
-	// awaited; then the leader counts as unreachable.
+	// answerMargin is how much longer than a placement request may wait its answer is awaited. After
+	// that the forwarder chooses engines itself.
 	answerMargin = 300 * time.Millisecond
 	// probeAfter is how long the session may be quiet before a probe is sent, and probeTimeout how
 	// long the answer to the probe may take.
@@ -59,7 +59,7 @@
 
 var _ forwarder.Places = (*Client)(nil)
 
-// heldPlacement is a placement in use, and the time since when it is used.
+// heldPlacement is a placement in use, and the time at which its use began.
 type heldPlacement struct {
 	message.PlacementRequest
 	since time.Time
@@ -83,7 +83,7 @@
 	}
 }
 
-// awaitNewLeader returns once another control VM than the one at the address has led for a moment.
+// awaitNewLeader returns once a control VM other than the one at the address has led for a moment.
 // A leader that is frozen or cut off does not end its sessions: requests sent to it would wait for
 // an answer until their callers give up.
 func (c *Client) awaitNewLeader(ctx context.Context, address string) {
@@ -227,8 +227,8 @@
 	}
 }
 
-// isLeaderUnresponsive reports whether the control VM that grants placements is unresponsive, and sends it a
-// probe if nothing was received for a while.
+// isLeaderUnresponsive reports whether the control VM that grants placements is unresponsive, and
+// sends it a probe if nothing was received for a while.
 //
 // A request may wait for its placement while memory is short, so that a missing answer to one
 // request proves little. A control VM that hangs ends no session, and another one leads only after
--- a/internal/placements/placements_test.go
+++ b/internal/placements/placements_test.go
@@ -63,7 +63,7 @@
 // lead makes the control VM with an address the leader; an empty address means that there is none.
 func (s *placeSite) lead(address string) { s.leader.Store(&address) }
 
-// freeze makes a control VM believe for good that it leads.
+// freeze makes a control VM believe that it leads, until the end of the test.
 func (s *placeSite) freeze(name string) { s.frozen.Store(&name) }
 
 // view returns the leader that a control VM knows.
