--- a/internal/role/answer_log.go
+++ b/internal/role/answer_log.go
@@ -21,8 +21,9 @@
 	mu sync.Mutex
 	// currentID is the id under which this entry runs the request.
 	currentID string
-	// readers is the number of callers that read the answer. The request is
-	// cancelled when the last one disconnects before the end of the answer.
+	// readers is the number of callers that read the answer. When the last one
+	// disconnects before the end of the answer, the request is cancelled unless
+	// keepRunning is true.
 	readers int
 	chunks  []caller.Chunk
 	changed chan struct{}
--- a/internal/role/crashing_test.go
+++ b/internal/role/crashing_test.go
@@ -174,8 +174,8 @@
 // crashingLoad sends the request that crashes servers to one forwarder after the other,
 // together with different requests of other callers.
 type crashingLoad struct {
-	// answered and lost count the requests of other callers, refusedLong those of them
-	// that were refused for longer than a server takes to start again.
+	// answered, lost and refusedLong count the requests of other callers. refusedLong
+	// counts refusals with a Retry-After of more than a second: a server restarts sooner.
 	answered, lost, refusedLong atomic.Int32
 }
 
@@ -236,19 +236,19 @@
 }
 
 // Guards against one request that crashes ten model servers within ten seconds, each with
-// all its work, while nothing else is wrong with the site. The request crashes each server
+// all its work, on an otherwise healthy site. The request crashes each server
 // that begins to run it, and its forwarder only sees a lost server. The caller sends the
 // request again with another id to another forwarder. If each forwarder remembered crashes
-// only for one attempt, no forwarder would find the request. It can be found: at each crash
-// the same method, path and body was the only work that the server had not begun to answer,
-// and no server without it crashed.
+// only for one attempt, none would identify the request. The request can be identified: at
+// each crash its method, path and body were the only work that the server had not begun to
+// answer, and no server without it crashed.
 func TestRequestThatCrashesServers(t *testing.T) {
 	_, fleet, forwarders := startCrashSite(t, 4)
 	checkCrashes(t, fleet, forwarders)
 }
 
-// The same while no control VM runs: the crash reports of one forwarder must reach the
-// others directly.
+// Guards against the same failure while no control VM runs: the crash reports of one
+// forwarder must reach the others directly.
 func TestRequestThatCrashesServersWithoutControl(t *testing.T) {
 	s, fleet, forwarders := startCrashSite(t, 4)
 	for _, ip := range seededControls {
--- a/internal/role/dispatch.go
+++ b/internal/role/dispatch.go
@@ -18,7 +18,8 @@
 	Observer Observer
 }
 
-// Serve is a peer.Handler.
+// Serve is the peer.Handler of a process. It refuses a session whose kind the role of
+// the peer may not open or this process does not serve.
 func (d Dispatch) Serve(ctx context.Context, s peer.Stream) {
 	first, err := s.Receive()
 	if err != nil {
--- a/internal/role/entry_follow.go
+++ b/internal/role/entry_follow.go
@@ -58,7 +58,7 @@
 }
 
 // resubmit takes over a request whose owner has crashed and runs it at this entry. The
-// request gets a new id, because the record keeps the outcome of the previous one under its id.
+// request gets a new id, because the record keeps the first outcome under the old id.
 func (e *Entry) resubmit(requestID string, log *answerLog) {
 	r := log.request
 	r.ID = uuid.Must(uuid.NewV7()).String()
@@ -152,8 +152,8 @@
 }
 
 // read passes every chunk of an answer to put; it reports false if ctx ended first.
-// The last reader that disconnects before the end cancels the request, because no
-// caller is left to receive its answer.
+// When the last reader disconnects before the end, no caller is left to receive the
+// answer, and the request is cancelled unless it continues without readers.
 func (e *Entry) read(ctx context.Context, log *answerLog, put func(caller.Chunk)) bool {
 	log.addReader()
 	complete := readLog(ctx, log, put)
--- a/internal/role/entry_follow_test.go
+++ b/internal/role/entry_follow_test.go
@@ -24,7 +24,7 @@
 // runs the call crashes, and the caller sends it again to another entry, which learns who
 // claimed it and follows it. The owner is unreachable, and no control VM leads, so the
 // record can't be read. The "not run" of the query for the record must not be returned as
-// that of the call.
+// the outcome of the call.
 func TestUnreadableRecordLeavesTheOutcomeUnknown(t *testing.T) {
 	is := is.New(t)
 	e := &Entry{config: EntryConfig{Records: unreachableRecords{}}, answers: map[string]*answerLog{}}
--- a/internal/role/entry_process.go
+++ b/internal/role/entry_process.go
@@ -137,9 +137,9 @@
 // Ready reports whether the entry can route requests.
 func (p *EntryProcess) Ready() bool { return p.entry.Ready() }
 
-// Stop ends the entry gracefully. It first waits until the load balancer has removed
-// the entry, then until the requests in progress have ended, and then closes the
-// ports. It returns an error if ctx ends first.
+// Stop ends the entry gracefully. It refuses new requests and waits until the requests
+// in progress have ended. It then waits until the load balancer has removed the entry,
+// and closes the ports. It returns an error if ctx ends first.
 func (p *EntryProcess) Stop(ctx context.Context) error {
 	delay := p.process.Settings.Caller.StopDelay.Or(defaultStopDelay)
 	drained := p.entry.Stop(ctx)
--- a/internal/role/failure_control_test.go
+++ b/internal/role/failure_control_test.go
@@ -185,7 +185,8 @@
 	behind := (c.leader() + 1) % 3
 	stopped := c.Controls[behind]
 	c.must(stopped.Kill())
-	// Orders are sent only to the leader, as the others forward each with a delay.
+	// Orders are sent only to the leader, as the other control VMs would redirect each of
+	// them, which takes time.
 	operator := client.New(client.Config{Addresses: []string{"http://" + c.Controls[c.leader()].OperatorAddress()}})
 	var revision uint64
 	for n := range 300 {
--- a/internal/role/failure_engine_test.go
+++ b/internal/role/failure_engine_test.go
@@ -126,7 +126,7 @@
 	c.waitUntilIdle()
 }
 
-// Guards against a gate that refuses all work for ever although its engine is healthy.
+// Guards against a gate that refuses all work permanently although its engine is healthy.
 // One answer to a query for the engine's work is lost. If the gate treated the engine as
 // lost, the engine watch, which saw no failure, would never report its recovery.
 func TestLostWorkListDoesNotEndTheEngine(t *testing.T) {
--- a/internal/role/failures_page_test.go
+++ b/internal/role/failures_page_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a docs/FAILURES.md that names a test that does not exist or that hides
-// an open cell.
+// Guards against a docs/FAILURES.md with a cell that names a missing test, a cell without
+// a test or a reason, or a wrong count of open cells.
 func TestFailuresPage(t *testing.T) {
 	is := is.New(t)
 	root := filepath.Join("..", "..")
--- a/internal/role/joiner.go
+++ b/internal/role/joiner.go
@@ -25,14 +25,14 @@
 	// joinTimeout bounds one request to join, to add a member or to remove one.
 	joinTimeout = 2 * time.Second
 	// removeAfter is how long a member may be unreachable before the leader
-	// removes it from a group that is large enough without it. It is several
+	// removes it from a group that is large enough without it. The time is several
 	// times as long as a restart and longer than a partition of a few seconds. A
 	// member that returns later requests to join again.
 	removeAfter = 8 * time.Second
 	// removeReplacedAfter applies in place of removeAfter while a VM that joined a
 	// short time ago replaces a lost one. Until the lost VM is removed it counts towards the
-	// quorum, and the next loss would leave the group without one. It is longer
-	// than a restart takes.
+	// quorum, and the next loss would leave the group without one. The time is
+	// longer than a restart takes.
 	removeReplacedAfter = 2500 * time.Millisecond
 	// replacementWindow is how long after a join an unreachable member counts as
 	// replaced.
@@ -47,7 +47,7 @@
 // that stay unreachable.
 //
 // Otherwise a VM that is replaced by an empty one at another address would count
-// as a missing member for ever, and the next loss would leave no quorum.
+// as a missing member permanently, and the next loss would leave no quorum.
 type Joiner struct {
 	Self    message.Member
 	Seeds   []string
--- a/internal/role/limited_test.go
+++ b/internal/role/limited_test.go
@@ -47,7 +47,7 @@
 
 	mutex sync.Mutex
 	// limit is the limit that the server reports, empty if it reports none; limitedSince
-	// is since when.
+	// is when the limit was set.
 	limit        string
 	limitedSince time.Time
 	// firstAnswers holds when the server first reported its limit to each forwarder.
@@ -234,8 +234,8 @@
 }
 
 // Guards against a server that reports a limit in requests per second but still receives
-// several times as many. Two of four servers report a limit in their answers, which six
-// forwarders pass on. If no forwarder read these headers, each would send as before. The
+// several times as many. Two of four servers report a limit in their answers to six
+// forwarders. A forwarder that did not read these headers would send as before. The
 // limit holds for all forwarders together, while each knows only its own sends.
 func TestServerThatNamesALimit(t *testing.T) {
 	is := is.New(t)
--- a/internal/role/memory.go
+++ b/internal/role/memory.go
@@ -21,8 +21,8 @@
 )
 
 // BoundMemory sets the garbage collector's limits well below the memory that the process
-// was given, because a VM ends a process that exceeds it. Without memoryMB it changes
-// nothing.
+// was given, because a process that exceeds that memory is killed. Without memoryMB it
+// changes nothing.
 func BoundMemory(n settings.Node) {
 	if n.MemoryMB == 0 {
 		return
--- a/internal/role/rollout_test.go
+++ b/internal/role/rollout_test.go
@@ -18,7 +18,7 @@
 // Guards against a rollout that stops after the first server, which appears to have no
 // model loaded. A pool is declared at its current version, then at the next one, and its
 // servers change in turn. The models that an engine has loaded after an order must be
-// announced at once, not only with the next change of the gate's state.
+// announced immediately, not only with the next change of the gate's state.
 func TestRolloutReachesEveryServer(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/internal/role/routes_test.go
+++ b/internal/role/routes_test.go
@@ -92,7 +92,7 @@
 	return c
 }
 
-// controls lists the running control VMs.
+// controls lists the processes of the running control VMs.
 func (s *routeSite) controls() []*ControlProcess {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
