--- a/internal/memorybudget/account_test.go
+++ b/internal/memorybudget/account_test.go
@@ -47,7 +47,7 @@
 	is.Equal(a.Refused(Request), uint64(1))
 }
 
-// Guards against bytes that are never released or are released twice, in whatever way bodies end.
+// Guards against bytes that are never released or are released twice, however a body ends.
 func TestEverythingComesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := New(Config{Limit: mega})
--- a/internal/memorybudget/read.go
+++ b/internal/memorybudget/read.go
@@ -143,7 +143,7 @@
 	return n, err
 }
 
-// PeerOf returns the IP of an address, by which the held bytes of a peer are counted.
+// PeerOf returns the IP of an address; the held bytes of a peer are counted under its IP.
 func PeerOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -30,7 +30,7 @@
 type Config struct {
 	// SendsRequests is set in processes that send requests to servers. These receive answers,
 	// report every crash, and log the requests that they quarantine. Other processes only pass
-	// on reports of requests under which several servers crashed.
+	// on the reports of requests under which several servers crashed.
 	SendsRequests bool
 	// SendReports sends reports to other processes; it must not block. If it is nil, reports
 	// are not sent.
@@ -59,7 +59,8 @@
 	return &Store{config: c, start: now, state: quarantine.New(state), ticked: now}
 }
 
-// now returns a time of the monotonic clock: the time of day can jump, and a quarantine must not.
+// now returns the time of the start plus the monotonic time since then: the wall clock can jump, and
+// the end of a quarantine must not jump with it.
 func (s *Store) now() time.Time { return s.start.Add(time.Since(s.start)) }
 
 // maxSpread is the largest share by which quarantines are longer in one process than in another.
@@ -95,7 +96,8 @@
 	return s.state.Quarantined(s.now(), fingerprint)
 }
 
-// Reports lists all reports that were sent so far, for a process that was just discovered.
+// Reports lists the reports that were sent so far and are still kept, for a process that was just
+// discovered.
 func (s *Store) Reports() []message.CrashReport {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -90,7 +90,7 @@
 	return c
 }
 
-// take takes a cost, and returns the control VM that granted it, the reason if none did, and how
+// take requests a cost, and returns the control VM that granted it, the reason if none did, and how
 // long that took.
 func take(t *testing.T, c *Client, cost float64) (keeper string, reason oriolebend.Reason, took time.Duration) {
 	t.Helper()
--- a/internal/serverlimit/client.go
+++ b/internal/serverlimit/client.go
@@ -15,8 +15,8 @@
 	// requestTimeout bounds one request to the leader. Calls that must be answered within a tenth
 	// of a second wait for it.
 	requestTimeout = 100 * time.Millisecond
-	// unreachableFor is for how long the leader is not queried after it did not answer: each
-	// query delays a call by requestTimeout.
+	// unreachableFor is for how long the leader is not queried after it did not answer or did not
+	// count: each query may delay a call by requestTimeout.
 	unreachableFor = time.Second
 )
 
@@ -28,8 +28,8 @@
 	Logger *slog.Logger
 
 	mutex sync.Mutex
-	// unreachable is the address of the control VM that did not answer last, and unreachableUntil
-	// until when it is not queried.
+	// unreachable is the address of the control VM that last failed to answer or to count, and
+	// unreachableUntil is the time until which it is not queried.
 	unreachableUntil time.Time
 	unreachable      string
 	requests         peer.RequestClient[message.LimitAsk, message.LimitAnswer]
@@ -88,8 +88,8 @@
 	return time.Until(c.unreachableUntil)
 }
 
-// markUnreachable records that a control VM did not answer, and returns for how long it is not
-// queried.
+// markUnreachable records that a control VM did not answer or did not count, and returns for how long
+// it is not queried.
 func (c *Client) markUnreachable(leader string) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
