--- a/internal/forwarder/dialect.go
+++ b/internal/forwarder/dialect.go
@@ -63,7 +63,7 @@
 
 // Credential is the key that a caller shows. It must not be logged.
 type Credential struct {
-	// Key is empty if the request has no key, or not exactly one that can be parsed.
+	// Key is empty unless the request has exactly one key that can be parsed.
 	Key string
 }
 
--- a/internal/forwarder/held_test.go
+++ b/internal/forwarder/held_test.go
@@ -100,7 +100,7 @@
 	began := time.Now()
 	is.True(c.add("server", overloadBytes))
 	is.Equal(c.maxOthers("server", began, overloadBytes), int64(0)) // alone, it is to blame
-	is.Equal(c.maxOthers("server", began, 0), int64(overloadBytes)) // a short request at the same time is not
+	is.Equal(c.maxOthers("server", began, 0), int64(overloadBytes)) // a short request at the same time is not to blame
 	is.True(c.add("server", overloadBytes))
 	c.remove("server", overloadBytes) // both fail, one after the other
 	is.Equal(c.maxOthers("server", began, overloadBytes), int64(overloadBytes))
--- a/internal/forwarder/notice_test.go
+++ b/internal/forwarder/notice_test.go
@@ -55,7 +55,7 @@
 	return strings.Join(words, " ") + "\n"
 }
 
-// Whatever a server sends, a parsed limit is a finite number, and a backoff period is bounded.
+// For any header of a server, a parsed limit is a finite number, and a backoff period is bounded.
 func FuzzNotice(f *testing.F) {
 	for _, text := range []string{"1.5", "0", "-1", "1e400", "NaN", "99999999999999999999999999", "1,2", ""} {
 		f.Add(text, text, text)
--- a/internal/forwarder/quota.go
+++ b/internal/forwarder/quota.go
@@ -25,7 +25,8 @@
 	Cost float64
 	// Call is the same for all tries of a caller at one request.
 	Call uint64
-	// Late is set if the caller was refused before, and has missed its target.
+	// Late is set if the caller was probably refused before and has no part of the answer; its
+	// target then counts as missed.
 	Late bool
 	// CountedBy is the control VM that counted the charge, set by Take.
 	CountedBy string
@@ -84,7 +85,8 @@
 }
 
 // refund returns the charge of a request that did not run, since its caller got nothing for it. A
-// request whose prompt was read is not refunded: it has cost an engine as much as one that ran.
+// request that was sent to a prefill engine is not refunded: reading its prompt costs the engine as
+// much as for a request that runs.
 func (w *work) refund() {
 	if w.charged.Cost > 0 && !w.prompted {
 		w.f.config.Quotas.Return(w.charged)
--- a/internal/memorybudget/account.go
+++ b/internal/memorybudget/account.go
@@ -42,7 +42,7 @@
 	// Limit bounds the sum of all held bytes; zero means no bound.
 	Limit int64
 	// PeerShare is the share of the limit that may be held for one peer; zero means
-	// DefaultPeerShare.
+	// DefaultPeerShare. Small bodies are not refused because of it.
 	PeerShare float64
 	// SmallShare is the share of the limit that only small bodies may use; zero means
 	// DefaultSmallShare.
--- a/internal/role/announcer.go
+++ b/internal/role/announcer.go
@@ -58,7 +58,7 @@
 	a.permits = mailbox.New[permitRequest]()
 }
 
-// SetServer announces the server's state at once and renews it from then on.
+// SetServer announces the server's state immediately and renews it from then on.
 func (a *Announcer) SetServer(s oriolebend.Server) {
 	a.update(func(m *message.Announce) { m.Server = s }, true)
 }
@@ -68,8 +68,8 @@
 	a.update(func(m *message.Announce) { m.Reached = revision }, false)
 }
 
-// SetProgress announces at once how far the server has applied what is declared
-// for it.
+// SetProgress announces immediately how far the server has applied its declared
+// state.
 func (a *Announcer) SetProgress(p message.Progress, detail string) {
 	a.update(func(m *message.Announce) { m.Progress, m.Detail = p, detail }, true)
 }
--- a/internal/role/dev.go
+++ b/internal/role/dev.go
@@ -32,8 +32,8 @@
 	devStopDelay = time.Millisecond
 )
 
-// Dev runs all roles and the stand-ins for backend servers in one process. They
-// communicate over real sockets on loopback.
+// Dev runs control VMs, sidecars, entries and the stand-ins for backend servers in
+// one process. They communicate over real sockets on loopback.
 type Dev struct {
 	settings  settings.Settings
 	logger    *slog.Logger
--- a/internal/role/doc.go
+++ b/internal/role/doc.go
@@ -1,5 +1,5 @@
 // Package role runs the roles of the program for packages cli and platform: it connects
-// each role's reducer to the network, the disk and the clock. A role owns one loop that
-// reduces the role's events one at a time. Goroutines perform the effects and post their
-// outcome back to the loop as events.
+// each role's reducer to the network, the disk and the clock. Entry, Sidecar and
+// MemberLeader each own a Loop that reduces their events one at a time. Goroutines perform
+// the effects and post their outcome back to the loop as events.
 package role
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -210,7 +210,7 @@
 
 // dropAnswer drops an answer without readers, unless its request continues. A
 // reader that found the answer just before receives a problem; otherwise it would
-// wait until its deadline.
+// wait until its own caller disconnects.
 func (e *Entry) dropAnswer(requestID string, log *answerLog) {
 	if log.keepRunning {
 		return
--- a/internal/role/entry_follow_test.go
+++ b/internal/role/entry_follow_test.go
@@ -21,8 +21,8 @@
 }
 
 // Guards against a caller that receives "not run" for a call that ran. The entry that
-// runs the call crashes, and the caller sends it again to another entry, which learns who
-// claimed it and follows it. The owner is unreachable, and no control VM leads, so the
+// runs the call crashes, and the caller sends it again to another entry, which learns the
+// call's owner and follows it. The owner is unreachable, and no control VM leads, so the
 // record can't be read. The "not run" of the query for the record must not be returned as
 // the outcome of the call.
 func TestUnreadableRecordLeavesTheOutcomeUnknown(t *testing.T) {
--- a/internal/role/process.go
+++ b/internal/role/process.go
@@ -111,7 +111,7 @@
 	return seeds
 }
 
-// self is the name of this control VM among the members.
+// self returns the name of this control VM among the members.
 func (p Process) self() string { return MemberName(p.Settings) }
 
 // MemberName returns the name under which the control VMs know a process with
--- a/internal/role/relay_process.go
+++ b/internal/role/relay_process.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// Leads is always false.
+// Leads returns false, as a relay never leads.
 func (r *RelayProcess) Leads() bool { return false }
 
 // LeaderIP returns the IP of the control VM that leads, empty if none is known.
