--- a/internal/placements/allocator.go
+++ b/internal/placements/allocator.go
@@ -22,7 +22,7 @@
 
 const (
 	// tickInterval is how often waiting requests are reconsidered: an engine that was found full is
-	// tried again after a tenth of a second.
+	// tried again half a second later, or earlier if work ends there.
 	tickInterval = 50 * time.Millisecond
 	// summaryInterval is how often a summary is logged while placements are short.
 	summaryInterval = time.Second
--- a/internal/role/answer_log_test.go
+++ b/internal/role/answer_log_test.go
@@ -10,8 +10,8 @@
 )
 
 // Guards against a retry with the same key that receives only the end of the
-// answer: a second caller attaches while the first one reads, and both would share
-// one queue. Each reader must get every chunk in order.
+// answer, as it would if a second caller that attaches while the first one reads
+// shared a queue with it. Each reader must get every chunk in order.
 func TestAnswerLogReadersGetAllChunks(t *testing.T) {
 	is := is.New(t)
 	a := newAnswerLog(entry.Request{})
