--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -292,7 +292,7 @@
 	})
 }
 
-// Guards against a running brief that is recorded as not run, so that its retry runs it a second
+// Guards against a running request that is recorded as not run, so that its retry runs it a second
 // time: the entry renews its claim while the quorum is lost, and the failed renewal is treated as
 // an abandoned claim.
 func TestFailedRenewalClosesNothing(t *testing.T) {
--- a/internal/disk/crash_test.go
+++ b/internal/disk/crash_test.go
@@ -190,7 +190,8 @@
 	p.open()
 }
 
-// randomChange returns a change whose save fails partway.
+// randomChange returns a random change for a save that may fail partway. Entries that the change
+// replaces are no longer expected.
 func (p *powerCutTest) randomChange() agreement.Persist {
 	if p.random.IntN(2) == 0 {
 		from := p.last() + 1 - p.random.Uint64N(p.last()-p.acknowledged.Snapshot.Index+1)
--- a/internal/replica/applier.go
+++ b/internal/replica/applier.go
@@ -172,8 +172,8 @@
 	group.Go(func() { a.save(snapshot) })
 }
 
-// save writes a snapshot. If that fails the log only stays longer; a disk that can't be written to
-// shows at the next write of the log.
+// save writes a snapshot. If that fails, the log only stays longer; the next write of the log
+// reports a disk that can't be written to.
 func (a *applier) save(s agreement.Snapshot) {
 	if err := a.store.SaveSnapshot(s); err != nil {
 		a.config.Logger.Error("snapshot not written", "index", s.Meta.Index, "error", err)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -28,8 +28,8 @@
 	callQueue     = 64
 )
 
-// logParts is the number of segments that make up the log before a snapshot is due. The tail that
-// is kept behind a snapshot may also hold one such part of the log.
+// logParts is the number of segments that make up the log before a snapshot is due. The tail of
+// entries that is kept before a snapshot is bounded by the same fraction of Config.SnapshotBytes.
 const logParts = 4
 
 // Replica is one running member. It implements control.Log.
--- a/internal/replica/run.go
+++ b/internal/replica/run.go
@@ -100,7 +100,7 @@
 const transferWaitTicks = 12
 
 // canStop reports whether a stopping member has no calls left and has transferred its leadership. A
-// former leader stays until it knows another one: the message that asks the successor to stand for
+// former leader stays until it knows another one: the message that asks the successor to start an
 // election could be lost if this process ended.
 func (r *Replica) canStop() bool {
 	if len(r.waiting) > 0 {
