--- a/internal/routewatch/feed.go
+++ b/internal/routewatch/feed.go
@@ -33,8 +33,8 @@
 	stream peer.Stream
 	// sentVersion is the highest routing version that was sent to the watcher.
 	sentVersion uint64
-	// behindSince is since when the watcher has had version behindAt while this control VM
-	// has a higher one; zero while it has none.
+	// behindSince is the time since which the watcher has had version behindAt while this
+	// control VM has a higher one; it is zero while the watcher has the highest.
 	behindSince time.Time
 	behindAt    uint64
 	// sent is the last update without its servers and routing, sentAt the time it was sent.
--- a/internal/routewatch/follower.go
+++ b/internal/routewatch/follower.go
@@ -72,7 +72,8 @@
 	ctx       context.Context
 	group     sync.WaitGroup
 	openings  openQueue
-	// first is the first link over which a session was opened.
+	// first is the link whose session counts as the first one, nil once that session has
+	// ended; see isFirst.
 	first *link
 }
 
--- a/internal/routewatch/open_queue.go
+++ b/internal/routewatch/open_queue.go
@@ -19,8 +19,8 @@
 	firstOpenLimit = 100 * time.Millisecond
 	openLimit      = 200 * time.Millisecond
 	// openDelayFactor times the duration of an opening, but at most maxOpenDelay, is the delay before
-	// the next opening. The delay is bounded because a forwarder receives what a control VM
-	// acknowledges only from the others until it watches that control VM.
+	// the next opening. The delay is bounded because a forwarder that does not watch a control VM
+	// yet receives the changes that this control VM acknowledges only from the other control VMs.
 	openDelayFactor = 4
 	maxOpenDelay    = 100 * time.Millisecond
 	// maxStartJitter bounds the random delay before the first opening. Meanwhile openings are
--- a/internal/routewatch/server.go
+++ b/internal/routewatch/server.go
@@ -152,7 +152,7 @@
 
 // RoleChanges stops forwarders from sending to a server that is about to be ordered to
 // change its role, and returns once they have acknowledged it. A server that changes its
-// role refuses requests that it has not begun. A prefill would be computed in vain if its
+// role refuses requests that it has not begun. The work of a prefill would be lost if its
 // decode server received such an order meanwhile.
 func (r *Server) RoleChanges(ctx context.Context, engine message.BackendServer, away time.Duration) error {
 	return r.awaitAcknowledged(ctx, r.reduceNumbered(registry.RoleChangeOrdered{
--- a/internal/routewatch/watch.go
+++ b/internal/routewatch/watch.go
@@ -11,7 +11,8 @@
 // watcher is one process that watches this control VM.
 type watcher struct {
 	node string
-	// address is set for control VMs: where they can be watched themselves.
+	// address is the address at which a control VM can be watched itself; it is empty for
+	// forwarders.
 	address string
 	// listen is the address at which other forwarders reach the forwarder.
 	listen string
@@ -19,7 +20,8 @@
 	observes bool
 	// alone is set if the process watched no other control VM when it began.
 	alone bool
-	// pending are the servers to send with the next update, number is that of the last one.
+	// pending are the servers to send with the next update, number is the number of the last
+	// update.
 	pending map[string]message.BackendServer
 	number  uint64
 	// reports are the crash reports to send with the next update.
