--- a/internal/message/agreement.go
+++ b/internal/message/agreement.go
@@ -149,7 +149,7 @@
 	Round Round `cbor:"round"`
 }
 
-// Campaign asks a member to stand for election immediately, because the leader is
+// Campaign asks a member to start an election immediately, because the leader is
 // stopping.
 type Campaign struct {
 	Agreement
--- a/internal/message/quota.go
+++ b/internal/message/quota.go
@@ -25,7 +25,7 @@
 
 // QuotaAnswer answers a QuotaAsk.
 type QuotaAnswer struct {
-	// ID is that of the QuotaAsk.
+	// ID is the ID of the QuotaAsk.
 	ID      uint64 `cbor:"6,keyasint,omitempty"`
 	Granted bool   `cbor:"1,keyasint,omitempty"`
 	// Known is set if a refusal means that the quota is used up; otherwise another control
--- a/internal/message/record.go
+++ b/internal/message/record.go
@@ -109,8 +109,8 @@
 // ClaimAnswer answers a Claim or a Query with the state of the record.
 type ClaimAnswer struct {
 	Outcome ClaimOutcome `cbor:"outcome"`
-	// RequestID is that of the record: the owner receives the one of its claim, others
-	// receive that of the owner.
+	// RequestID is the request ID of the record: the owner receives the ID of its own claim,
+	// others receive the ID of the owner's claim.
 	RequestID string      `cbor:"requestID"`
 	State     RecordState `cbor:"state"`
 	// Owner is the entry that runs the request, for ClaimAttach.
@@ -122,9 +122,9 @@
 	Answer  *Answer `cbor:"answer,omitempty"`
 	// Reason is why there is no answer to replay, or no claim.
 	Reason oriolebend.Reason `cbor:"reason,omitempty"`
-	// Once is that of the record: true if the request may run at most once.
+	// Once is true if the request may run at most once.
 	Once bool `cbor:"once,omitempty"`
-	// Ticket is that of the claim or the query.
+	// Ticket is the ticket of the claim or the query.
 	Ticket uint64 `cbor:"ticket,omitempty"`
 }
 
@@ -148,15 +148,16 @@
 }
 
 // Settled answers a Settle once it is durable on a quorum. If Accepted is false, the
-// record had already changed to State.
+// Settle changed no record. State is the current state of the request; it is empty if the
+// request has no record.
 type Settled struct {
 	RequestID string      `cbor:"requestID"`
 	Accepted  bool        `cbor:"accepted"`
 	State     RecordState `cbor:"state"`
-	// Attempt is that of the record: once the state is notRun, this attempt and every
+	// Attempt is the attempt of the record: once the state is notRun, this attempt and every
 	// lower one is closed, and gates may refuse them.
 	Attempt uint32 `cbor:"attempt,omitempty"`
-	// Ticket is that of the settle.
+	// Ticket is the ticket of the settle.
 	Ticket uint64 `cbor:"ticket,omitempty"`
 }
 
--- a/internal/message/routing.go
+++ b/internal/message/routing.go
@@ -96,9 +96,9 @@
 	Address string `cbor:"address,omitempty"`
 	// Observes is set if the watcher sends no requests to backend servers.
 	Observes bool `cbor:"observes,omitempty"`
-	// Version is that of the routing that the forwarder has.
+	// Version is the version of the routing that the forwarder has.
 	Version uint64 `cbor:"version"`
-	// Incarnation is that of the forwarder.
+	// Incarnation is the incarnation of the forwarder.
 	Incarnation uint64 `cbor:"incarnation"`
 	// Listen is the address at which other forwarders reach a forwarder.
 	Listen string `cbor:"listen,omitempty"`
@@ -138,8 +138,8 @@
 // RouteAcknowledged acknowledges that an update was applied.
 type RouteAcknowledged struct {
 	Number uint64 `cbor:"number"`
-	// Version is that of the routing that the forwarder has. It is sent immediately when
-	// it changes, so that no other control VM sends the same routing.
+	// Version is the version of the routing that the forwarder has. It is sent immediately
+	// when it changes, so that no other control VM sends the same routing.
 	Version uint64 `cbor:"version,omitempty"`
 	// Connected is set if a control VM recently reported to the sender that a quorum
 	// confirmed its state.
@@ -155,8 +155,8 @@
 	Requests int `cbor:"2,keyasint,omitempty"`
 	// PromptTokens is the number of tokens in these prompts.
 	PromptTokens int `cbor:"3,keyasint,omitempty"`
-	// Rate is a high rate among its prefills, in tokens per millisecond: that of a
-	// prefill that did not wait at its engine.
+	// Rate is a high prefill rate, in tokens per millisecond: the rate of a prefill that
+	// did not wait at its engine.
 	Rate float64 `cbor:"5,keyasint,omitempty"`
 	// DecodeWork is the KV memory of these requests times the output tokens that they
 	// are expected to generate while they hold it.
--- a/internal/message/serverlimit.go
+++ b/internal/message/serverlimit.go
@@ -36,7 +36,7 @@
 
 // LimitAnswer answers a LimitAsk.
 type LimitAnswer struct {
-	// ID is that of the LimitAsk.
+	// ID is the ID of the LimitAsk.
 	ID uint64 `cbor:"1,keyasint,omitempty"`
 	// Counted is set if this control VM counts the permissions; otherwise another one does.
 	Counted bool `cbor:"2,keyasint,omitempty"`
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -332,7 +332,7 @@
 }
 
 // BenchmarkKeepalive reports the cost of connections without messages, with and
-// without an open session. Processor time is that of both sides. After the settle time
+// without an open session. The processor time is the sum of both sides. After the settle time
 // the search for the packet size has ended. Run with -benchtime=1x.
 func BenchmarkKeepalive(b *testing.B) {
 	const connections, span, settle = 200, 6 * time.Second, 8 * time.Second
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -87,7 +87,7 @@
 // quicConfig sets the idle timeout of QUIC to twice IdleAfter, so that the dialling
 // side ends an idle connection first. If the accepting side ended it, a session that
 // is opened at that moment would be lost with a connection that its opener still
-// holds as usable.
+// considers usable.
 func (c Config) quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:           c.DialTimeout,
--- a/internal/peer/faults_test.go
+++ b/internal/peer/faults_test.go
@@ -72,14 +72,14 @@
 				i.Equal(peer.CodeOf(err), c.sendCode)
 			}
 			if c.gateCode == "" {
-				i.NoErr(session.Send(message.Release{})) // the session goes on
+				i.NoErr(session.Send(message.Release{})) // the session continues
 				i.NoErr(<-refused)
 				return
 			}
 			i.Equal(peer.CodeOf(<-refused), c.gateCode)
 			_, err = session.Receive()
 			i.Equal(peer.CodeOf(err), peer.CodeReset)
-			echoOnce(t, entry, gate.Address()) // other sessions go on
+			echoOnce(t, entry, gate.Address()) // other sessions continue
 		})
 	}
 }
--- a/internal/peer/files.go
+++ b/internal/peer/files.go
@@ -46,8 +46,8 @@
 	size     int64
 }
 
-// LoadFiles reads the files and checks that they match. Its *Error has CodeMissingFile, CodeMalformedFile, CodeKeyMismatch, CodeExpired,
-// CodeWrongAuthority or CodeNoName.
+// LoadFiles reads the files and checks that they match. Its *Error has CodeMissingFile,
+// CodeMalformedFile, CodeKeyMismatch, CodeExpired, CodeWrongAuthority or CodeNoName.
 func LoadFiles(f Files) (*FileCredentials, error) {
 	c := &FileCredentials{files: f}
 	if err := c.Reload(); err != nil {
--- a/internal/peer/requests.go
+++ b/internal/peer/requests.go
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("peer: session with %s has ended", e.Peer)
 }
 
-// Request sends a request to the peer at an address and waits for the answer. Its errors are
-// those of the dialer, a *SessionEndedError, and that of ctx.
+// Request sends a request to the peer at an address and waits for the answer. Its error is
+// an error of the dialer, a *SessionEndedError or the error of ctx.
 func (q *RequestClient[Q, A]) Request(ctx context.Context, address string, request Q) (A, error) {
 	s, err := q.session(ctx, address)
 	if err != nil {
