--- a/internal/caller/bench_test.go
+++ b/internal/caller/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/oriolebend/oriolebend/internal/settings"
 )
 
-// briefTokens is the prompt length of a typical brief, in tokens.
+// briefTokens is the typical length of a brief, a long planning prompt, in tokens.
 const briefTokens = 8000
 
 func briefBody() string {
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -23,7 +23,7 @@
 
 // readBody returns the complete body of a request. It refuses a body over the
 // limit without reading it, and a body that does not arrive in time: callers that
-// send slowly would otherwise hold a connection and its memory for ever.
+// send slowly would otherwise hold a connection and its memory forever.
 func (h *handler) readBody(c *echo.Context) ([]byte, error) {
 	r := c.Request()
 	limit := h.Caller.MaxBodyBytes
--- a/internal/caller/openai_test.go
+++ b/internal/caller/openai_test.go
@@ -86,7 +86,7 @@
 
 // Guards against an incomplete answer that a client takes for a complete one: the
 // decode server dies in the middle of a stream, and the client takes the broken
-// stream for its end.
+// stream for a finished one.
 func TestOpenaiStreamBreaksOff(t *testing.T) {
 	is := is.New(t)
 	lost := &oriolebend.Problem{Reason: oriolebend.ReasonServerLost, Ran: oriolebend.RanUnknown}
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -123,7 +123,7 @@
 }
 
 // Guards against engine memory that stays held for a caller whose VM stops reading
-// output without closing its connection, because a write waits for ever.
+// output without closing its connection, because a write waits forever.
 func TestCallerReadsNoOutput(t *testing.T) {
 	chunks := make([]Chunk, 4000)
 	for i := range chunks {
--- a/internal/clockdrift/drift.go
+++ b/internal/clockdrift/drift.go
@@ -7,7 +7,7 @@
 
 // Drift compares the monotonic clock with the wall clock.
 //
-// The monotonic clock stands still while a VM is suspended. After that, the VM's lease seems
+// The monotonic clock stops while a VM is suspended. After that, the VM's lease seems
 // to be valid although another control VM leads and grants. The wall clock has advanced in
 // the meantime. A wall clock that was set can't be distinguished from a suspension; it costs
 // as much as a change of the leader.
--- a/internal/service/client_test.go
+++ b/internal/service/client_test.go
@@ -32,7 +32,7 @@
 // may be in use by another process.
 const unusedURL = "http://127.0.0.1:1"
 
-// serve runs a stand-in service on loopback and returns it with a client of it.
+// serve runs a fake service on loopback and returns it with a client of it.
 func serve(t *testing.T) (*standin.Service, *service.Client) {
 	t.Helper()
 	fake := standin.NewService(standin.ServiceConfig{Name: "liquidacion"})
