--- a/internal/control/replicated_test.go
+++ b/internal/control/replicated_test.go
@@ -142,9 +142,9 @@
 
 // Guards against a paid tip that can be claimed again after a leader change or a restart of the
 // control VMs: requests go through one entry while the leader stops, the next leader is partitioned
-// and all three members restart one after the other; then another entry claims the same keys. It
-// would be caused by a record that was reported as durable and was not, or by a command that is
-// applied twice.
+// and all three members restart one after the other; then another entry claims the same keys. A
+// record that was reported as durable and was not, or a command that is applied twice, would cause
+// this.
 func TestRecordsOutliveLeaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -221,8 +221,8 @@
 }
 
 // BenchmarkClaimsOnGroup measures claims per second on three control VMs with the project's own
-// log: each group is synced on a quorum of three data folders on this disk. The delay is that of a
-// link in one direction, those of the entries included.
+// log: each group is synced on a quorum of three data folders on this disk. The delay applies
+// to each link in each direction, links of the entries included.
 func BenchmarkClaimsOnGroup(b *testing.B) {
 	for _, delay := range []time.Duration{0, 1500 * time.Microsecond} {
 		for _, group := range []int{1, 16, 128, 512} {
--- a/internal/disk/faulty_test.go
+++ b/internal/disk/faulty_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// crash drops unsynced names, and keeps a random part of the unsynced content, one byte of which
+// crash may drop unsynced names, and keeps a random part of the unsynced content, one byte of which
 // may be wrong.
 func (m *memoryFileSystem) crash(random *rand.Rand) {
 	if random.IntN(2) == 0 {
--- a/internal/disk/fuzz_test.go
+++ b/internal/disk/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against a member that crashes on a damaged file instead of reporting it: any bytes are in
-// place of a segment, vote or snapshot, and a length in them is trusted.
+// Guards against a member that crashes on a damaged file instead of reporting it: arbitrary bytes
+// are read as a segment, vote or snapshot, and a length in them is trusted.
 func FuzzFiles(f *testing.F) {
 	header := binary.BigEndian.AppendUint64([]byte(segmentMagic), 1)
 	segment := bytes.Clone(header)
--- a/internal/replica/failure_test.go
+++ b/internal/replica/failure_test.go
@@ -125,7 +125,7 @@
 
 // Guards against commands that are lost, applied twice or applied in a different order on some VM:
 // every link loses one message in ten and delays the others, while the leadership moves and members
-// restart. It would be caused by a resend that skips or repeats entries.
+// restart. A resend that skips or repeats entries would cause this.
 func TestLossyLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, Config{SnapshotEntries: 40, TailEntries: 8}, "a", "b", "c")
@@ -312,7 +312,7 @@
 
 // Guards against commands that are reported as accepted although no disk holds them, and against a
 // VM that stays unusable once its disk has space again: the disk of the only member fills up and is
-// cleared. It would be caused by a failed write that is forgotten.
+// cleared. A failed write that is forgotten would cause this.
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -367,8 +367,8 @@
 }
 
 // Guards against a process of another role that unseats the leader: the stream of an entry VM
-// carries a vote in the name of a member, another one in its own name. It would be caused by
-// messages whose sender is not checked.
+// carries a vote in the name of a member, another one in its own name. Messages whose
+// sender is not checked would cause this.
 func TestMessagesOfNonMembersAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/routewatch/open_queue_test.go
+++ b/internal/routewatch/open_queue_test.go
@@ -79,10 +79,10 @@
 }
 
 // Guards against handshakes that delay votes and heartbeats. After a crash of the whole system a
-// fleet of 361 forwarders had no leader for 0.8 s, and a second leader 0.3 s later; small sites
-// have one after 0.2 s. All forwarders reconnect within a tenth of a second, and each opens a
-// session with each of ten control VMs, so the work of a control VM at one moment grows with the
-// number of forwarders.
+// fleet of 361 forwarders had no leader for 0.8 s, and elected a second one 0.3 s later; small
+// sites have a leader after 0.2 s. All forwarders reconnect within a tenth of a second, and each
+// opens a session with each of ten control VMs, so the work of a control VM at one moment grows
+// with the number of forwarders.
 func TestHerdOfForwardersLeavesRoomForVotes(t *testing.T) {
 	const controls = 10
 	is := is.New(t)
