--- a/internal/disk/note.go
+++ b/internal/disk/note.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// WriteNote stores a small value under a name in a data folder, beside the log and not as a part of
-// it. It is for values that are useful after a restart and whose loss does no harm. It replaces the
+// WriteNote stores a small value under a name in a data folder, next to the log but not as a part
+// of it. It is for values that are useful after a restart and whose loss does no harm. It replaces the
 // previous value durably, or not at all.
 func WriteNote(fs FileSystem, folder, name string, value any) error {
 	payload, err := cbor.Marshal(value)
--- a/internal/message/registry.go
+++ b/internal/message/registry.go
@@ -26,7 +26,7 @@
 var decoders = map[Kind]decoder{}
 
 // Register registers T with DecodeBody and returns its kind. It is called once for
-// each message type, in a package variable beside the type's declaration:
+// each message type, in a package variable next to the type's declaration:
 //
 //	var _ = Register[Vote]()
 //
--- a/internal/message/routing.go
+++ b/internal/message/routing.go
@@ -102,7 +102,8 @@
 	Incarnation uint64 `cbor:"incarnation"`
 	// Listen is the address at which other forwarders reach a forwarder.
 	Listen string `cbor:"listen,omitempty"`
-	// Alone is set if the watcher watches no other control VM yet.
+	// Alone is set on the first session of the watcher, and on the next one that begins after
+	// that session has ended; sessions with other control VMs may be open then.
 	Alone bool `cbor:"alone,omitempty"`
 }
 
--- a/internal/routewatch/watch.go
+++ b/internal/routewatch/watch.go
@@ -18,7 +18,7 @@
 	listen string
 	// observes is set for control VMs, which send no requests to servers.
 	observes bool
-	// alone is set if the process watched no other control VM when it began.
+	// alone is the Alone of the RouteWatch with which the process began to watch.
 	alone bool
 	// pending are the servers to send with the next update, number is the number of the last
 	// update.
