--- a/pkg/oriolebend/client/client.go
+++ b/pkg/oriolebend/client/client.go
@@ -116,7 +116,8 @@
 // incomplete.
 const maxDecodeTries = 3
 
-// call sends a request, retrying it until it is answered, and decodes the answer.
+// call sends a request and decodes the answer. If the answer is incomplete, it sends the
+// request again; an order keeps its order id.
 func (c *Client) call(ctx context.Context, r request, into any) error {
 	if r.orderID == "" && r.method != http.MethodGet {
 		r.orderID = uuid.NewString()
--- a/pkg/oriolebend/status.go
+++ b/pkg/oriolebend/status.go
@@ -83,8 +83,8 @@
 	// Bookmark is true for a line that carries no change; it states that all
 	// changes up to Revision have been sent.
 	Bookmark bool `json:"bookmark,omitempty"`
-	// Age is, for a bookmark, how long ago a quorum confirmed to the control VM
-	// that it had all changes; it is absent if the control VM does not know.
+	// Age is, for a bookmark, how long ago a quorum confirmed that the control VM had
+	// all changes; Age is absent if the control VM does not know.
 	Age *Duration `json:"age,omitempty"`
 	// Resource is the changed resource, with Deleted set if it was deleted.
 	Resource *Resource `json:"resource,omitempty"`
@@ -115,8 +115,8 @@
 	HeaderOrderID = "Oriolebend-Order-ID"
 	// HeaderRevision carries the revision of the state that a read returned.
 	HeaderRevision = "Oriolebend-Revision"
-	// HeaderAge carries how long ago a quorum confirmed to the answering control
-	// VM that it had all changes.
+	// HeaderAge carries how long ago a quorum confirmed that the answering control
+	// VM had all changes.
 	HeaderAge = "Oriolebend-Age"
 	// HeaderWho carries the operator's name where no token is required.
 	HeaderWho = "Oriolebend-Who"
