--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -20,7 +20,7 @@
 	// cancels the work.
 	Decode(ctx context.Context, r DecodeRequest, emit func(message.Part) error) error
 	// Cancel stops the work of an attempt and frees its memory and exports. It
-	// succeeds if the attempt has none.
+	// also succeeds if the attempt has no work.
 	Cancel(ctx context.Context, a message.Attempt) error
 	// Work returns the attempts for which the engine holds memory.
 	Work(ctx context.Context) ([]Work, error)
--- a/internal/policy/fair_queue_test.go
+++ b/internal/policy/fair_queue_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against the starvation of patient items under a steady load of urgent items.
+// TestPatientItemsAdvanceUnderUrgentLoad guards against the starvation of patient items
+// under a steady load of urgent items.
 func TestPatientItemsAdvanceUnderUrgentLoad(t *testing.T) {
 	is := is.New(t)
 	var q FairQueue[string]
@@ -25,7 +26,8 @@
 	is.Equal(taken, maxUrgentRun)
 }
 
-// Guards against one organisation's burst of items delaying all other organisations.
+// TestSharesOfOrganisations guards against one organisation's burst of items that delays
+// all other organisations.
 func TestSharesOfOrganisations(t *testing.T) {
 	is := is.New(t)
 	var q FairQueue[string]
@@ -46,7 +48,8 @@
 	is.True(got["flood"] >= 9 && got["flood"] <= 11)
 }
 
-// An organisation that had no items for a while gets no extra turns afterwards.
+// TestIdleOrganisationAccumulatesNoTurns checks that an organisation that had no items for
+// a while gets no extra turns afterwards.
 func TestIdleOrganisationAccumulatesNoTurns(t *testing.T) {
 	is := is.New(t)
 	var q FairQueue[string]
@@ -66,7 +69,8 @@
 	is.True(got["steady"] >= 4)
 }
 
-// No item is lost, duplicated or reordered within one organisation and urgency.
+// TestFairQueueKeepsItems checks that no item is lost, duplicated or reordered within one
+// organisation and urgency.
 func TestFairQueueKeepsItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q FairQueue[string]
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -57,7 +57,8 @@
 	h.Failures = min(h.Failures+1, maxFailures)
 }
 
-// Correction returns the factor by which the server's own predictions are multiplied.
+// Correction returns the factor, from 0.25 to 8, by which the server's own predictions are
+// multiplied.
 func (h *Health) Correction() float64 {
 	return min(8, max(0.25, math.Exp(h.Slowness)))
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -34,8 +34,8 @@
 
 func newRNG() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// Every policy picks as many distinct members as requested and available, and keeps
-// the members that were already picked.
+// TestPickIsDistinct checks that every policy picks as many distinct members as requested
+// and available, and keeps the members that were already picked.
 func TestPickIsDistinct(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SampledFrom([]Name{Reserve, Random, RoundRobin, LeastLoad, Affinity}).Draw(t, "policy")
@@ -80,8 +80,8 @@
 	return found
 }
 
-// Guards against cold caches on all servers after one server leaves, which happens if the
-// owner of a prefix depends on the number of servers.
+// TestOnlyPrefixesOfTheRemovedMemberMove guards against cold caches on all servers after
+// one server leaves. This happens if the owner of a prefix depends on the number of servers.
 func TestOnlyPrefixesOfTheRemovedMemberMove(t *testing.T) {
 	is := is.New(t)
 	all := members(16)
@@ -99,8 +99,8 @@
 	}
 }
 
-// Guards against the overload of one server by requests that share a prompt, which
-// happens if affinity has no bound on load.
+// TestAffinitySkipsOverloadedMembers guards against the overload of one server by requests
+// that share a prompt. This happens if affinity has no bound on load.
 func TestAffinitySkipsOverloadedMembers(t *testing.T) {
 	is := is.New(t)
 	all := members(8)
@@ -117,8 +117,8 @@
 	is.Equal(again, hot) // all are over the bound: the first one is returned
 }
 
-// Guards against slow servers that delay every request that random choice sends to them.
-// A slow server gets fewer requests, but never none.
+// TestSlowMembersGetFewerRequests guards against slow servers that delay every request
+// that random choice sends to them. A slow server gets fewer requests, but never none.
 func TestSlowMembersGetFewerRequests(t *testing.T) {
 	is := is.New(t)
 	all := members(4)
