--- a/internal/cli/roles.go
+++ b/internal/cli/roles.go
@@ -146,7 +146,7 @@
 // Unwrap returns the cause.
 func (e *CutError) Unwrap() error { return e.Cause }
 
-// stop stops a process gracefully, in a context that does not depend on that of the
+// stop stops a process gracefully, in a context that does not depend on the context of the
 // command. A signal during the stop ends the process at once.
 func stop(running stoppable) error {
 	bounded, cancel := context.WithTimeout(context.Background(), stopTimeout)
--- a/internal/operator/command/wait_test.go
+++ b/internal/operator/command/wait_test.go
@@ -18,11 +18,10 @@
 	"github.com/oriolebend/oriolebend/pkg/oriolebend"
 )
 
-// Symptom: `apply --wait` reports that a change is in force, but the next `get` reports
-// that the resource is not declared. Sequence: the control VM that is queried has not
-// applied the change yet, and its followers have its older revision in force. Cause:
-// followers were counted by the revision of the queried control VM, not by that of the
-// change.
+// TestWaitIsForTheChange guards against an `apply --wait` that reports a change as in force
+// although the next `get` does not find the resource. The queried control VM has not applied
+// the change yet, and its followers have its older revision in force. Followers must be
+// counted by the revision of the change, not by the revision of the queried control VM.
 func TestWaitIsForTheChange(t *testing.T) {
 	is := is.New(t)
 	var queries atomic.Int32
--- a/internal/operator/drain.go
+++ b/internal/operator/drain.go
@@ -85,7 +85,8 @@
 // checkPoolMinimum refuses a drain that would leave a pool with fewer serving servers
 // than its minimum. It reads the state of this VM and takes no lock: if operators
 // drain two servers at the same time, both orders may pass and each operator gets the
-// result of their own order. The second sees the first order in ?current=true reads.
+// result of their own order. The second operator sees the first order in ?current=true
+// reads.
 func checkPoolMinimum(view declared.View, name string) error {
 	server, member := view.Servers[name]
 	if !member || server.State != oriolebend.ServerServing {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -303,7 +303,7 @@
 	is.Equal(bookmark.Revision, uint64(5))
 	is.Equal(time.Duration(*bookmark.Age), time.Second)
 	status, _, _ := n.do(t, "GET", "/v1/watch?from=99", "secret-a", "", "")
-	is.Equal(status, 503) // the watcher has seen a later revision than that of this control VM
+	is.Equal(status, 503) // the watcher has seen a later revision than this control VM has
 }
 
 func (n *node) watch(t *testing.T, from uint64) (<-chan oriolebend.WatchEvent, func()) {
--- a/internal/operator/watch.go
+++ b/internal/operator/watch.go
@@ -36,8 +36,8 @@
 		if !w.wait(c.Request().Context(), next) {
 			return nil
 		}
-		// The revision never decreases by applied commands, but it may when a
-		// snapshot replaces the state.
+		// Applied commands never decrease the revision, but a snapshot that
+		// replaces the state may.
 		changes, complete, next, err = a.changesSince(next.revision)
 		if err != nil {
 			return nil
@@ -65,7 +65,7 @@
 			changes = d.Everything()
 		}
 	})
-	if err != nil { // the watcher has seen a later revision than that of this VM
+	if err != nil { // the watcher has seen a later revision than this VM has
 		err = &oriolebend.Problem{
 			Reason: oriolebend.ReasonNotLeader, Ran: oriolebend.RanNo,
 			Detail: err.Error() + ": this control VM is behind", Cause: err,
