--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -18,7 +18,7 @@
 
 // Config configures the metrics of one role.
 type Config struct {
-	// Role is "entry", "sidecar" or "control".
+	// Role is "entry", "forwarder", "sidecar" or "control".
 	Role string
 	// Node is the name of the process, or of a sidecar's backend server.
 	Node string
--- a/internal/requestlog/crashes_test.go
+++ b/internal/requestlog/crashes_test.go
@@ -21,7 +21,8 @@
 	})
 }
 
-// Logs without any crash result in empty lists, not null.
+// TestFindCrashesInEmptyLog checks that logs without any crash result in empty lists, not
+// null.
 func TestFindCrashesInEmptyLog(t *testing.T) {
 	is := is.New(t)
 	found, err := FindCrashes(Log{Name: "log", Reader: strings.NewReader("")})
