--- a/internal/experiment/arrival.go
+++ b/internal/experiment/arrival.go
@@ -30,8 +30,8 @@
 	organisation string
 	promptTokens int
 	outputTokens int
-	// prefixID identifies the shared prefix of the prompt, zero if it has none, and
-	// ownID the rest.
+	// prefixID identifies the shared prefix of the prompt and is zero if the prompt has
+	// none. ownID identifies the rest of the prompt.
 	prefixID uint64
 	ownID    uint64
 }
--- a/internal/experiment/bound.go
+++ b/internal/experiment/bound.go
@@ -23,7 +23,7 @@
 type costs [resourceCount]float64
 
 // goodputBound returns an upper bound of the share of the requests that any router could
-// serve within their targets, also with full knowledge of the load and without
+// serve within their targets, even with full knowledge of the load and without
 // restrictions on where and when work runs.
 //
 // A request that is served within its targets uses at least its costs, whatever
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -55,8 +55,7 @@
 	expired  bool
 }
 
-// node is one simulated backend server: its gate, and its engine modelled by
-// service times.
+// node is one simulated backend server: its gate, and a model of its engine.
 type node struct {
 	oriolebend.Server
 	world    *world
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -68,9 +68,9 @@
 	is.True(fmt.Sprint(other.Results[0].Classes) != fmt.Sprint(reports[0]))
 }
 
-// TestEveryRequestEnds checks that every request ends exactly once, and that no
-// answer is longer than its length, for two policies and with decode engines that
-// crash.
+// TestEveryRequestEnds checks for two policies, also with decode engines that crash,
+// that every request ends exactly once, that a complete answer has its planned length,
+// and that a request that is reported as not run has delivered no output.
 func TestEveryRequestEnds(t *testing.T) {
 	files, err := filepath.Glob("../../examples/experiment/*.toml")
 	is.New(t).NoErr(err)
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestBoundOfOneResource checks that the bound is that of the scarce resource if only
-// one is scarce.
+// TestBoundOfOneResource checks that, if only one resource is scarce, the bound is the
+// share of the requests for which that resource suffices.
 func TestBoundOfOneResource(t *testing.T) {
 	is := is.New(t)
 	s := Scenario{
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -32,12 +32,12 @@
 	// GoodPerSecond and StrictPerSecond are the same as rates.
 	GoodPerSecond   float64 `json:"goodPerSecond"`
 	StrictPerSecond float64 `json:"strictPerSecond"`
-	// Bound and StrictBound are upper bounds of Good and Strict for any router, also
+	// Bound and StrictBound are upper bounds of Good and Strict for any router, even
 	// with full knowledge of the load.
 	Bound       float64 `json:"bound"`
 	StrictBound float64 `json:"strictBound"`
-	// PrefillTokens counts the computed prompt tokens, WastedTokens those of
-	// results that no decode fetched, RepeatedTokens those that were computed
+	// PrefillTokens counts the computed prompt tokens. WastedTokens counts the tokens
+	// of results that no decode fetched, RepeatedTokens the tokens that were computed
 	// again after a decode engine crashed in the middle of an output.
 	PrefillTokens  int `json:"prefillTokens"`
 	WastedTokens   int `json:"wastedTokens"`
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -1,9 +1,9 @@
 // Package experiment compares routing policies under one load. It runs the reducers
-// of entries and gates in virtual time, connected by message delays and by engines
-// that are modelled by their service times alone.
+// of entries and gates in virtual time. Messages take fixed delays, and engines are
+// models of service times, KV memory, prefix caches and links.
 //
-// It does not simulate a cluster: there are no processes, sockets, disks, agreement
-// or membership, and the control VMs are modelled as a fixed delay.
+// The package does not simulate a cluster: there are no processes, sockets, disks,
+// consensus or membership, and the control VMs answer after a fixed delay.
 package experiment
 
 import (
@@ -98,8 +98,8 @@
 type Class struct {
 	Name    string             `toml:"name"`
 	Urgency oriolebend.Urgency `toml:"urgency"`
-	// Rate is the number of requests per second that arrive from From until Until.
-	// Zero means the beginning and the end of the run. Two classes with adjacent
+	// Rate is the number of requests per second that arrive from From until Until. A
+	// zero From means the beginning of the run, a zero Until its end. Two classes with adjacent
 	// times describe a load that shifts from one kind of work to another.
 	Rate         float64           `toml:"rate"`
 	From         settings.Duration `toml:"from"`
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -167,8 +167,8 @@
 	})
 }
 
-// run simulates the arrival of all requests, and then the time until all of them
-// capacity ended or maxDrainTime has passed.
+// run simulates the time during which requests arrive, and then the time until all
+// requests have ended or maxDrainTime has passed.
 func (w *world) run() {
 	warm := w.start.Add(time.Duration(w.scenario.WarmUp))
 	end := w.start.Add(time.Duration(w.scenario.Duration))
@@ -220,8 +220,8 @@
 	return open
 }
 
-// crashNext crashes the decode engines one after another, in turn, and schedules
-// the restart and the next crash.
+// crashNext crashes the decode engine whose turn it is, and schedules its restart and
+// the crash of the next decode engine.
 func (w *world) crashNext(turn int) {
 	var decodes []*node
 	for _, n := range w.nodes {
@@ -346,7 +346,7 @@
 	n.world.clock.after(sidecarDelay, func() { n.reduce(withTime(e, n.world.clock.now)) })
 }
 
-// withTime returns an event of the engine with its time set.
+// withTime returns an event of the engine with its time set to at.
 func withTime(e gate.Event, at time.Time) gate.Event {
 	switch e := e.(type) {
 	case gate.EnginePart:
@@ -369,7 +369,8 @@
 	}
 }
 
-// serverEventWithTime does the same for events about the server.
+// serverEventWithTime returns an event that belongs to no attempt with its time set to
+// at.
 func serverEventWithTime(e gate.Event, at time.Time) gate.Event {
 	switch e := e.(type) {
 	case gate.LoadReported:
