--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -92,7 +92,7 @@
 func (s *sums) claimControl() float64 { return s.at("claimControl", s.entriesPerRequest()) }
 
 // announcing returns the additional cost of a follower that announces a server: the slope
-// of sidecars less that of entries.
+// of sidecars less the slope of entries.
 func (s *sums) announcing(sidecars, entries string) float64 {
 	return max(0, s.each(sidecars)-s.each(entries))
 }
--- a/internal/capacity/data.go
+++ b/internal/capacity/data.go
@@ -1,5 +1,5 @@
 // Package capacity computes the cost of each role at the size that the project is
-// designed for, from slopes measured on one machine. Its output are the tables of
+// designed for, from slopes measured on one machine. The results are the tables of
 // docs/CAPACITY.md; a test checks that they follow from the data file.
 package capacity
 
@@ -52,9 +52,9 @@
 
 // Budget is what a daemon may spend on control work.
 type Budget struct {
-	Core       float64 `toml:"core"` // share of one core
-	Memory     float64 `toml:"memory"`
-	Bytes      float64 `toml:"bytes"` // per second
+	Core       float64 `toml:"core"`   // share of one core
+	Memory     float64 `toml:"memory"` // bytes
+	Bytes      float64 `toml:"bytes"`  // per second
 	ControlVMs float64 `toml:"controlVMs"`
 }
 
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -24,12 +24,12 @@
 	// Counters are the increases of the router's counters during the load, by name
 	// and reason.
 	Counters map[string]float64 `json:"counters,omitempty"`
-	// PromptTokens is the sum over all requests that were due, the base of the
-	// wasted share.
+	// PromptTokens is the number of prompt tokens of all requests that were due. The
+	// share of wasted tokens is relative to it.
 	PromptTokens int      `json:"promptTokens"`
 	Timeline     []Second `json:"timeline"`
-	// Failures is the schedule of failures, NotInjected the failures of it that
-	// were not carried out, with the errors.
+	// Failures is the schedule of failures. NotInjected lists the scheduled failures
+	// that were not carried out, with the errors.
 	Failures    []Failure `json:"failures,omitempty"`
 	NotInjected []string  `json:"notMade,omitempty"`
 	// Faults lists the first requests that were lost, doubled, damaged or falsely
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// verify compares an answer with that of the stand-in engines and services.
+// verify compares an answer with the answer that stand-in engines and services give.
 func (s *sender) verify(result *Result, class Class, a attempt) {
 	var err error
 	r := result.Request
--- a/internal/soak/load_test.go
+++ b/internal/soak/load_test.go
@@ -193,7 +193,7 @@
 func (o *operator) wait() { o.group.Wait() }
 
 // keysInForce reports whether a forwarder accepts the key of the last version and refuses
-// that of the previous one.
+// the key of the previous one.
 func (o *operator) keysInForce(c *http.Client, address string) bool {
 	status, _ := sendWithKey(c, address, "safe", "check", versionKey(o.accepted))
 	before, _ := sendWithKey(c, address, "safe", "check", versionKey(o.accepted-1))
@@ -201,7 +201,7 @@
 }
 
 // checkInForce waits until every forwarder applies the last routing: the route of that
-// version exists, and that of the previous version does not.
+// version exists, and the route of the previous version does not.
 func (o *operator) checkInForce(within time.Duration) {
 	o.t.Helper()
 	deadline := time.Now().Add(within)
--- a/internal/soak/memory_test.go
+++ b/internal/soak/memory_test.go
@@ -243,10 +243,11 @@
 	return sum
 }
 
-// zeros is the content of bodies, chunk a chunk of a body of unknown length. Hundreds of peers
-// share them.
+// chunkBytes is the size of chunk without its framing.
 const chunkBytes = 64 << 10
 
+// zeros is the content of bodies, chunk one chunk of a body of unknown length. Hundreds of
+// peers share them.
 var (
 	zeros = make([]byte, longBody)
 	chunk = fmt.Appendf(nil, "%x\r\n%s\r\n", chunkBytes, zeros[:chunkBytes])
@@ -266,7 +267,7 @@
 	return took <= pingWithin
 }
 
-// never stands for the duration of a ping that was not answered.
+// never is the duration that ping returns for a ping that was not answered.
 const never = time.Hour
 
 // ping returns the duration of a ping to an address.
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -18,8 +18,8 @@
 	"github.com/oriolebend/oriolebend/internal/message"
 )
 
-// Bounds of the natural length of an answer, in tokens. The natural length is that of an
-// answer without a limit.
+// Bounds of the natural length of an answer, in tokens. The natural length is the length
+// of an answer without a limit.
 const (
 	minTokens = 64
 	maxTokens = 384
--- a/internal/standin/bench_test.go
+++ b/internal/standin/bench_test.go
@@ -76,8 +76,8 @@
 }
 
 // BenchmarkFleetDecode measures 14 decode engines with 20 requests each at the default
-// decode step, which is about half of a dev process with 27 engines. One operation is one
-// token.
+// decode step. This is about half of the load of a dev process with 27 engines. One
+// operation is one token.
 func BenchmarkFleetDecode(b *testing.B) {
 	const engines, requests = 14, 20
 	prefill := newBenchClient(b, EngineConfig{PrefillTokens: 1e9, LinkBytes: 1e12, KVTokens: 1 << 30, ExportLife: time.Hour})
