--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// redactAny returns the text of errors, of fmt.Stringers and of values whose kind is
-// string, and only the type of any other value, so that a request that is passed to the
-// log by mistake is not written there.
+// redactAny returns the text of errors, of fmt.Stringers, of attempts and of values whose
+// kind is string. It keeps source positions, and returns only the type of any other value,
+// so that a request that is passed to the log by mistake is not written there.
 func redactAny(value any) slog.Value {
 	switch v := value.(type) {
 	case nil:
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -20,7 +20,7 @@
 type Config struct {
 	// Node is the name of this control VM.
 	Node string
-	// Log is the replicated log. Store holds the state that it is applied to.
+	// Log is the replicated log. Store holds the state that the log is applied to.
 	Log   control.Log
 	Store *Store
 	// Group is the group of control VMs; nil means that the API has no routes
--- a/internal/policy/pool.go
+++ b/internal/policy/pool.go
@@ -65,8 +65,9 @@
 // modified.
 func (p *Pool[T]) Members() []T { return p.members }
 
-// loadBound is the multiple of the mean load above which affinity skips a member,
-// as in consistent hashing with bounded loads.
+// loadBound bounds the load of the members that affinity picks: affinity skips a member
+// whose load exceeds loadBound times the mean load plus one, as in consistent hashing
+// with bounded loads.
 const loadBound = 1.25
 
 // ringOwner returns the first member at or after a hash on the ring that is neither
--- a/internal/policy/reserve.go
+++ b/internal/policy/reserve.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// reserve is the default policy. It picks one or two candidates by the prompt's prefix
-// and the rest at random, and chooses among the offers that their gates make.
+// reserve is the default policy. It picks one or two candidates by the prompt's prefix,
+// or without a prefix one in the nearest failure domain, and the rest at random. It
+// chooses among the offers that their gates make.
 type reserve[T Member] struct{}
 
 // crossDomainCost is the cost of leaving the failure domain in addition to the time of
--- a/internal/soak/notice_test.go
+++ b/internal/soak/notice_test.go
@@ -18,8 +18,9 @@
 	// it.
 	noticeGrace = 500 * time.Millisecond
 
-	// Later than limitSettle after a server has first reported reportedLimit, it may receive within
-	// limitWindow limitShare times what that limit allows, plus limitFree requests.
+	// A server reports the limit reportedLimit, in requests per second. Later than limitSettle
+	// after the first such report, it may receive at most limitShare times the requests that this
+	// limit allows, plus limitFree requests, within any limitWindow.
 	reportedLimit = 5.0
 	limitFor      = 9 * time.Second
 	limitWindow   = 4 * time.Second
